--- a/benchmarks/own_words.py
+++ b/benchmarks/own_words.py
@@ -13,7 +13,7 @@
 import time
 
 from beamhatch.platform.standin.store import StoreFault
-from beamhatch.relay.choosing.rests import Rests
+from beamhatch.relay.choosing.backoffs import Backoffs
 from beamhatch.relay.model import Life, UpstreamId
 from benchmarks.quarantine import count_bytes, make_fleet
 
@@ -59,18 +59,18 @@
     """
     random.seed(seed)
     life = Life(UpstreamId("u"), 1)
-    known = [Rests()] * vms if told else [Rests() for _ in range(vms)]
+    known = [Backoffs()] * vms if told else [Backoffs() for _ in range(vms)]
     arrivals = 0
-    news: list[tuple[float, Rests]] = []
+    news: list[tuple[float, Backoffs]] = []
     now = 0.0
     while now < OUTAGE:
         now += random.expovariate(RATE * vms)
         while news and news[0][0] <= now:
             asked_at, rests = news.pop(0)
-            rests.take(life, REST, asked_at)
+            rests.record(life, REST, asked_at)
         rests = random.choice(known)
         if rests.may_send(life, now):
-            rests.begin(life, now)
+            rests.begin_request(life, now)
             arrivals += 1
             news.append((now + ROUND_TRIP, rests))
     return arrivals
--- a/src/beamhatch/relay/choosing/rests.py
+++ b/src/beamhatch/relay/choosing/backoffs.py
@@ -17,19 +17,19 @@
 
     from beamhatch.relay.model import Life, Upstream, UpstreamId
 
-REST_SPREAD = 0.25
+MAX_JITTER = 0.25
 """Share by which a rest is lengthened at the most, drawn anew for each.
 
 VMs that were turned away at one moment would else come back at one moment.
 """
 
-FIRST_TRIALS = 1
+INITIAL_PROBES = 1
 """Requests that may be under way at an upstream whose rest is over, before any has come to an answer there."""
 
-TRUSTED_ANSWERS = 16
+RECOVERY_ANSWERS = 16
 """Answers behind which an upstream is as any other: each lets two more in, so they come within five round trips."""
 
-TRIAL_TIME = 1.0
+PROBE_TIMEOUT_S = 1.0
 """Seconds behind which a request that has told nothing no longer keeps others away.
 
 The first event of a stream, or the answer of a plain service, comes within its target latency: 0.15 to 0.9 s.
@@ -37,100 +37,100 @@
 
 
 @dataclass(slots=True)
-class _Rest:
+class _Backoff:
     until: float
     """Monotonic seconds."""
     answers: int = 0
     """Requests behind the end of the rest that came to an answer, and were not turned away."""
-    trials: deque[float] = field(default_factory=deque)
+    probes: deque[float] = field(default_factory=deque)
     """When each of those began that are still to tell."""
 
     def has_room(self, now: float) -> bool:
         """Tell whether one more request may try whether the upstream is back."""
-        while self.trials and self.trials[0] <= now - TRIAL_TIME:
-            self.trials.popleft()
-        return len(self.trials) < FIRST_TRIALS + self.answers
+        while self.probes and self.probes[0] <= now - PROBE_TIMEOUT_S:
+            self.probes.popleft()
+        return len(self.probes) < INITIAL_PROBES + self.answers
 
 
 @dataclass(slots=True)
-class Trial:
+class BackoffProbe:
     """A request to an upstream whose rest is over; it tells once whether that is back."""
 
-    rests: Rests
+    backoffs: Backoffs
     life: Life
-    _told: bool = False
+    _ended: bool = False
 
     def end(self, now: float, *, answered: bool) -> None:
         """Tell, unless it has told."""
-        if not self._told:
-            self._told = True
-            self.rests.end(self.life, now, answered=answered)
+        if not self._ended:
+            self._ended = True
+            self.backoffs.end_request(self.life, now, answered=answered)
 
 
 @dataclass(slots=True)
-class Rests:
+class Backoffs:
     """All rests that upstreams have asked this VM for, by the life that asked."""
 
-    _rests: dict[Life, _Rest] = field(default_factory=dict)
+    _backoffs: dict[Life, _Backoff] = field(default_factory=dict)
     _ids: set[UpstreamId] = field(default_factory=set)
     """Whose lives these are: by them, upstreams that ask nothing are passed at little cost."""
 
-    def may_be_sent(self, upstream: Upstream, now: float) -> bool:
+    def may_send_to(self, upstream: Upstream, now: float) -> bool:
         """Tell whether an upstream may be sent one more request; see ``may_send``."""
         return upstream.id not in self._ids or self.may_send(upstream.life, now)
 
-    def take(self, life: Life, seconds: float, now: float) -> bool:
+    def record(self, life: Life, seconds: float, now: float) -> bool:
         """Take in that an upstream wants nothing for some seconds; return whether it was not resting already."""
-        until = now + seconds * random.uniform(1.0, 1.0 + REST_SPREAD)
-        known = self._rests.get(life)
+        until = now + seconds * random.uniform(1.0, 1.0 + MAX_JITTER)
+        known = self._backoffs.get(life)
         if known is not None and now < known.until:
             known.until = max(known.until, until)
             return False
-        self._rests[life] = _Rest(until)
+        self._backoffs[life] = _Backoff(until)
         self._ids.add(life.id)
         return True
 
-    def find_end(self, life: Life, now: float) -> float | None:
+    def get_end(self, life: Life, now: float) -> float | None:
         """Return when an upstream's rest ends, None where that is over or none was asked."""
-        rest = self._rests.get(life)
+        rest = self._backoffs.get(life)
         return rest.until if rest is not None and now < rest.until else None
 
     def may_send(self, life: Life, now: float) -> bool:
         """Tell whether an upstream may be sent one more request. It only looks."""
-        rest = self._rests.get(life)
+        rest = self._backoffs.get(life)
         return rest is None or (now >= rest.until and rest.has_room(now))
 
-    def is_resting(self, life: Life, now: float) -> bool:
+    def is_active(self, life: Life, now: float) -> bool:
         """Tell whether an upstream's rest lasts, so that it wants nothing at all."""
-        return self.find_end(life, now) is not None
+        return self.get_end(life, now) is not None
 
-    def begin(self, life: Life, now: float) -> Trial | None:
+    def begin_request(self, life: Life, now: float) -> BackoffProbe | None:
         """Count a request that is sent; return what it is to tell, None where the upstream did not ask for rest."""
-        rest = self._rests.get(life)
+        rest = self._backoffs.get(life)
         if rest is None:
             return None
-        rest.trials.append(now)
-        return Trial(self, life)
+        rest.probes.append(now)
+        return BackoffProbe(self, life)
 
-    def end(self, life: Life, now: float, *, answered: bool) -> None:
+    def end_request(self, life: Life, now: float, *, answered: bool) -> None:
         """Note that a request has told what it tells.
 
         :param answered: whether the upstream answered and did not turn it away
         """
-        rest = self._rests.get(life)
+        rest = self._backoffs.get(life)
         if rest is None or now < rest.until:
             return
-        if rest.trials:
-            rest.trials.popleft()
+        if rest.probes:
+            rest.probes.popleft()
         rest.answers += answered
-        if rest.answers >= TRUSTED_ANSWERS:
-            del self._rests[life]
+        if rest.answers >= RECOVERY_ANSWERS:
+            del self._backoffs[life]
 
-    def count(self, now: float) -> int:
+    def count_active(self, now: float) -> int:
         """Return how many upstreams are resting."""
-        return sum(now < rest.until for rest in self._rests.values())
+        return sum(now < rest.until for rest in self._backoffs.values())
 
     def keep_only(self, listed: Collection[UpstreamId]) -> None:
         """Drop those of upstreams that are not known any more."""
-        self._rests = {life: rest for life, rest in self._rests.items() if life.id in listed}
-        self._ids = {life.id for life in self._rests}
+        self._backoffs = {life: rest for life, rest in self._backoffs.items() if life.id in listed}
+        self._ids = {life.id for life in self._backoffs}
--- a/src/beamhatch/relay/choosing/cold.py
+++ b/src/beamhatch/relay/choosing/cold_gate.py
@@ -13,29 +13,29 @@
 
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
-WINDOW = 1.02
+WINDOW_S = 1.02
 """Seconds over which this VM counts what it sent: the second that the bound is of, and the granularity of timers."""
 
-HELD_WAIT = 0.25
+HELD_RETRY_S = 0.25
 """Seconds until one asks again where room is held for a request that has not gone out: what a prompt is read in."""
 
-QUIET_TIME = 2.0
+STARTUP_DELAY_S = 2.0
 """Seconds behind its start in which a VM sends nothing to cold upstreams.
 
 What it sent before a restart is more than a second old by then, and it has heard of the other VMs.
 """
 
-NEW_TIME = 12.0
+DISCOVERY_S = 12.0
 """Seconds behind its start in which a VM may not know all others: VMs tell each other of new ones every 10 s.
 
 One that knows few takes itself for one of few. With views that are late by that, one of 50 fleets of 8 VMs was over the
 bound, by 3 of 17, as VMs that knew two others had a large part at once.
 """
 
-VIEW_LIFE = 1.0
+VIEW_TTL_S = 1.0
 """Seconds for which the VMs that are known of are not looked up anew."""
 
-FORGET_LOG = 60.0
+LOG_RETENTION_S = 60.0
 """Seconds without a request for which it is remembered what was sent to an upstream."""
 
 
@@ -48,7 +48,7 @@
     slack: float = 0.0
     """Requests on top of that."""
 
-    def count(self, terms: ColdTerms) -> float:
+    def compute_limit(self, terms: ColdTerms) -> float:
         """Return the requests of one second."""
         return terms.rate * self.overage + self.slack
 
@@ -80,15 +80,15 @@
         """Keep room for a request that is to go to a cold upstream, at a time that is not known yet."""
 
     @abstractmethod
-    def end_hold(self, upstream: UpstreamId, now: float) -> None:
+    def release(self, upstream: UpstreamId, now: float) -> None:
         """Give that room back: the request goes out now, or not at all."""
 
     @abstractmethod
-    def note_sent(self, upstream: UpstreamId, now: float) -> None:
+    def record_sent(self, upstream: UpstreamId, now: float) -> None:
         """Count a request that goes to a cold upstream."""
 
     @abstractmethod
-    def find_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send a request there: 0 where it may, infinite where it can't say."""
 
 
@@ -104,16 +104,16 @@
         """Count the request: it goes out now."""
         if self._held:
             self.drop(now)
-            self.gate.note_sent(self.upstream, now)
+            self.gate.record_sent(self.upstream, now)
 
     def drop(self, now: float) -> None:
         """Give the room back, unless the request went out."""
         if self._held:
             self._held = False
-            self.gate.end_hold(self.upstream, now)
+            self.gate.release(self.upstream, now)
 
 
-class OpenGate(ColdGate):
+class UnlimitedGate(ColdGate):
     """Bounds nothing."""
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
@@ -123,13 +123,13 @@
     def hold(self, upstream: UpstreamId, now: float) -> None:
         """Hold nothing."""
 
-    def end_hold(self, upstream: UpstreamId, now: float) -> None:
+    def release(self, upstream: UpstreamId, now: float) -> None:
         """Hold nothing."""
 
-    def note_sent(self, upstream: UpstreamId, now: float) -> None:
+    def record_sent(self, upstream: UpstreamId, now: float) -> None:
         """Count nothing."""
 
-    def find_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return no time."""
         return 0.0
 
@@ -140,18 +140,18 @@
 
     times: deque[float] = field(default_factory=deque)
     held: int = 0
-    last: float = 0.0
+    used_at: float = 0.0
 
     def count(self, now: float) -> int:
-        while self.times and now - self.times[0] > WINDOW:
+        while self.times and now - self.times[0] > WINDOW_S:
             self.times.popleft()
         return len(self.times) + self.held
 
-    def find_wait(self, most: int, now: float) -> float:
+    def get_wait(self, most: int, now: float) -> float:
         over = self.count(now) - most
         if over < 0:
             return 0.0
-        return self.times[over] + WINDOW - now if over < len(self.times) else HELD_WAIT
+        return self.times[over] + WINDOW_S - now if over < len(self.times) else HELD_RETRY_S
 
 
 class CountingGate(ColdGate):
@@ -160,34 +160,34 @@
     def __init__(self, vms: KnownVms, bound: ColdBound, started: float) -> None:
         self.vms = vms
         self.bound = bound
-        self._opens_at = started + QUIET_TIME
-        self._old_at = started + NEW_TIME
+        self._startup_ends_at = started + STARTUP_DELAY_S
+        self._discovery_ends_at = started + DISCOVERY_S
         self._logs: dict[UpstreamId, _SendLog] = {}
         self._others: Sequence[str] = ()
-        self._seen_at = -math.inf
+        self._refreshed_at = -math.inf
 
     @abstractmethod
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
         """Return how many requests of any second this VM may send to a cold upstream now."""
 
     @abstractmethod
-    def find_opening(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send any where it may not now; infinite where it can't say."""
 
     @abstractmethod
-    def take_view(self) -> None:
+    def on_view_changed(self) -> None:
         """Take in that other VMs are known of than before."""
 
-    def note_look(self) -> None:
+    def on_view_refreshed(self) -> None:
         """Take in that it was looked anew which VMs there are."""
 
-    def is_new(self, now: float) -> bool:
+    def is_discovering(self, now: float) -> bool:
         """Tell whether this VM started so late that it may know few of the others."""
-        return now < self._old_at and self.vms.expects_others()
+        return now < self._discovery_ends_at and self.vms.expects_others()
 
     def is_view_fresh(self, now: float) -> bool:
         """Tell whether it was looked just now which VMs there are."""
-        return now - self._seen_at < VIEW_LIFE
+        return now - self._refreshed_at < VIEW_TTL_S
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
         """Tell whether one more request may go there now."""
@@ -198,30 +198,30 @@
 
     def hold(self, upstream: UpstreamId, now: float) -> None:
         """Keep room for a request."""
-        log = self._find_log(upstream, now)
+        log = self._get_log(upstream, now)
         log.held += 1
 
-    def end_hold(self, upstream: UpstreamId, now: float) -> None:
+    def release(self, upstream: UpstreamId, now: float) -> None:
         """Give room back."""
-        log = self._find_log(upstream, now)
+        log = self._get_log(upstream, now)
         log.held = max(0, log.held - 1)
 
-    def note_sent(self, upstream: UpstreamId, now: float) -> None:
+    def record_sent(self, upstream: UpstreamId, now: float) -> None:
         """Count a request."""
-        self._find_log(upstream, now).times.append(now)
+        self._get_log(upstream, now).times.append(now)
 
-    def find_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return the seconds until there is room."""
         if not self._is_open(now):
-            return self._opens_at - now if now < self._opens_at else math.inf
+            return self._startup_ends_at - now if now < self._startup_ends_at else math.inf
         allowed = self.count_allowed(upstream, terms, now)
         if not allowed:
-            return self.find_opening(upstream, terms, now)
+            return self.get_wait_for_allowance(upstream, terms, now)
         log = self._logs.get(upstream.id)
-        return 0.0 if log is None else log.find_wait(allowed, now)
+        return 0.0 if log is None else log.get_wait(allowed, now)
 
     @property
-    def size(self) -> int:
+    def vm_count(self) -> int:
         """Return how many VMs there are, as far as this one knows."""
         return 1 + len(self._others)
 
@@ -231,25 +231,25 @@
 
     def _is_open(self, now: float) -> bool:
         """Tell whether this VM may send anything: not just behind its start, nor while it hears of no other."""
-        if now < self._opens_at:
+        if now < self._startup_ends_at:
             return False
-        self._look(now)
+        self._refresh_view(now)
         return bool(self._others) or not self.vms.expects_others()
 
-    def _look(self, now: float) -> None:
+    def _refresh_view(self, now: float) -> None:
         if self.is_view_fresh(now):
             return
-        self._seen_at = now
-        self.note_look()
+        self._refreshed_at = now
+        self.on_view_refreshed()
         others = [name for name in self.vms.list_others(now) if name != self.vms.own]
         if set(others) != set(self._others):
             self._others = others
-            self.take_view()
-        self._logs = {name: log for name, log in self._logs.items() if log.held or now - log.last < FORGET_LOG}
+            self.on_view_changed()
+        self._logs = {name: log for name, log in self._logs.items() if log.held or now - log.used_at < LOG_RETENTION_S}
 
-    def _find_log(self, upstream: UpstreamId, now: float) -> _SendLog:
+    def _get_log(self, upstream: UpstreamId, now: float) -> _SendLog:
         log = self._logs.get(upstream)
         if log is None:
             log = self._logs[upstream] = _SendLog()
-        log.last = now
+        log.used_at = now
         return log
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.cold import ColdGate, OpenGate, Permit
-from beamhatch.relay.choosing.rests import Rests
+from beamhatch.relay.choosing.backoffs import Backoffs
+from beamhatch.relay.choosing.cold_gate import ColdGate, Permit, UnlimitedGate
 from beamhatch.relay.fleet.evacuations import Evacuations
 from beamhatch.relay.limits.limits import LimitPermit, Limits
 from beamhatch.relay.places import Places
@@ -27,10 +27,10 @@
 class Obstacle(Enum):
     """Why an upstream may not be sent a request."""
 
-    EMPTIED = "the operators have emptied its hall"
+    EVACUATED = "the operators have emptied its hall"
     LEAVING = "it leaves"
     REGION = "it is in no region that the request may be served in"
-    RESTING = "it has asked for rest"
+    BACKING_OFF = "it has asked for rest"
     LIMITED = "it takes no more now, by the limit that it names"
     COLD = "it is cold, and bears no more now"
 
@@ -64,11 +64,11 @@
     listing: Listing
     places: Places = field(default_factory=Places)
     evacuations: Evacuations = field(default_factory=Evacuations)
-    gate: ColdGate = field(default_factory=OpenGate)
-    rests: Rests = field(default_factory=Rests)
+    gate: ColdGate = field(default_factory=UnlimitedGate)
+    backoffs: Backoffs = field(default_factory=Backoffs)
     limits: Limits = field(default_factory=Limits)
 
-    def find_obstacle(
+    def get_obstacle(
         self, upstream: Upstream, regions: Regions, cold: ColdTerms | None, now: float, *, owed: bool = False
     ) -> Obstacle | None:
         """Return why an upstream may not be sent a request, or None where it may.
@@ -78,39 +78,39 @@
         :param owed: whether its caller was refused before
         """
         if self.evacuations.is_emptied(upstream.hall):
-            return Obstacle.EMPTIED
+            return Obstacle.EVACUATED
         if self.listing.is_leaving(upstream):
             return Obstacle.LEAVING
-        if not self.lies_in(upstream, regions):
+        if not self.is_in_regions(upstream, regions):
             return Obstacle.REGION
-        if not self.rests.may_be_sent(upstream, now):
-            return Obstacle.RESTING
+        if not self.backoffs.may_send_to(upstream, now):
+            return Obstacle.BACKING_OFF
         if not self.limits.may_be_sent(upstream, now, owed=owed):
             return Obstacle.LIMITED
-        return Obstacle.COLD if self.is_shut(upstream, cold, now) else None
+        return Obstacle.COLD if self.is_cold_blocked(upstream, cold, now) else None
 
-    def lies_in(self, upstream: Upstream, regions: Regions) -> bool:
+    def is_in_regions(self, upstream: Upstream, regions: Regions) -> bool:
         """Tell whether an upstream is in one of the regions that a request may be served in."""
         return regions is None or self.places.lies_in(upstream.hall, regions)
 
     def is_cold(self, upstream: Upstream, cold: ColdTerms, now: float) -> bool:
         """Tell whether an upstream is cold, or may be as its hall was taken back a moment ago."""
-        return now < self.find_cold_until(upstream, cold)
+        return now < self.get_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
         return now < max(self.listing.latest_cold, self.evacuations.latest_return + cold.start_time)
 
-    def find_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
+    def get_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
         """Return until when an upstream is taken as cold, in monotonic seconds."""
         returned = self.evacuations.find_return(upstream.hall)
         return max(self.listing.find_cold_until(upstream.id), returned + cold.start_time)
 
-    def find_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
+    def get_cold_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send to a cold upstream, at the latest when that is warm."""
-        warm_in = max(0.0, self.find_cold_until(upstream, cold) - now)
-        return min(warm_in, self.gate.find_wait(upstream, cold, now))
+        warm_in = max(0.0, self.get_cold_until(upstream, cold) - now)
+        return min(warm_in, self.gate.get_wait(upstream, cold, now))
 
-    def take_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
+    def acquire_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
         """Hold room for a request that is to go to an upstream; None where that is warm, and names no limit."""
         limited = self.limits.hold(upstream.life, now)
         if cold is None or not self.is_cold(upstream, cold, now):
@@ -118,15 +118,15 @@
         self.gate.hold(upstream.id, now)
         return SendPermit(Permit(self.gate, upstream.id), limited)
 
-    def is_shut(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> bool:
+    def is_cold_blocked(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> bool:
         """Tell whether a cold upstream bears no more from this VM now."""
         return cold is not None and self.is_cold(upstream, cold, now) and not self.gate.may_send(upstream, cold, now)
 
-    def note_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
+    def record_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
         """Count a request that goes to an upstream without a permit."""
         self.limits.spend(upstream.life, now)
         if cold is not None and self.is_cold(upstream, cold, now):
-            self.gate.note_sent(upstream.id, now)
+            self.gate.record_sent(upstream.id, now)
 
     def list_eligible(
         self,
@@ -140,11 +140,11 @@
         """Return those of some upstreams that a request may go to."""
         if cold is not None and not self._may_any_be_cold(cold, now):
             cold = None  # 1,000 warm upstreams are looked through in a third of the time
-        return [one for one in upstreams if self.find_obstacle(one, regions, cold, now, owed=owed) is None]
+        return [one for one in upstreams if self.get_obstacle(one, regions, cold, now, owed=owed) is None]
 
     def count_obstacles(
         self, upstreams: Iterable[Upstream], regions: Regions, cold: ColdTerms | None, now: float
     ) -> Counter[Obstacle]:
         """Return how many of some upstreams each obstacle keeps a request from, for who asks why it was refused."""
-        found = (self.find_obstacle(one, regions, cold, now) for one in upstreams)
+        found = (self.get_obstacle(one, regions, cold, now) for one in upstreams)
         return Counter(obstacle for obstacle in found if obstacle is not None)
--- a/src/beamhatch/relay/choosing/peer_work.py
+++ b/src/beamhatch/relay/choosing/peer_backlog.py
@@ -15,7 +15,7 @@
     from beamhatch.relay.model import UpstreamId
 
 
-class PeerWork(PeerWords[Mapping[str, int]]):
+class PeerBacklog(PeerWords[Mapping[str, int]]):
     """The tokens that are to be read for each VM, by engine."""
 
     __slots__ = ()
--- a/src/beamhatch/relay/choosing/pace.py
+++ b/src/beamhatch/relay/choosing/prefill_model.py
@@ -18,65 +18,65 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-PRIOR_RATE = 30_000.0
+DEFAULT_TOKENS_PER_S = 30_000.0
 """Prompt tokens a second before any reading was seen.
 
 Between the readers of the deployments that were measured (33,000 and 56,000) and half of them, and soon replaced.
 """
 
-PRIOR_OVERHEAD = 0.05
+DEFAULT_OVERHEAD_S = 0.05
 """Seconds of a call beside the reading, before any was seen: some round trips and the engine's own."""
 
-WHOLE_SHARE = 0.375
+DECODE_RATE_FACTOR = 0.375
 """Pace of a decode engine that reads a prompt itself, as a share of a prefill engine's, before any was seen.
 
 By the platform's pages it reads at half the pace, in pieces between the steps of its streams, which take a part too.
 """
 
-MOST_SAMPLES = 24
+MAX_SAMPLES = 24
 """Readings that a line is drawn through: some seconds of traffic."""
 
-MOST_UNTOLD = 8
+MAX_UNSENT = 8
 """Readings that are kept to be told to peers: more than a VM sees between two beats, but for bursts."""
 
-FEWEST_SAMPLES = 8
+MIN_SAMPLES = 8
 """Readings below which the prior is believed: lines through 8 were mostly within 0.15 of those through 24 (trials)."""
 
-FIT_EVERY = 4
+FIT_INTERVAL_SAMPLES = 4
 """Readings between two fits; a fit takes 0.1 ms."""
 
-ROUNDS = 4
+FIT_ITERATIONS = 4
 """Times that a line is drawn anew through the readings that are nearest to it; the last ones change little."""
 
-UNDISTURBED = 0.25
+FIT_QUANTILE = 0.25
 """Quantile of the readings by which the line goes: the slower ones had work ahead that nobody told of."""
 
-LEAST_SPREAD = 200.0
+MIN_TOKENS_STDEV = 200.0
 """Standard deviation of the prompts' tokens below which they say nothing of the seconds of a token."""
 
-SLOWEST_RATE = 2_000.0
+MIN_TOKENS_PER_S = 2_000.0
 """Prompt tokens a second: the lower bound on what is learned."""
 
-FASTEST_RATE = 1_000_000.0
+MAX_TOKENS_PER_S = 1_000_000.0
 """The upper bound; both are far outside of what engines do."""
 
 
-class Reading(msgspec.Struct, array_like=True, frozen=True):
+class PrefillSample(msgspec.Struct, array_like=True, frozen=True):
     """A prompt that an engine read for some VM, as VMs tell each other."""
 
     service: str
-    whole: bool
+    at_decode: bool
     """True where a decode engine read it between the steps of its streams."""
     tokens: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class PrefillModel:
     """A line: seconds of a call, and tokens a second."""
 
-    overhead: float = PRIOR_OVERHEAD
-    rate: float = PRIOR_RATE
+    overhead: float = DEFAULT_OVERHEAD_S
+    rate: float = DEFAULT_TOKENS_PER_S
 
     def predict(self, tokens: float) -> float:
         """Return the seconds until a prompt is read, by its own tokens and those ahead of it."""
@@ -84,115 +84,115 @@
 
 
 @dataclass(slots=True)
-class ReadingPace:
+class PrefillEstimator:
     """What the readings of late show."""
 
-    pace: Pace = Pace()
-    learned: bool = False
+    model: PrefillModel = PrefillModel()
+    fitted: bool = False
     """True once the pace is what this VM found, from readings."""
-    learns: bool = True
-    _samples: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MOST_SAMPLES))
-    _untold: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=MOST_UNTOLD))
+    enabled: bool = True
+    _samples: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _unsent: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=MAX_UNSENT))
     """Own readings that peers were not told yet."""
     _unfitted: int = 0
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def record_own(self, tokens: int, seconds: float) -> None:
         """Take in the reading of a prompt that, as far as was known, had no other one ahead of it."""
-        self._untold.append((tokens, seconds))
-        self.note_told(tokens, seconds)
+        self._unsent.append((tokens, seconds))
+        self.record(tokens, seconds)
 
-    def note_told(self, tokens: int, seconds: float) -> None:
+    def record(self, tokens: int, seconds: float) -> None:
         """Take in such a reading, of this VM's or another one's.
 
         A VM of a large fleet has a prompt read every few seconds. By own readings alone, 195 VMs went by the prior,
         half of the true rate, for 12 s.
         """
-        if not self.learns:
+        if not self.enabled:
             return
         self._samples.append((float(tokens), seconds))
         self._unfitted += 1
-        if len(self._samples) >= FEWEST_SAMPLES and (not self.learned or self._unfitted >= FIT_EVERY):
+        if len(self._samples) >= MIN_SAMPLES and (not self.fitted or self._unfitted >= FIT_INTERVAL_SAMPLES):
             self._unfitted = 0
-            self.pace = fit_pace(list(self._samples))
-            self.learned = True
+            self.model = fit_model(list(self._samples))
+            self.fitted = True
 
-    def take_untold(self) -> list[tuple[int, float]]:
+    def pop_unsent(self) -> list[tuple[int, float]]:
         """Return the own readings, tokens and seconds, that peers were not told yet; they are taken as told now."""
-        untold = list(self._untold)
-        self._untold.clear()
+        untold = list(self._unsent)
+        self._unsent.clear()
         return untold
 
-    def take(self, pace: Pace) -> None:
+    def adopt(self, pace: PrefillModel) -> None:
         """Take over what another VM has found, where this one knows nothing yet."""
-        if self.learns and not self.learned:
-            self.pace = pace
+        if self.enabled and not self.fitted:
+            self.model = pace
 
 
-def fit_pace(samples: Sequence[tuple[float, float]]) -> Pace:
+def fit_model(samples: Sequence[tuple[float, float]]) -> PrefillModel:
     """Return the line through the undisturbed half of some readings: least trimmed squares.
 
     :param samples: tokens and seconds of each
     """
-    per_token = _find_quantile([(seconds - PRIOR_OVERHEAD) / tokens for tokens, seconds in samples if tokens])
-    line = _make_pace(PRIOR_OVERHEAD, per_token)
-    for _ in range(ROUNDS):
+    per_token = _get_quantile([(seconds - DEFAULT_OVERHEAD_S) / tokens for tokens, seconds in samples if tokens])
+    line = _make_model(DEFAULT_OVERHEAD_S, per_token)
+    for _ in range(FIT_ITERATIONS):
         residuals = [seconds - line.predict(tokens) for tokens, seconds in samples]
-        level = _find_quantile(residuals)
+        level = _get_quantile(residuals)
         ranked = sorted(zip(residuals, samples, strict=True), key=lambda pair: abs(pair[0] - level))
-        kept = [sample for _, sample in ranked[: max(FEWEST_SAMPLES // 2, len(ranked) // 2)]]
-        if pstdev(tokens for tokens, _ in kept) < LEAST_SPREAD:
+        kept = [sample for _, sample in ranked[: max(MIN_SAMPLES // 2, len(ranked) // 2)]]
+        if pstdev(tokens for tokens, _ in kept) < MIN_TOKENS_STDEV:
             break
         fitted = linear_regression([tokens for tokens, _ in kept], [seconds for _, seconds in kept])
         if fitted.slope <= 0:
             break
-        line = _make_pace(fitted.intercept, fitted.slope)
+        line = _make_model(fitted.intercept, fitted.slope)
     return line
 
 
-def _find_quantile(values: list[float]) -> float:
-    return sorted(values)[int(UNDISTURBED * len(values))]
+def _get_quantile(values: list[float]) -> float:
+    return sorted(values)[int(FIT_QUANTILE * len(values))]
 
 
-def _make_pace(overhead: float, per_token: float) -> Pace:
-    return Pace(max(0.0, overhead), 1 / min(max(per_token, 1 / FASTEST_RATE), 1 / SLOWEST_RATE))
+def _make_model(overhead: float, per_token: float) -> PrefillModel:
+    return PrefillModel(max(0.0, overhead), 1 / min(max(per_token, 1 / MAX_TOKENS_PER_S), 1 / MIN_TOKENS_PER_S))
 
 
 @dataclass(slots=True)
-class EnginePaces:
+class PrefillEstimators:
     """The paces of all services."""
 
-    learns: bool = True
+    enabled: bool = True
     """False where the prior holds whatever is seen."""
-    _readings: dict[ServiceName, ReadingPace] = field(default_factory=dict)
-    _whole: dict[ServiceName, ReadingPace] = field(default_factory=dict)
+    _prefill: dict[ServiceName, PrefillEstimator] = field(default_factory=dict)
+    _decode: dict[ServiceName, PrefillEstimator] = field(default_factory=dict)
 
-    def get_reading(self, service: ServiceName) -> ReadingPace:
+    def get_prefill(self, service: ServiceName) -> PrefillEstimator:
         """Return how fast the prefill engines of a service read."""
-        reading = self._readings.get(service)
+        reading = self._prefill.get(service)
         if reading is None:
-            reading = self._readings[service] = ReadingPace(learns=self.learns)
+            reading = self._prefill[service] = PrefillEstimator(enabled=self.enabled)
         return reading
 
-    def note_told(self, reading: Reading) -> None:
+    def record(self, reading: PrefillSample) -> None:
         """Take in a peer's reading."""
         service = ServiceName(reading.service)
-        pace = self.get_whole(service) if reading.whole else self.get_reading(service)
-        pace.note_told(reading.tokens, reading.seconds)
+        pace = self.get_decode(service) if reading.at_decode else self.get_prefill(service)
+        pace.record(reading.tokens, reading.seconds)
 
-    def take_untold(self) -> list[Reading]:
+    def pop_unsent(self) -> list[PrefillSample]:
         """Return this VM's readings that peers were not told yet; they are taken as told now."""
         readings = []
-        for whole, paces in ((False, self._readings), (True, self._whole)):
+        for whole, paces in ((False, self._prefill), (True, self._decode)):
             for service, pace in paces.items():
-                readings += [Reading(service, whole, *one) for one in pace.take_untold()]
+                readings += [PrefillSample(service, whole, *one) for one in pace.pop_unsent()]
         return readings
 
-    def get_whole(self, service: ServiceName) -> ReadingPace:
+    def get_decode(self, service: ServiceName) -> PrefillEstimator:
         """Return how fast the decode engines of a service read, between the steps of their streams."""
-        whole = self._whole.get(service)
+        whole = self._decode.get(service)
         if whole is None:
-            whole = self._whole[service] = ReadingPace(learns=self.learns)
-        if not whole.learned:
-            reading = self.get_reading(service).pace
-            whole.pace = Pace(reading.overhead, WHOLE_SHARE * reading.rate)
+            whole = self._decode[service] = PrefillEstimator(enabled=self.enabled)
+        if not whole.fitted:
+            reading = self.get_prefill(service).model
+            whole.model = PrefillModel(reading.overhead, DECODE_RATE_FACTOR * reading.rate)
         return whole
--- a/src/beamhatch/relay/choosing/turns.py
+++ b/src/beamhatch/relay/choosing/round_robin_gate.py
@@ -8,26 +8,26 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.cold import CountingGate
+from beamhatch.relay.choosing.cold_gate import CountingGate
 from beamhatch.relay.model import hash_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from beamhatch.relay.choosing.cold import ColdBound, KnownVms
+    from beamhatch.relay.choosing.cold_gate import ColdBound, KnownVms
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
-TURN = 0.5
+TURN_S = 0.5
 """Seconds of a turn: a VM of many has a request in it now and then."""
 
-LATEST_NEWS = 1.0
+MAX_COUNTDOWN_SKEW_S = 1.0
 """Seconds by which VMs' countdowns differ at the most."""
 
-SHORTEST_ROUND = 1.0 + LATEST_NEWS + TURN
+MIN_ROUND_S = 1.0 + MAX_COUNTDOWN_SKEW_S + TURN_S
 """Seconds of countdowns whose turns may fall into one second."""
 
 
-class TurnGate(CountingGate):
+class RoundRobinGate(CountingGate):
     """Lets each VM send one request in its turn."""
 
     def __init__(
@@ -37,32 +37,32 @@
         self._find_cold_until = find_cold_until
         self._ranks: dict[UpstreamId, int] = {}
 
-    def take_view(self) -> None:
+    def on_view_changed(self) -> None:
         """Work the order out anew."""
         self._ranks.clear()
 
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
         """Return this VM's part in its turn: 1, or more where all VMs may have theirs in one second."""
-        if self._find_until_turn(upstream.id, terms, now) > 0:
+        if self._get_wait_for_turn(upstream.id, terms, now) > 0:
             return 0
-        return max(1, int(self.bound.count(terms) / self.size))
+        return max(1, int(self.bound.compute_limit(terms) / self.vm_count))
 
-    def find_opening(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return the seconds until this VM's next turn."""
-        return max(0.0, self._find_until_turn(upstream.id, terms, now))
+        return max(0.0, self._get_wait_for_turn(upstream.id, terms, now))
 
-    def _find_until_turn(self, upstream: UpstreamId, terms: ColdTerms, now: float) -> float:
+    def _get_wait_for_turn(self, upstream: UpstreamId, terms: ColdTerms, now: float) -> float:
         """Return the seconds until this VM's turn begins; not above 0 during it."""
-        most = self.bound.count(terms)
+        most = self.bound.compute_limit(terms)
         if most < 1 + 1e-9:
             return self._find_cold_until(upstream) - now
-        rate = (most - 1) / SHORTEST_ROUND
-        period = max(self.size / rate, SHORTEST_ROUND)
+        rate = (most - 1) / MIN_ROUND_S
+        period = max(self.vm_count / rate, MIN_ROUND_S)
         left = self._find_cold_until(upstream) - now
-        until = (left - self._find_rank(upstream) / rate) % period
-        return until - period if until > period - TURN else until
+        until = (left - self._get_rank(upstream) / rate) % period
+        return until - period if until > period - TURN_S else until
 
-    def _find_rank(self, upstream: UpstreamId) -> int:
+    def _get_rank(self, upstream: UpstreamId) -> int:
         rank = self._ranks.get(upstream)
         if rank is None:
             own = hash_fraction(f"{upstream}/{self.vms.own}")
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/shortage.py
@@ -17,34 +17,34 @@
     from beamhatch.relay.choosing.eligibility import Eligibility
     from beamhatch.relay.model import ColdTerms, Regions, Upstream
 
-EMPTIED_WAIT = 2.0
+EVACUATED_RETRY_S = 2.0
 """Seconds after which a caller may come back where all halls are emptied: an operator has to act first."""
 
-LEAVING_WAIT = 1.0
+LEAVING_RETRY_S = 1.0
 """Seconds after which a caller may come back where all upstreams leave: others mostly start before the first leaves,
 and an upstream that is replaced is back within 2 s."""
 
-TRIAL_WAIT = 0.1
+PROBE_RETRY_S = 0.1
 """Seconds after which a caller may come back where rests are over and the first requests behind them are under way."""
 
-LEAST_WINDOW = 0.5
+MIN_RETRY_WINDOW_S = 0.5
 """Seconds over which callers come back at the least: five round trips, in which an upstream is trusted again."""
 
 
 @dataclass(frozen=True, slots=True)
-class Lack:
+class Shortage:
     """Why nothing may be sent to any upstream."""
 
     obstacle: Obstacle
     wait: float
     """Seconds until this may be over."""
-    pace: float = 0.0
+    rate: float = 0.0
     """Requests a second that all VMs may send behind that, where the upstreams' limits are the obstacle."""
 
 
-def find_lack(
+def detect_shortage(
     eligibility: Eligibility, answering: Sequence[Upstream], regions: Regions, cold: ColdTerms | None, now: float
-) -> Lack | None:
+) -> Shortage | None:
     """Return what keeps a request from all of some upstreams, None where nothing does.
 
     What ends by itself is told, a rest or a limit, whichever ends first. Cold ones bear more in a moment: they are no
@@ -54,34 +54,36 @@
     if not found or found.total() < len(answering) or Obstacle.COLD in found:
         return None
     passing = [
-        lack for lack in (_find_rest(eligibility, answering, now), _find_limit(eligibility, answering, now)) if lack
+        lack
+        for lack in (_detect_backoff(eligibility, answering, now), _detect_limit(eligibility, answering, now))
+        if lack
     ]
     if passing:
         return min(passing, key=lambda lack: lack.wait)
     obstacle = found.most_common(1)[0][0]
-    return Lack(obstacle, EMPTIED_WAIT if obstacle is Obstacle.EMPTIED else LEAVING_WAIT)
+    return Shortage(obstacle, EVACUATED_RETRY_S if obstacle is Obstacle.EVACUATED else LEAVING_RETRY_S)
 
 
-def _find_rest(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Lack | None:
+def _detect_backoff(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
     """Return when the first of some upstreams that rest may be sent something, None where none rests."""
-    resting = [one.life for one in answering if not eligibility.rests.may_be_sent(one, now)]
+    resting = [one.life for one in answering if not eligibility.backoffs.may_send_to(one, now)]
     if not resting:
         return None
-    waits = [end - now for end in (eligibility.rests.find_end(life, now) for life in resting) if end is not None]
+    waits = [end - now for end in (eligibility.backoffs.get_end(life, now) for life in resting) if end is not None]
     trying = len(resting) > len(waits)
-    return Lack(Obstacle.RESTING, TRIAL_WAIT if trying else min(waits))
+    return Shortage(Obstacle.BACKING_OFF, PROBE_RETRY_S if trying else min(waits))
 
 
-def _find_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Lack | None:
+def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
     """Return when the first of some upstreams has room that nothing but its limit keeps shut, None where none is."""
     limits = eligibility.limits
-    lives = [one.life for one in answering if eligibility.find_obstacle(one, None, None, now) is Obstacle.LIMITED]
+    lives = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
     if not lives:
         return None
-    return Lack(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in lives), limits.find_pace(lives))
+    return Shortage(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in lives), limits.find_pace(lives))
 
 
-def spread_return(wait: float, draw: float, *, owed: bool) -> float:
+def spread_retry(wait: float, draw: float, *, owed: bool) -> float:
     """Return the seconds after which one of many callers is to come back that were all told to wait.
 
     Told the same moment, all that were refused in a rest would come in that moment; so they are spread over as long as
@@ -90,5 +92,5 @@
     :param draw: from 0 up to 1, drawn anew for each caller
     :param owed: whether the caller was refused before
     """
-    half = max(wait, LEAST_WINDOW) / 2
+    half = max(wait, MIN_RETRY_WINDOW_S) / 2
     return wait + half * draw + (0.0 if owed else half)
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -9,10 +9,10 @@
 from beamhatch.relay.model import Phase, Upstream, UpstreamId
 from beamhatch.relay.places import Distance, RegionName
 
-VAIN_COST = 0.1
+FAILED_ROUND_COST_S = 0.1
 """Seconds that it costs to find that no engine asked has memory: some polls of the line."""
 
-DOUBT = 2.0
+REFUSAL_PRIOR = 2.0
 """Engines that are thought to have had memory before any was asked: two refusals make the next one as likely as not."""
 
 IsNear = Callable[[str], bool]
@@ -28,7 +28,9 @@
     CHEAPER = "it is done sooner there, by load and distance"
 
 
-def find_reason(usable: Sequence[Upstream], phase: Phase, refused: Collection[UpstreamId], near: IsNear) -> SpillReason:
+def get_spill_reason(
+    usable: Sequence[Upstream], phase: Phase, refused: Collection[UpstreamId], near: IsNear
+) -> SpillReason:
     """Return why an engine of another region was chosen.
 
     :param usable: the engines that the choice was among
@@ -40,34 +42,34 @@
     return SpillReason.TURNED_AWAY if any(one.id in refused for one in own) else SpillReason.CHEAPER
 
 
-CountLoad = Callable[[Upstream], float]
+EstimateLoad = Callable[[Upstream], float]
 """Returns the share of an engine's places that are known to be taken; 1 where it has just refused."""
 
 
-class Spill(ABC):
+class SpillPolicy(ABC):
     """Decides among engines that are drawn, by where they are and by who refused."""
 
     @abstractmethod
-    def narrow(
-        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: CountLoad
+    def filter(
+        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return the engines among which the cost decides."""
 
     @abstractmethod
-    def count_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
+    def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
         """Return the seconds that an engine of a region costs more, as others there have refused this request."""
 
 
-class PredictedSpill(Spill):
+class CostSpillPolicy(SpillPolicy):
     """All compete by predicted time: load, distance, and the chance that a region which refused is full."""
 
-    def narrow(
-        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: CountLoad
+    def filter(
+        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return all."""
         return drawn
 
-    def count_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
+    def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
         """Return the chance that the region's next engine refuses as well, times what asking in vain costs."""
         refused = refusals.get(region, 0)
-        return VAIN_COST * refused / (refused + DOUBT)
+        return FAILED_ROUND_COST_S * refused / (refused + REFUSAL_PRIOR)
--- a/src/beamhatch/relay/choosing/sponsors.py
+++ b/src/beamhatch/relay/choosing/sponsor_gate.py
@@ -12,22 +12,22 @@
 from bisect import bisect_left
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.cold import CountingGate
+from beamhatch.relay.choosing.cold_gate import CountingGate
 from beamhatch.relay.model import hash_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from beamhatch.relay.choosing.cold import ColdBound, KnownVms
+    from beamhatch.relay.choosing.cold_gate import ColdBound, KnownVms
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
-VIEWS = 2
+MAX_DISJOINT_VIEWS = 2
 """Views without a VM in common that together stay below what an upstream bears."""
 
-TERM = 10.0
+TERM_S = 10.0
 """Seconds for which the same VMs send to an upstream that stays cold for long; then it is the turn of others."""
 
-TERM_GAP = 2.0
+TERM_GAP_S = 2.0
 """Seconds between two terms: how late it is known that an upstream is cold, and the second that the bound is of."""
 
 
@@ -42,52 +42,52 @@
         self._own = hash_fraction(vms.own)
         self._ring = [self._own]
         """The hashes of all VMs, in order."""
-        self._shut: set[UpstreamId] = set()
+        self._not_sponsored: set[UpstreamId] = set()
         """Upstreams that this VM was found to have no part in, since it looked which VMs there are.
 
         With 1,000 cold upstreams of a fleet of 300 it saves two thirds of the time of a choice.
         """
 
-    def take_view(self) -> None:
+    def on_view_changed(self) -> None:
         """Take in which VMs there are."""
         self._ring = sorted([self._own, *map(hash_fraction, self.list_others())])
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
         """Tell whether one more request may go there now."""
-        if self.is_view_fresh(now) and upstream.id in self._shut:
+        if self.is_view_fresh(now) and upstream.id in self._not_sponsored:
             return False
         return super().may_send(upstream, terms, now)
 
-    def note_look(self) -> None:
+    def on_view_refreshed(self) -> None:
         """Look anew at each upstream."""
-        self._shut.clear()
+        self._not_sponsored.clear()
 
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
         """Return this VM's part of any second, 0 where others send."""
-        part = int(self.bound.count(terms) / VIEWS)
-        sponsors = min(part, self.size)
+        part = int(self.bound.compute_limit(terms) / MAX_DISJOINT_VIEWS)
+        sponsors = min(part, self.vm_count)
         if not sponsors:
             return 0
-        term = self._find_term(upstream, terms, now)
+        term = self._get_term(upstream, terms, now)
         if term is None:
             return 0
         if not self._is_sponsor(upstream.id, term, sponsors):
-            self._shut.add(upstream.id)
+            self._not_sponsored.add(upstream.id)
             return 0
-        self._shut.discard(upstream.id)  # its turn came since the last look
-        return 1 if self.is_new(now) else part // sponsors
+        self._not_sponsored.discard(upstream.id)  # its turn came since the last look
+        return 1 if self.is_discovering(now) else part // sponsors
 
-    def find_opening(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return no time: it is the turn of other VMs, and callers that come back reach one of them."""
         return math.inf
 
-    def _find_term(self, upstream: Upstream, terms: ColdTerms, now: float) -> int | None:
+    def _get_term(self, upstream: Upstream, terms: ColdTerms, now: float) -> int | None:
         """Return the number of the term, counted from the end of the cold time, or None between two of them."""
         left = max(0.0, self._find_cold_until(upstream.id) - now)
-        term = int(left // TERM)
-        end = (term + 1) * TERM
+        term = int(left // TERM_S)
+        end = (term + 1) * TERM_S
         had_one_before = max(terms.start_time, upstream.cold_left) > end
-        return None if had_one_before and left > end - TERM_GAP else term
+        return None if had_one_before and left > end - TERM_GAP_S else term
 
     def _is_sponsor(self, upstream: UpstreamId, term: int, sponsors: int) -> bool:
         """Tell whether this VM is among the next some behind an upstream, the first being next to the last."""
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -9,13 +9,13 @@
 
 from beamhatch.relay.api import BadRequest
 from beamhatch.relay.callers.own_answer import send_error
-from beamhatch.relay.choosing.cold_watch import ColdWatch
+from beamhatch.relay.choosing.cold_transitions import ColdTransitions
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
-from beamhatch.relay.choosing.lack import Lack, find_lack
-from beamhatch.relay.choosing.pace import EnginePaces, Pace
-from beamhatch.relay.choosing.peer_work import PeerWork
-from beamhatch.relay.choosing.read_times import ReadTimes
-from beamhatch.relay.choosing.standing import Standings
+from beamhatch.relay.choosing.peer_backlog import PeerBacklog
+from beamhatch.relay.choosing.prefill_model import PrefillEstimators, PrefillModel
+from beamhatch.relay.choosing.prefill_times import PrefillTimes
+from beamhatch.relay.choosing.shortage import Shortage, detect_shortage
+from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
 from beamhatch.relay.engines.changing import ChangeNews, Changes
 from beamhatch.relay.engines.demand import Demand
 from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuations
@@ -128,7 +128,7 @@
     dialect: Dialect
     client: HttpClient
     chooser: Chooser
-    standings: Standings
+    standings: UpstreamStatsRegistry
     terms: Terms
     admission: Admission = field(default_factory=Admission)
     without: Without = ALL_IN
@@ -138,8 +138,8 @@
     changes: Changes = field(default_factory=Changes)
     quarantine: Quarantine = field(default_factory=Quarantine)
     quarantine_talk: QuarantineTalk = field(init=False)
-    paces: EnginePaces = field(default_factory=EnginePaces)
-    work: PeerWork = field(default_factory=PeerWork)
+    paces: PrefillEstimators = field(default_factory=PrefillEstimators)
+    work: PeerBacklog = field(default_factory=PeerBacklog)
     document: Document | None = None
     started: float = 0.0
     """When the VM started, in monotonic seconds."""
@@ -163,9 +163,9 @@
     lines: MemoryLines = field(init=False)
     _demands: defaultdict[ServiceName, Demand] = field(default_factory=lambda: defaultdict(Demand))
     _lengths: defaultdict[ServiceName, AnswerLengths] = field(default_factory=lambda: defaultdict(AnswerLengths))
-    _read_times: defaultdict[ServiceName, ReadTimes] = field(default_factory=lambda: defaultdict(ReadTimes))
+    _read_times: defaultdict[ServiceName, PrefillTimes] = field(default_factory=lambda: defaultdict(PrefillTimes))
     _returns: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
-    cold_watch: ColdWatch = field(default_factory=ColdWatch)
+    cold_watch: ColdTransitions = field(default_factory=ColdTransitions)
     _cold_look: Any = None
     """The next look for upstreams that are warm again."""
     _patience: dict[str, float] = field(default_factory=dict)
@@ -181,11 +181,11 @@
             self.listing,
             self.places,
             Evacuations(self.places),
-            rests=self.announcements.rests,
+            backoffs=self.announcements.rests,
             limits=self.announcements.limits,
         )
         self.announcements.limits.count_vms = lambda: self.vms
-        self.chooser.find_cold_cost = self.find_cold_cost
+        self.chooser.compute_cold_cost = self.find_cold_cost
         self.lines = MemoryLines(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
         self.quarantine_talk = QuarantineTalk(
             TalkNeeds(self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits)
@@ -273,7 +273,7 @@
     def _note_restart(self, upstream: Upstream, before: Upstream) -> None:
         """Forget what was believed of an upstream that has started again under its id."""
         self.journal.write("LISTING", "started again", upstream=upstream.id, born=upstream.born, before=before.born)
-        self.standings.get(upstream.id).begin_life()
+        self.standings.get(upstream.id).reset()
         self.changes.end(upstream.id, None)
 
     def is_over(self, upstream: Upstream) -> bool:
@@ -298,7 +298,7 @@
 
     def _note_cold(self, entries: Sequence[Entry], source: str) -> None:
         """Write one line on the upstreams that turned cold, and look in a while which of them are warm."""
-        turned = self.cold_watch.take([entry.id for entry in entries])
+        turned = self.cold_watch.record_cold([entry.id for entry in entries])
         if turned:
             self.journal.write("COLD", "cold", count=len(turned), upstreams=turned[:MOST_NAMED], source=source)
             self._look_soon()
@@ -309,7 +309,7 @@
 
     def _look_for_warm(self) -> None:
         self._cold_look = None
-        warm = self.cold_watch.end(self.listing.find_cold_until, self.clock.now())
+        warm = self.cold_watch.pop_warm(self.listing.find_cold_until, self.clock.now())
         if warm:
             self.journal.write("COLD", "warm", count=len(warm), upstreams=warm[:MOST_NAMED])
         self._look_soon()
@@ -325,10 +325,10 @@
         if terms is None:
             return None
         now = self.clock.now()
-        find_obstacle = self.eligibility.find_obstacle
+        find_obstacle = self.eligibility.get_obstacle
         left = (one for one in self._list_staying(service, now) if one.id not in tried)
         shut = (one for one in left if find_obstacle(one, regions, terms, now) is Obstacle.COLD)
-        return min((self.eligibility.find_wait(one, terms, now) for one in shut), default=None)
+        return min((self.eligibility.get_cold_wait(one, terms, now) for one in shut), default=None)
 
     def find_cold_cost(self, upstream: Upstream, now: float) -> float:
         """Return the seconds that a cold upstream costs more: the time in which it bears one more request."""
@@ -350,9 +350,9 @@
 
     def find_obstacle(self, upstream: Upstream, service: ServiceName, regions: Regions = None) -> Obstacle | None:
         """Return why an upstream may not be sent a request of a service, or None where it may."""
-        return self.eligibility.find_obstacle(upstream, regions, self.find_cold_terms(service), self.clock.now())
+        return self.eligibility.get_obstacle(upstream, regions, self.find_cold_terms(service), self.clock.now())
 
-    def find_lack(self, service: ServiceName, regions: Regions = None) -> Lack | None:
+    def find_lack(self, service: ServiceName, regions: Regions = None) -> Shortage | None:
         """Return what keeps a request from all upstreams that could answer it, None where nothing does.
 
         Prefill engines don't count: without a decode engine nothing is answered, and it can do without them. Upstreams
@@ -360,13 +360,15 @@
         """
         now = self.clock.now()
         listed = [*self._list_staying(service, now), *self.listing.list_leaving(service)]
-        answering = [one for one in listed if one.phase is not Phase.PREFILL and self.eligibility.lies_in(one, regions)]
-        return find_lack(self.eligibility, answering, regions, self.find_cold_terms(service), now)
+        answering = [
+            one for one in listed if one.phase is not Phase.PREFILL and self.eligibility.is_in_regions(one, regions)
+        ]
+        return detect_shortage(self.eligibility, answering, regions, self.find_cold_terms(service), now)
 
-    def promise_turn(self, service: ServiceName, lack: Lack) -> float:
+    def promise_turn(self, service: ServiceName, lack: Shortage) -> float:
         """Return the seconds after which a caller is to come back that limits of all upstreams keep from a service."""
         now = self.clock.now()
-        back = self._returns[service].promise(lack.wait, lack.pace / self.vms, now)
+        back = self._returns[service].promise(lack.wait, lack.rate / self.vms, now)
         lives = [one.life for one in self.listing.list_usable(service, now)]
         self.announcements.limits.note_refused(lives, now + back)
         return back
@@ -460,7 +462,7 @@
         """Return what this VM's streams ask of a service."""
         return self._demands[service]
 
-    def find_read_times(self, service: ServiceName) -> ReadTimes:
+    def find_read_times(self, service: ServiceName) -> PrefillTimes:
         """Return how long the prompts of a service took of late."""
         return self._read_times[service]
 
@@ -477,24 +479,24 @@
         """Return what this VM's streams ask of a service, as other VMs are told."""
         now = self.clock.now()
         demand = self.find_demand(service)
-        reading = self.paces.get_reading(service)
-        whole = self.paces.get_whole(service)
+        reading = self.paces.get_prefill(service)
+        whole = self.paces.get_decode(service)
         return DemandReport(
             prompt_rate=round(demand.count_prompt_rate(now)),
             wait_rate=round(demand.count_wait_rate(now), 2),
             prompt=round(demand.prompt),
             answer=round(demand.answer),
             residence=round(demand.find_residence(now), 2),
-            read_rate=round(reading.pace.rate) if reading.learned else 0.0,
-            read_overhead=round(reading.pace.overhead, 3),
-            whole_rate=round(whole.pace.rate) if whole.learned else 0.0,
+            read_rate=round(reading.model.rate) if reading.fitted else 0.0,
+            read_overhead=round(reading.model.overhead, 3),
+            whole_rate=round(whole.model.rate) if whole.fitted else 0.0,
         )
 
     def take_paces(self, reports: Mapping[str, DemandReport]) -> None:
         """Take over what another VM has found of the engines, where this one knows nothing yet."""
         for service, report in reports.items():
             if report.read_rate:
-                self.paces.get_reading(ServiceName(service)).take(Pace(report.read_overhead, report.read_rate))
+                self.paces.get_prefill(ServiceName(service)).adopt(PrefillModel(report.read_overhead, report.read_rate))
 
     def report_demands(self) -> dict[str, DemandReport]:
         """Return what this VM's streams ask of each service with engines."""
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -8,13 +8,13 @@
 
 from beamhatch.relay.callers.http_server import CallerServer
 from beamhatch.relay.callers.own_answer import send_error
-from beamhatch.relay.choosing.chooser import LeastCost
-from beamhatch.relay.choosing.cold import ColdBound, CountingGate, KnownVms
-from beamhatch.relay.choosing.pace import EnginePaces
-from beamhatch.relay.choosing.peer_work import PeerWork
-from beamhatch.relay.choosing.sponsors import SponsorGate
-from beamhatch.relay.choosing.standing import Standings
-from beamhatch.relay.choosing.turns import TurnGate
+from beamhatch.relay.choosing.chooser import LeastCostChooser
+from beamhatch.relay.choosing.cold_gate import ColdBound, CountingGate, KnownVms
+from beamhatch.relay.choosing.peer_backlog import PeerBacklog
+from beamhatch.relay.choosing.prefill_model import PrefillEstimators
+from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
+from beamhatch.relay.choosing.sponsor_gate import SponsorGate
+from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
 from beamhatch.relay.core import Core, Terms
 from beamhatch.relay.engines.leadership import Leadership
 from beamhatch.relay.engines.ordering import Ordering
@@ -118,16 +118,16 @@
         self.journal = journal
         self.tally = tally
         client = HttpClient(clock)
-        standings = Standings()
-        paces = EnginePaces(learns=Mechanism.LEARNED_PACES not in settings.without)
-        work = PeerWork()
+        standings = UpstreamStatsRegistry()
+        paces = PrefillEstimators(enabled=Mechanism.LEARNED_PACES not in settings.without)
+        work = PeerBacklog()
         self.core = Core(
             clock=clock,
             journal=journal,
             tally=tally,
             dialect=dialect,
             client=client,
-            chooser=LeastCost(standings, settings.hall, paces, work, settings.without, settings.places),
+            chooser=LeastCostChooser(standings, settings.hall, paces, work, settings.without, settings.places),
             standings=standings,
             paces=paces,
             without=settings.without,
@@ -180,7 +180,7 @@
         tally.gauges["known_vms"] = lambda: float(self.core.vms)
         tally.gauges["held_requests"] = lambda: float(self.core.quarantine.count(clock.now()))
         tally.gauges["leaving_by_own_word"] = lambda: float(len(self.core.announcements.list_untold()))
-        tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.rests.count(clock.now()))
+        tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.rests.count_active(clock.now()))
         tally.gauges["limit_share"] = lambda: self.core.announcements.limits.find_share()
         tally.gauges["limited_upstreams"] = lambda: float(self.core.announcements.limits.count())
         tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_watch.cold))
@@ -308,7 +308,7 @@
     def _make_cold_gate(self) -> CountingGate:
         """Return what keeps the bound of cold upstreams over all VMs."""
         settings = self.settings
-        kind = TurnGate if Mechanism.SPONSORS in settings.without else SponsorGate
+        kind = RoundRobinGate if Mechanism.SPONSORS in settings.without else SponsorGate
         if self._gossip is None:
             vms = KnownVms(settings.vm, lambda now: [], lambda: False)
         else:
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -6,7 +6,7 @@
 from statistics import median
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.pace import PRIOR_RATE, WHOLE_SHARE
+from beamhatch.relay.choosing.prefill_model import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
 from beamhatch.relay.engines.balancing import Pressure
 from beamhatch.relay.engines.throughput import EngineFigures
 from beamhatch.relay.fleet.gossip_message import DemandReport
@@ -44,7 +44,7 @@
         weights, total = [1.0] * len(reports), float(len(reports))
     weighed = list(zip(weights, reports, strict=True))
     read_rates = [report.read_rate for report in reports if report.read_rate]
-    read_rate = median(read_rates) if read_rates else PRIOR_RATE
+    read_rate = median(read_rates) if read_rates else DEFAULT_TOKENS_PER_S
     whole_rates = [report.whole_rate for report in reports if report.whole_rate]
     return EngineFigures(
         kv_tokens=engine.kv_tokens,
@@ -52,5 +52,5 @@
         answer=sum(weight * report.answer for weight, report in weighed) / total,
         residence=max(0.001, sum(weight * report.residence for weight, report in weighed) / total),
         read_rate=read_rate,
-        whole_rate=median(whole_rates) if whole_rates else WHOLE_SHARE * read_rate,
+        whole_rate=median(whole_rates) if whole_rates else DECODE_RATE_FACTOR * read_rate,
     )
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -107,7 +107,7 @@
                 self._look_at(service, now)
 
     def _look_at(self, service: Service, now: float) -> None:
-        listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_silent(now))
+        listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_unresponsive(now))
         lasting = self.core.eligibility.evacuations.list_outside(listed)
         engines = [one for one in self.core.changes.foresee(lasting, now) if one.phase is not Phase.PLAIN]
         left = self.core.listing.count_left(service.name)
@@ -157,7 +157,8 @@
         return {
             one.id
             for one in self.core.list_usable(service.name)
-            if now >= self.core.standings.get(one.id).silent_until and not self.core.changes.is_under_way(one.id, now)
+            if now >= self.core.standings.get(one.id).unresponsive_until
+            and not self.core.changes.is_under_way(one.id, now)
         }
 
     async def _order_all(self, changes: list[PhaseChange], pressure: Pressure) -> None:
--- a/src/beamhatch/relay/engines/throughput.py
+++ b/src/beamhatch/relay/engines/throughput.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from beamhatch.relay.choosing.pace import PRIOR_RATE, WHOLE_SHARE
+from beamhatch.relay.choosing.prefill_model import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
 
 PREFILL_SHARE = 0.9
 """Share of a prefill engine's time that is counted on: above it prompts wait long behind each other."""
@@ -29,9 +29,9 @@
     """Tokens of an answer in the mean."""
     residence: float
     """Seconds from the reservation of decode memory to the end of a stream in the mean."""
-    read_rate: float = PRIOR_RATE
+    read_rate: float = DEFAULT_TOKENS_PER_S
     """Prompt tokens a second that a prefill engine reads."""
-    whole_rate: float = WHOLE_SHARE * PRIOR_RATE
+    whole_rate: float = DECODE_RATE_FACTOR * DEFAULT_TOKENS_PER_S
     """Prompt tokens a second that a decode engine reads between the steps of its streams."""
 
     @property
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -42,7 +42,7 @@
     from collections.abc import Callable, Sequence
 
     from beamhatch.relay.api import Documents
-    from beamhatch.relay.choosing.pace import Reading
+    from beamhatch.relay.choosing.prefill_model import PrefillSample
     from beamhatch.relay.core import Core
     from beamhatch.relay.engines.balancing import Pressure
     from beamhatch.relay.fleet.departure_talk import DepartureTalk
@@ -296,7 +296,7 @@
         self._work.ask()
 
     def _tell_work(self) -> None:
-        reading = self.core.standings.list_reading()
+        reading = self.core.standings.list_pending_prefill()
         if reading == self._told_work or self._stopped:
             return
         self._told_work = reading
@@ -318,7 +318,7 @@
 
         :param regular: whether they are given a sign of life where there are no news
         """
-        beat = self._make_beat(self.core.paces.take_untold())
+        beat = self._make_beat(self.core.paces.pop_unsent())
         for connection in list(self._connections):
             self._tell_beat(connection, beat, regular=regular)
 
@@ -446,13 +446,13 @@
             self._fleet.take(connection.vm, heard.demands, now)
             self.core.take_paces(heard.demands)
             for reading in message.readings:
-                self.core.paces.note_told(reading)
+                self.core.paces.record(reading)
         if connection.hall == self.membership.own.hall:
             self.membership.note_watch(connection.address, turned_away=message.turned_away)
         self._take_work(connection)
         faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
         for upstream, share in faulty.items():
-            self.core.standings.get(UpstreamId(upstream)).note_hint(share, now)
+            self.core.standings.get(UpstreamId(upstream)).apply_hint(share, now)
         self._take_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
@@ -487,7 +487,7 @@
         self._lacking[what] = _Lack(own, now)
         return True
 
-    def _make_beat(self, readings: Sequence[Reading] = ()) -> Beat:
+    def _make_beat(self, readings: Sequence[PrefillSample] = ()) -> Beat:
         core = self.core
         now = core.clock.now()
         evacuations = core.eligibility.evacuations
@@ -495,9 +495,9 @@
             core.version,
             core.revision,
             core.report_demands(),
-            core.standings.list_faulty(LEAST_FAULTS, now),
+            core.standings.list_failing(LEAST_FAULTS, now),
             core.changes.list_news(now),
-            core.standings.list_reading(),
+            core.standings.list_pending_prefill(),
             list(readings),
             evacuations.list_news() if evacuations.complete and not evacuations.lacks_room else None,
             evacuations.as_of,
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from beamhatch.relay.choosing.pace import Reading
+from beamhatch.relay.choosing.prefill_model import PrefillSample
 from beamhatch.relay.engines.changing import ChangeNews
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
@@ -80,7 +80,7 @@
     """Engines that were ordered to play another part."""
     reading: dict[str, int] | None = None
     """Tokens of the sender's prompts that engines have still to read; to another hall, that hall's engines only."""
-    readings: list[Reading] = []
+    readings: list[PrefillSample] = []
     """Prompts that engines read for the sender since its last beat."""
     evacuations: list[Evacuation] | None = None
     """Which halls are emptied, or were; None where the sender does not know."""
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -12,8 +12,8 @@
 from beamhatch.relay.callers.http_server import RequestHandler
 from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.eligibility import Obstacle
-from beamhatch.relay.choosing.lack import spread_return
-from beamhatch.relay.choosing.spill import SpillReason, find_reason
+from beamhatch.relay.choosing.shortage import spread_retry
+from beamhatch.relay.choosing.spill import SpillReason, get_spill_reason
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
 from beamhatch.relay.places import Distance
@@ -178,7 +178,7 @@
             if lack.obstacle is Obstacle.LIMITED:
                 back = self.core.promise_turn(service, lack)
             else:
-                back = spread_return(lack.wait, random.random(), owed=self._returns)
+                back = spread_retry(lack.wait, random.random(), owed=self._returns)
             step = request.refuse_shut(f"nothing may be sent to any upstream: {lack.obstacle.value}", back)
         else:
             vms = max(self.core.vms, self.core.vms_lately)
@@ -220,7 +220,7 @@
         handle, held = request.handle, request.reservation
         if handle is not None and self.core.is_over(handle.upstream):
             request.note_handle_spent()
-        elif handle is not None and not self.core.eligibility.lies_in(handle.upstream, request.regions):
+        elif handle is not None and not self.core.eligibility.is_in_regions(handle.upstream, request.regions):
             self._call(handle.upstream, self.core.dialect.make_release(handle))
             request.note_handle_spent()
         if held is None:
@@ -282,7 +282,7 @@
         if upstream.phase is Phase.PREFILL and reservation is not None and not is_near(reservation.upstream.hall):
             reason = SpillReason.PAIR
         else:
-            reason = find_reason(self._list_usable(), upstream.phase, self.request.list_full(), is_near)
+            reason = get_spill_reason(self._list_usable(), upstream.phase, self.request.list_full(), is_near)
         self.core.tally.count("spills_total", reason.name.lower())
         self.write_log("spilled", to=upstream.id, hall=upstream.hall, phase=upstream.phase.value, reason=reason.value)
 
@@ -300,8 +300,8 @@
             revision=self.core.listing.newest,
             version=self.core.version,
             running=standing.running,
-            others=round(standing.count_others(now), 1),
-            faults=round(standing.get_faults(now), 2),
+            others=round(standing.estimate_other_requests(now), 1),
+            faults=round(standing.get_failure_rate(now), 2),
             **self.core.announcements.describe_limit(send.upstream.life),
         )
         if request.split and send.stage is not Stage.PREFILL:
@@ -311,7 +311,7 @@
         if send.reservation is not None:
             attempt.permit, self._permit = self._permit, None
         if attempt.permit is None:
-            attempt.permit = self.core.eligibility.take_permit(send.upstream, request.service.cold, now)
+            attempt.permit = self.core.eligibility.acquire_permit(send.upstream, request.service.cold, now)
         self._attempt = attempt
         most_idle = 1e9 if request.route.idempotent or send.stage is Stage.PREFILL else FRESH_IDLE
         attempt.start(self._make_call(send, now), most_idle)
@@ -367,7 +367,7 @@
     def _reserve(self, step: Reserve) -> None:
         self._drop_permit()
         now = self.core.clock.now()
-        self._permit = self.core.eligibility.take_permit(step.upstream, self.request.service.cold, now)
+        self._permit = self.core.eligibility.acquire_permit(step.upstream, self.request.service.cold, now)
         if self.core.eligibility.limits.find(step.upstream.life) is not None:
             self._rely_on_permit(step)
             return
@@ -607,7 +607,7 @@
         """
         eligibility = self.core.eligibility
         now = self.core.clock.now()
-        resting = eligibility.rests.is_resting(upstream.life, now)
+        resting = eligibility.backoffs.is_active(upstream.life, now)
         if resting or eligibility.evacuations.is_emptied(upstream.hall):
             return
         if not eligibility.limits.may_be_sent(upstream, now):
@@ -714,7 +714,7 @@
         attempt = self._attempt
         if not isinstance(attempt, Attempt) or attempt.sent:
             return False
-        return not self.core.eligibility.lies_in(attempt.send.upstream, regions)
+        return not self.core.eligibility.is_in_regions(attempt.send.upstream, regions)
 
     def _set_timer(self) -> None:
         self._stop_timer()
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.chooser import Need
-from beamhatch.relay.choosing.distance import EVENT_BYTES, find_cache
+from beamhatch.relay.choosing.distance import EVENT_BYTES, compute_cache_transfer
 from beamhatch.relay.model import Handle, Reservation, RouteKind, Stage, Upstream, UpstreamId
 
 if TYPE_CHECKING:
@@ -155,7 +155,7 @@
             facts.identity,
             facts.prompt_tokens,
             tokens,
-            cache=find_cache(engine, facts.prompt_tokens),
+            cache=compute_cache_transfer(engine, facts.prompt_tokens),
             body_bytes=self.body_bytes,
             answer_bytes=EVENT_BYTES * (self.answer_room or facts.output_tokens) // engine.event_tokens,
             decode_hall="" if self.reservation is None else self.reservation.upstream.hall,
@@ -276,7 +276,7 @@
         left = self.late_at - now
         if chooser.predict_prefill(prefill, self.need, now) <= left:
             return None
-        if chooser.predict_whole(self.reservation.upstream, self.need, now) > left:
+        if chooser.predict_decode_prefill(self.reservation.upstream, self.need, now) > left:
             return None
         return Send(Stage.WHOLE, self.reservation.upstream, None, self.reservation)
 
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.rests import Rests
+from beamhatch.relay.choosing.backoffs import Backoffs
 from beamhatch.relay.limits.limits import Limits
 from beamhatch.relay.upstreams.http_client import AnswerSink
 
@@ -42,7 +42,7 @@
     tally: Tally
     dialect: Dialect
     listing: Listing
-    rests: Rests = field(default_factory=Rests)
+    rests: Backoffs = field(default_factory=Backoffs)
     limits: Limits = field(default_factory=Limits)
     on_news: Callable[[Life], None] = lambda life: None
     """Called when an upstream may be sent nothing from now on that it might be sent before."""
@@ -69,7 +69,7 @@
             self.on_departure()
         if facts.rest is not None:
             self.tally.count("announcements_total", "rest")
-            if self.rests.take(life, facts.rest, self.clock.now()):
+            if self.rests.record(life, facts.rest, self.clock.now()):
                 self.journal.write("LISTING", "asks for rest", upstream=life.id, seconds=facts.rest)
                 self.on_news(life)
 
@@ -129,7 +129,7 @@
         if self.limits.find(upstream.life) is not None:
             self.tally.count("limited_sends_total")
         now = self.clock.now()
-        end = self.rests.find_end(upstream.life, now)
+        end = self.rests.get_end(upstream.life, now)
         if end is not None:
             told["rest_left"] = round(end - now, 3)
             self.tally.count("sent_in_spite_total", "rest")
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -11,9 +11,9 @@
 
 if TYPE_CHECKING:
     from beamhatch.relay.api import AnswerFacts
+    from beamhatch.relay.choosing.backoffs import BackoffProbe
     from beamhatch.relay.choosing.eligibility import SendPermit
-    from beamhatch.relay.choosing.pace import ReadingPace
-    from beamhatch.relay.choosing.rests import Trial
+    from beamhatch.relay.choosing.prefill_model import PrefillEstimator
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Send
@@ -34,7 +34,7 @@
         self.body = bytearray()
         self.permit: SendPermit | None = None
         """Room at an upstream that is cold or names a limit, held until the request goes out."""
-        self._trial: Trial | None = None
+        self._trial: BackoffProbe | None = None
         """Tells whether the upstream is back behind a rest."""
         self._http: Exchange | None = None
         self._sent = False
@@ -56,8 +56,8 @@
     def start(self, call: Call, most_idle: float) -> None:
         """Send the request."""
         now = self.core.clock.now()
-        self.standing.begin(self._tokens, now)
-        self._trial = self.core.eligibility.rests.begin(self.send.upstream.life, now)
+        self.standing.record_start(self._tokens, now)
+        self._trial = self.core.eligibility.backoffs.begin_request(self.send.upstream.life, now)
         if self._reads:
             self._begin_reading()
         self._wait(self.get_patience())
@@ -77,21 +77,23 @@
 
     def _begin_reading(self) -> None:
         upstream = self.send.upstream.id
-        self._tokens_ahead = self.standing.reading + self.core.work.count_tokens(upstream, self.core.clock.now())
+        self._tokens_ahead = self.standing.pending_prefill_tokens + self.core.work.count_tokens(
+            upstream, self.core.clock.now()
+        )
         self._unread = self.request.need.prompt_tokens
-        self.standing.reading += self._unread
+        self.standing.pending_prefill_tokens += self._unread
         self.core.on_work()
 
     def _end_reading(self) -> None:
         if self._unread:
-            self.standing.reading -= self._unread
+            self.standing.pending_prefill_tokens -= self._unread
             self._unread = 0
             self.core.on_work()
 
-    def _note_reading(self, pace: ReadingPace) -> None:
+    def _note_reading(self, pace: PrefillEstimator) -> None:
         """Learn from a prompt that was read, unless it had to wait for others."""
         if not self._tokens_ahead:
-            pace.note(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
+            pace.record_own(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
 
     def cancel(self) -> None:
         """Close the connection; the upstream ends its work."""
@@ -127,7 +129,7 @@
         if self.permit is not None:
             self.permit.use(now)
         else:
-            self.core.eligibility.note_send(self.send.upstream, self.request.service.cold, now)
+            self.core.eligibility.record_send(self.send.upstream, self.request.service.cold, now)
 
     def is_own(self, head: Head) -> bool:
         """Tell whether an answer is to this request."""
@@ -143,9 +145,9 @@
         self.head = head
         self.facts = self.core.announcements.read(self.send.upstream, head, self._started_at, of_request=True)
         now = self.core.clock.now()
-        self.standing.note_alive(now)
+        self.standing.record_response(now)
         if self.facts.load is not None:
-            self.standing.note_load(self.facts.load, now)
+            self.standing.record_load(self.facts.load, now)
         if self._trial is not None:
             self._trial.end(now, answered=not self.has_not_run())
 
@@ -156,9 +158,9 @@
         self._end()
         now = self.core.clock.now()
         if fault is Fault.UNREACHED:
-            self.standing.note_silence(now)
+            self.standing.record_no_response(now)
         else:
-            self.standing.note_fault(now)
+            self.standing.record_failure(now)
         self.core.on_fault()
         self.exchange.write_log(
             "send failed",
@@ -192,10 +194,10 @@
         now = self.core.clock.now()
         assert self.head is not None
         if self.head.status == MISDIRECTED:
-            self.standing.note_misdirected(now)
+            self.standing.record_misdirected(now)
             self.core.client.close_idle(self.send.upstream.address)
         else:
-            self.standing.note_busy(now)
+            self.standing.record_busy(now)
         self.exchange.write_log(
             "turned away",
             to=self.send.upstream.id,
@@ -223,7 +225,7 @@
         """Enter that the work was done."""
         self._end()
         now = self.core.clock.now()
-        self.standing.note_success(now - self._started_at, now)
+        self.standing.record_success(now - self._started_at, now)
         if self.send.stage is not Stage.PREFILL:
             self.core.quarantine_talk.note_good(self.exchange.fingerprint)
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
@@ -248,9 +250,9 @@
         self._timer = None
         now = self.core.clock.now()
         if self.standing.succeeded_at > self._started_at:
-            self.standing.note_fault(now)
+            self.standing.record_failure(now)
         else:
-            self.standing.note_silence(now)
+            self.standing.record_no_response(now)
             self.core.on_fault()
         abandoned = self.may_abandon()
         self.exchange.write_log(
@@ -291,6 +293,6 @@
                 self._trial.end(now, answered=False)
             self._stop_timer()
             self._end_reading()
-            self.standing.end(self._tokens)
+            self.standing.record_end(self._tokens)
             if self._sent and self.send.stage is not Stage.PREFILL and self.request.split:
                 self.core.lines.note_freed(self.request.service.name, self.send.upstream.hall)
--- a/src/beamhatch/relay/upstreams/departures.py
+++ b/src/beamhatch/relay/upstreams/departures.py
@@ -33,7 +33,7 @@
     _known: dict[Life, _Departure] = field(default_factory=dict)
     """In the order in which they were heard of."""
     _ids: set[UpstreamId] = field(default_factory=set)
-    """Whose lives these are: most upstreams stay, and are passed by their ids; see ``Rests``."""
+    """Whose lives these are: most upstreams stay, and are passed by their ids; see ``Backoffs``."""
 
     def take(self, life: Life, now: float, *, by_store: bool = False) -> bool:
         """Take in that an upstream leaves; return whether that is news."""
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -9,7 +9,7 @@
 from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
 
 if TYPE_CHECKING:
-    from beamhatch.relay.choosing.rests import Trial
+    from beamhatch.relay.choosing.backoffs import BackoffProbe
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Reserve
@@ -39,7 +39,7 @@
         self.sent = False
         """True once the call was written, or begun to be."""
         self._started_at = self.core.clock.now()
-        self._trial: Trial | None = None
+        self._trial: BackoffProbe | None = None
         """Tells whether the engine is back behind a rest."""
         self._timer: Any = self.core.clock.call_later(PATIENCE, self._run_out)
 
@@ -51,8 +51,8 @@
     def start(self, call: Call) -> None:
         """Ask."""
         now = self.core.clock.now()
-        self.core.standings.get(self._step.upstream.id).tried_at = now
-        self._trial = self.core.eligibility.rests.begin(self._step.upstream.life, now)
+        self.core.standings.get(self._step.upstream.id).sent_at = now
+        self._trial = self.core.eligibility.backoffs.begin_request(self._step.upstream.life, now)
         http = self.core.client.open(self._step.upstream.address, call, self)
         if not self._ended:
             self._http = http
@@ -95,7 +95,7 @@
         now = self.core.clock.now()
         upstream = self._step.upstream
         standing = self.core.standings.get(upstream.id)
-        standing.note_alive(now)
+        standing.record_response(now)
         found = self.core.dialect.read_reservation(bytes(self._body)) if self._head.status == GRANTED else None
         self.core.tally.count("reservations_total", str(self._head.status))
         if found is not None:
@@ -103,7 +103,7 @@
             self._exchange.note_memory()
             self._exchange.request.note_reserved(Reservation(found, upstream, now + self._step.lifetime))
         elif self._head.status == MISDIRECTED:
-            standing.note_misdirected(now)
+            standing.record_misdirected(now)
             self._exchange.request.note_no_reservation(upstream.id)
         else:
             self._exchange.request.note_full(upstream.id)
@@ -116,7 +116,7 @@
             return
         self._end()
         upstream = self._step.upstream
-        self.core.standings.get(upstream.id).note_silence(self.core.clock.now())
+        self.core.standings.get(upstream.id).record_no_response(self.core.clock.now())
         self._exchange.request.note_no_reservation(upstream.id)
         self._exchange.write_log("not reserved", to=upstream.id, fault=fault.value, detail=detail)
         self._exchange.go_on_elsewhere(self)
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -106,7 +106,7 @@
     def _pass_on(self, data: bytes, last: int | None) -> None:
         assert self.head is not None
         if self._unread:
-            self._note_reading(self.core.paces.get_whole(self.request.service.name))
+            self._note_reading(self.core.paces.get_decode(self.request.service.name))
             self._end_reading()
         if not self.request.begun:
             self.exchange.begin_answer(self.head)
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beamhatch.platform.standin.upstream import StandInEngine
-from beamhatch.relay.choosing.cold import ColdBound, CountingGate, OpenGate
+from beamhatch.relay.choosing.cold_gate import ColdBound, CountingGate, UnlimitedGate
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import UpstreamId
 from tests.support.platform import Caller, Platform, make_platform
@@ -61,7 +61,7 @@
 
 def test_without_the_gate_a_cold_replica_gets_more() -> None:
     platform = make_cold("plain-0", "plain-1", plain=2)
-    platform.vms["vm1"].core.eligibility.gate = OpenGate()
+    platform.vms["vm1"].core.eligibility.gate = UnlimitedGate()
     ask(platform, "/safe/x", 40, 0.05)
     assert count_most(platform.upstreams["plain-0"].arrived) > 1
 
--- a/tests/platform/test_decisions.py
+++ b/tests/platform/test_decisions.py
@@ -63,7 +63,7 @@
     platform = make_readers(rate)
     warm_up(platform)
     for vm in platform.vms.values():
-        pace = vm.core.paces.get_reading(ServiceName(MODEL)).pace
+        pace = vm.core.paces.get_prefill(ServiceName(MODEL)).model
         assert pace.predict(PROMPT) == pytest.approx(PROMPT / rate, rel=0.25, abs=0.03)
 
 
@@ -106,7 +106,7 @@
         ask(platform, f"w{number}", f"vm{1 + number % 8}", prompt=1000 + 1300 * (number % 7))
         platform.network.run(0.5)
     for vm in platform.vms.values():
-        pace = vm.core.paces.get_reading(ServiceName(MODEL)).pace
+        pace = vm.core.paces.get_prefill(ServiceName(MODEL)).model
         assert pace.predict(PROMPT) == pytest.approx(PROMPT / FAST, rel=0.25, abs=0.03)
 
 
@@ -115,7 +115,7 @@
     warm_up(platform)
     platform.add_vm("late", ["vm1:8002"])
     platform.network.run(2.0)
-    pace = platform.vms["late"].core.paces.get_reading(ServiceName(MODEL)).pace
+    pace = platform.vms["late"].core.paces.get_prefill(ServiceName(MODEL)).model
     assert pace.predict(PROMPT) == pytest.approx(PROMPT / SLOW, rel=0.25)
 
 
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -160,7 +160,7 @@
     far = [one for one in gossip.list_connections() if one.hall != teller.settings.hall]
     assert far
     for _ in range(6):
-        teller.core.standings.get(UpstreamId("plain-1")).note_fault(teller.clock.now())
+        teller.core.standings.get(UpstreamId("plain-1")).record_failure(teller.clock.now())
     teller.core.find_demand(ServiceName(MODEL)).note_prompt(5000, 70, teller.clock.now())
     teller.core.take_change(UpstreamId("engine-0"), ChangeNews(Phase.PREFILL, 5.0, True), "test")
     teller.core.on_change()
@@ -168,7 +168,7 @@
     for connection in far:
         hearer = platform.vms[connection.vm]
         now = hearer.clock.now()
-        assert hearer.core.standings.get(UpstreamId("plain-1")).get_faults(now) > 0.5
+        assert hearer.core.standings.get(UpstreamId("plain-1")).get_failure_rate(now) > 0.5
         assert hearer.core.changes.is_under_way(UpstreamId("engine-0"), now)
         assert hearer._gossip is not None
         reports = [told.get(ServiceName(MODEL)) for told in hearer._gossip._fleet.list_values(now)]
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -58,7 +58,7 @@
     start_again(platform, "plain-0")
     now = platform.clock.now()
     assert not standing.is_unreachable(now)
-    assert standing.get_faults(now) == 0.0
+    assert standing.get_failure_rate(now) == 0.0
     assert standing.latency == 0.0
     assert serve(platform, "/safe/x", "last") == 200
 
--- a/tests/platform/test_own_word.py
+++ b/tests/platform/test_own_word.py
@@ -230,7 +230,7 @@
     if word == "leaves":
         core.announcements.take_departure(held.upstream.life, "a test")
     else:
-        core.announcements.rests.take(held.upstream.life, 3.0, platform.clock.now())
+        core.announcements.rests.record(held.upstream.life, 3.0, platform.clock.now())
     calls = platform.upstreams[held.upstream.id].calls
     assert platform.finish(caller).status == 200
     assert platform.upstreams[held.upstream.id].arrived == []
@@ -277,7 +277,7 @@
     core = platform.vms["vm1"].core
     assert upstream.calls
     assert core.announcements.list_untold() == []
-    assert core.announcements.rests.count(platform.clock.now()) == 0
+    assert core.announcements.rests.count_active(platform.clock.now()) == 0
 
 
 @pytest.mark.parametrize("rest", ["0", "-3", "soon", "", "1e9", "Thu, 03 Dec 2026 03:00:00 GMT"])
--- a/tests/relay/choosing/spill_play.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.chooser import LeastCost, Need
-from beamhatch.relay.choosing.spill import CountLoad, Spill
-from beamhatch.relay.choosing.standing import Load, Standings
+from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
+from beamhatch.relay.choosing.spill import EstimateLoad, SpillPolicy
+from beamhatch.relay.choosing.upstream_stats import Load, UpstreamStatsRegistry
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Distance, Places, RegionName
@@ -29,16 +29,16 @@
 SLOTS, ENGINES, VMS = 16, 8, 12
 """Places of an engine, decode engines of a hall, VMs of a hall."""
 
-RESIDENCE = 1.2
+STREAM_S = 1.2
 """Seconds of a stream."""
 
-USUAL = 0.5 * SLOTS * ENGINES / RESIDENCE
+NORMAL_RATE = 0.5 * SLOTS * ENGINES / STREAM_S
 """Requests a second and hall that take half of the places."""
 
-IN_TIME, PATIENCE, POLL = 0.5, 3.0, 0.1
+IN_TIME_S, TIMEOUT_S, POLL_S = 0.5, 3.0, 0.1
 """Seconds within which a place has to be found, after which a caller leaves, and between two rounds of asking."""
 
-ASK = {Distance.SAME_HALL: 0.001, Distance.SAME_REGION: 0.0015, Distance.OTHER_REGION: 0.025}
+ROUND_TRIP_S = {Distance.SAME_HALL: 0.001, Distance.SAME_REGION: 0.0015, Distance.OTHER_REGION: 0.025}
 """Seconds of one question."""
 
 NEED = Need("p", 5000, 5070, answer_bytes=70 * 150)
@@ -48,11 +48,11 @@
 """Share of the places of a ring that are taken, as far as they are known, from which on the next one is looked at."""
 
 
-class RingSpill(Spill):
+class RingSpillPolicy(SpillPolicy):
     """Own hall, own region, others: the next ring is looked at when the nearer ones are loaded beyond a threshold."""
 
-    def narrow(
-        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: CountLoad
+    def filter(
+        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return the engines of the nearest rings, up to the first that has room."""
         chosen: list[Upstream] = []
@@ -63,27 +63,27 @@
                 break
         return chosen
 
-    def count_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
+    def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
         """Return nothing: the rings decide."""
         return 0.0
 
 
 @dataclass
-class Count:
+class Outcome:
     """What became of the requests of one play."""
 
     asked: int = 0
     late: int = 0
     lost: int = 0
-    places: defaultdict[Distance, int] = field(default_factory=lambda: defaultdict(int))
-    questions: int = 0
+    placements: defaultdict[Distance, int] = field(default_factory=lambda: defaultdict(int))
+    attempts: int = 0
     far_by_second: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))
     """Requests that ran in another region than their VM's, by the second in which they came."""
 
     @property
     def far(self) -> float:
         """Return the share of requests that ran in another region than their VM's."""
-        return self.places[Distance.OTHER_REGION] / max(1, self.asked)
+        return self.placements[Distance.OTHER_REGION] / max(1, self.asked)
 
     @property
     def missed(self) -> float:
@@ -92,17 +92,17 @@
 
 
 @dataclass
-class _Asking:
+class _Request:
     vm: int
     came: float
     refused: list[Upstream] = field(default_factory=list)
 
 
-class Play:
+class Simulation:
     """One run of some seconds."""
 
     def __init__(
-        self, make_spill: Callable[[], Spill], seed: int, without: Without = ALL_IN, places: Places = PLACES
+        self, make_spill: Callable[[], SpillPolicy], seed: int, without: Without = ALL_IN, places: Places = PLACES
     ) -> None:
         self._draw = random.Random(seed)
         random.seed(seed)
@@ -113,10 +113,11 @@
         ]
         self.halls = [hall for hall in REGIONS for _ in range(VMS)]
         self.choosers = [
-            LeastCost(Standings(), hall, without=without, places=places, spill=make_spill()) for hall in self.halls
+            LeastCostChooser(UpstreamStatsRegistry(), hall, without=without, places=places, spill=make_spill())
+            for hall in self.halls
         ]
         self.running: defaultdict[UpstreamId, int] = defaultdict(int)
-        self.count = Count()
+        self.count = Outcome()
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
 
@@ -125,7 +126,7 @@
         seconds: float,
         find_rate: Callable[[str, float], float],
         is_gone: Callable[[str, float], bool] = lambda hall, now: False,
-    ) -> Count:
+    ) -> Outcome:
         """Play.
 
         :param find_rate: tells the requests a second of a hall at a time, as a multiple of its usual
@@ -134,10 +135,10 @@
         self._is_gone = is_gone
         for hall in REGIONS:
             now = 0.0
-            while (now := now + self._draw.expovariate(4 * USUAL)) < seconds:
+            while (now := now + self._draw.expovariate(4 * NORMAL_RATE)) < seconds:
                 if self._draw.random() * 4 < find_rate(hall, now):
                     vm = self._draw.choice([n for n, own in enumerate(self.halls) if own == hall])
-                    self._later(now, self._make_round(_Asking(vm, now)))
+                    self._later(now, self._make_round(_Request(vm, now)))
         while self._events:
             now, _, event = heapq.heappop(self._events)
             event(now)
@@ -146,7 +147,7 @@
     def _later(self, at: float, event: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), event))
 
-    def _make_round(self, asking: _Asking) -> Callable[[float], None]:
+    def _make_round(self, asking: _Request) -> Callable[[float], None]:
         def begin(now: float) -> None:
             if now == asking.came:
                 self.count.asked += 1
@@ -155,7 +156,7 @@
 
         return begin
 
-    def _ask(self, asking: _Asking, now: float) -> None:
+    def _ask(self, asking: _Request, now: float) -> None:
         usable = [one for one in self.engines if not self._is_gone(one.hall, now)]
         chooser = self.choosers[asking.vm]
         need = replace(NEED, refused_halls=tuple(one.hall for one in asking.refused))
@@ -164,11 +165,11 @@
         if found is None:
             self._wait(asking, now)
             return
-        self.count.questions += 1
+        self.count.attempts += 1
         distance = PLACES.measure(self.halls[asking.vm], found.hall)
-        self._later(now + ASK[distance], lambda at: self._answer(asking, found, at))
+        self._later(now + ROUND_TRIP_S[distance], lambda at: self._answer(asking, found, at))
 
-    def _answer(self, asking: _Asking, engine: Upstream, now: float) -> None:
+    def _answer(self, asking: _Request, engine: Upstream, now: float) -> None:
         if self.running[engine.id] >= SLOTS or self._is_gone(engine.hall, now):
             asking.refused.append(engine)
             if len(asking.refused) < RESERVE_TRIES:
@@ -178,30 +179,30 @@
             return
         self._take(asking, engine, now)
 
-    def _wait(self, asking: _Asking, now: float) -> None:
-        if now - asking.came > PATIENCE:
+    def _wait(self, asking: _Request, now: float) -> None:
+        if now - asking.came > TIMEOUT_S:
             self.count.lost += 1
         else:
-            self._later(now + POLL * self._draw.uniform(0.6, 1.4), self._make_round(asking))
+            self._later(now + POLL_S * self._draw.uniform(0.6, 1.4), self._make_round(asking))
 
-    def _take(self, asking: _Asking, engine: Upstream, now: float) -> None:
+    def _take(self, asking: _Request, engine: Upstream, now: float) -> None:
         distance = PLACES.measure(self.halls[asking.vm], engine.hall)
-        self.count.places[distance] += 1
+        self.count.placements[distance] += 1
         if distance is Distance.OTHER_REGION:
             self.count.far_by_second[int(asking.came)] += 1
-        if now - asking.came > IN_TIME:
+        if now - asking.came > IN_TIME_S:
             self.count.late += 1
         self.running[engine.id] += 1
-        standing = self.choosers[asking.vm].standings.get(engine.id)
-        standing.begin(5070, now)
+        standing = self.choosers[asking.vm].stats.get(engine.id)
+        standing.record_start(5070, now)
 
         def tell_load(at: float) -> None:
             running = self.running[engine.id]
-            standing.note_load(Load(running, 0, SLOTS), at)
+            standing.record_load(Load(running, 0, SLOTS), at)
 
         def end(at: float) -> None:
             self.running[engine.id] -= 1
-            standing.end(5070)
+            standing.record_end(5070)
 
         self._later(now + 0.1, tell_load)
-        self._later(now + RESIDENCE * self._draw.uniform(0.7, 1.3), end)
+        self._later(now + STREAM_S * self._draw.uniform(0.7, 1.3), end)
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from beamhatch.relay.choosing.chooser import DRAWN_AT_ONCE, LeastCost, Need
-from beamhatch.relay.choosing.standing import Load, Standings
+from beamhatch.relay.choosing.chooser import SAMPLE_SIZE, LeastCostChooser, Need
+from beamhatch.relay.choosing.upstream_stats import Load, UpstreamStatsRegistry
 from beamhatch.relay.model import Address, Handle, Phase, ServiceName, Upstream, UpstreamId
 
 NEED = Need("p1", 5000, 6000)
@@ -15,9 +15,9 @@
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), hall, False, phase, 6)
 
 
-def make_chooser() -> tuple[LeastCost, Standings]:
-    standings = Standings()
-    return LeastCost(standings, "a"), standings
+def make_chooser() -> tuple[LeastCostChooser, UpstreamStatsRegistry]:
+    standings = UpstreamStatsRegistry()
+    return LeastCostChooser(standings, "a"), standings
 
 
 def test_the_same_prompt_goes_to_the_same_engine_on_every_vm() -> None:
@@ -32,7 +32,7 @@
     home = chooser.choose_prefill(engines, NEED, set(), NOW)
     assert home is not None
     for _ in range(3):
-        standings.get(home.id).begin(5000, NOW)
+        standings.get(home.id).record_start(5000, NOW)
     assert chooser.choose_prefill(engines, NEED, set(), NOW) != home
 
 
@@ -42,20 +42,20 @@
     handle = Handle("k", make("p", Phase.PREFILL, "b"), NOW)
     assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == near
     for _ in range(4):
-        standings.get(near.id).begin(6000, NOW)
+        standings.get(near.id).record_start(6000, NOW)
     assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == far
 
 
 def test_silence_faults_and_refusals_outweigh_load_and_pass() -> None:
     chooser, standings = make_chooser()
     good, bad = make("good", Phase.PLAIN), make("bad", Phase.PLAIN)
-    standings.get(good.id).note_load(Load(6, 2, 6), NOW)
-    standings.get(bad.id).note_silence(NOW)
+    standings.get(good.id).record_load(Load(6, 2, 6), NOW)
+    standings.get(bad.id).record_no_response(NOW)
     assert chooser.choose_plain([bad, good], set(), NOW) == good
     assert chooser.choose_plain([bad], set(), NOW) == bad
     assert chooser.choose_plain([bad, good], {good.id}, NOW) == bad
     assert chooser.choose_plain([bad], {bad.id}, NOW) is None
-    standings.get(bad.id).note_misdirected(NOW)
+    standings.get(bad.id).record_misdirected(NOW)
     assert chooser.choose_plain([bad], set(), NOW) is None
     assert chooser.choose_plain([bad], set(), NOW + 60) == bad
 
@@ -63,11 +63,11 @@
 def test_what_peers_tell_counts_until_it_is_old() -> None:
     chooser, standings = make_chooser()
     told, other = make("told", Phase.PLAIN), make("other", Phase.PLAIN)
-    standings.get(other.id).begin(0, NOW)
-    standings.get(told.id).note_hint(0.5, NOW)
+    standings.get(other.id).record_start(0, NOW)
+    standings.get(told.id).apply_hint(0.5, NOW)
     assert chooser.choose_plain([told, other], set(), NOW) == other
     assert chooser.choose_plain([told, other], set(), NOW + 40) == told
-    assert standings.list_faulty(0.1, NOW) == {}
+    assert standings.list_failing(0.1, NOW) == {}
 
 
 def test_a_choice_among_thousands_looks_at_a_few() -> None:
@@ -76,7 +76,7 @@
     engines = [make(f"u{number}", phases[number % 3]) for number in range(6900)]
     assert chooser.choose_prefill(engines, NEED, set(), NOW) is not None
     assert chooser.choose_decode(engines, NEED, set(), NOW, handle=None, kv_tokens=KV) is not None
-    assert len(standings._standings) <= 2 * DRAWN_AT_ONCE
+    assert len(standings._stats) <= 2 * SAMPLE_SIZE
 
 
 def test_the_only_engine_of_a_part_is_found_among_thousands() -> None:
--- a/tests/relay/choosing/test_cold_fleet.py
+++ b/tests/relay/choosing/test_cold_fleet.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from beamhatch.relay.choosing.sponsors import SponsorGate
-from beamhatch.relay.choosing.turns import TurnGate
-from tests.support.cold_fleet import MOST, ColdFleet, Kind
+from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
+from beamhatch.relay.choosing.sponsor_gate import SponsorGate
+from tests.support.cold_fleet import MAX_REQUESTS, ColdFleet, Kind
 
-KINDS = [SponsorGate, TurnGate]
+KINDS = [SponsorGate, RoundRobinGate]
 HIGH = 170.0
 """Requests a second for a cold upstream: ten times what it may get."""
 
@@ -20,7 +20,7 @@
     fleet.turn_cold(6.0)
     fleet.run(5.0, HIGH)
     assert fleet.count_sent() >= 5
-    assert fleet.find_worst() <= MOST
+    assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 @pytest.mark.parametrize("seed", range(50))
@@ -29,7 +29,7 @@
     fleet.turn_cold(30.0)
     fleet.draw_events(12.0, HIGH)
     assert fleet.count_sent()
-    assert fleet.find_worst() <= MOST
+    assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -37,7 +37,7 @@
     fleet = ColdFleet(195, seed=seed)
     fleet.turn_cold(30.0)
     fleet.draw_events(12.0, HIGH)
-    assert fleet.find_worst() <= MOST
+    assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 def test_two_parts_that_forgot_each_other_stay_below_the_bound_together() -> None:
@@ -48,7 +48,7 @@
     fleet.forget()
     fleet.turn_cold(6.0)
     fleet.run(6.0, 10 * HIGH)
-    assert 8 < fleet.find_worst() <= MOST
+    assert 8 < fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 def test_all_vms_that_restart_at_once_stay_below_the_bound() -> None:
@@ -57,7 +57,7 @@
     for _ in range(6):
         fleet.run(2.6, 10 * HIGH)
         fleet.restart(list(fleet.vms))
-    assert fleet.find_worst() <= MOST
+    assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 def test_vms_cut_apart_one_by_one_stay_below_the_bound() -> None:
@@ -69,7 +69,7 @@
     fleet.restart(fleet.vms[::2])
     fleet.run(6.0, 10 * HIGH)
     assert fleet.count_sent()
-    assert fleet.find_worst() <= MOST
+    assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 def test_every_vm_of_a_fleet_gets_through_while_all_upstreams_stay_cold_for_long() -> None:
@@ -95,4 +95,4 @@
     fleet.forget()
     fleet.turn_cold(cold)
     fleet.run(cold, 3 * HIGH)
-    assert fleet.find_worst() <= MOST
+    assert fleet.get_max_per_second() <= MAX_REQUESTS
--- a/tests/relay/choosing/test_cold.py
+++ b/tests/relay/choosing/test_cold_gate.py
@@ -8,16 +8,23 @@
 
 import pytest
 
-from beamhatch.relay.choosing.cold import FORGET_LOG, QUIET_TIME, ColdBound, CountingGate, KnownVms, Permit
-from beamhatch.relay.choosing.cold_watch import ColdWatch
-from beamhatch.relay.choosing.sponsors import TERM, TERM_GAP, VIEWS, SponsorGate
-from beamhatch.relay.choosing.turns import TurnGate
+from beamhatch.relay.choosing.cold_gate import (
+    LOG_RETENTION_S,
+    STARTUP_DELAY_S,
+    ColdBound,
+    CountingGate,
+    KnownVms,
+    Permit,
+)
+from beamhatch.relay.choosing.cold_transitions import ColdTransitions
+from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
+from beamhatch.relay.choosing.sponsor_gate import MAX_DISJOINT_VIEWS, TERM_GAP_S, TERM_S, SponsorGate
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
 
 TERMS = ColdTerms(3.0, 8.0)
 BOUND = ColdBound(1.5, 5.0)
 START = 100.0
-KINDS = [SponsorGate, TurnGate]
+KINDS = [SponsorGate, RoundRobinGate]
 
 
 def make_upstream(name: str = "u", cold_left: float = 3.0) -> Upstream:
@@ -29,7 +36,7 @@
 
 
 def make_gate(
-    kind: type[SponsorGate] | type[TurnGate],
+    kind: type[SponsorGate] | type[RoundRobinGate],
     own: str = "own",
     others: list[str] | None = None,
     *,
@@ -47,16 +54,16 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_vm_sends_nothing_just_behind_its_start(kind: type[SponsorGate] | type[TurnGate]) -> None:
+def test_a_vm_sends_nothing_just_behind_its_start(kind: type[SponsorGate] | type[RoundRobinGate]) -> None:
     gate = make_gate(kind)
-    assert not gate.may_send(make_upstream(), TERMS, START + QUIET_TIME - 0.1)
-    assert gate.find_wait(make_upstream(), TERMS, START + 0.5) == pytest.approx(QUIET_TIME - 0.5)
-    assert any(gate.may_send(make_upstream(), TERMS, START + QUIET_TIME + part / 10) for part in range(40))
+    assert not gate.may_send(make_upstream(), TERMS, START + STARTUP_DELAY_S - 0.1)
+    assert gate.get_wait(make_upstream(), TERMS, START + 0.5) == pytest.approx(STARTUP_DELAY_S - 0.5)
+    assert any(gate.may_send(make_upstream(), TERMS, START + STARTUP_DELAY_S + part / 10) for part in range(40))
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_vm_that_hears_of_nobody_although_there_are_others_sends_nothing(
-    kind: type[SponsorGate] | type[TurnGate],
+    kind: type[SponsorGate] | type[RoundRobinGate],
 ) -> None:
     gate = make_gate(kind, expects=True)
     assert not any(gate.may_send(make_upstream(), TERMS, 200 + part / 10) for part in range(100))
@@ -66,7 +73,7 @@
 def test_all_vms_together_have_their_view_s_part_of_the_bound(vms: int) -> None:
     names = make_names(vms)
     for number in range(20):
-        assert 0 < count_sponsors(names, make_upstream(f"u{number}")) <= 17 // VIEWS
+        assert 0 < count_sponsors(names, make_upstream(f"u{number}")) <= 17 // MAX_DISJOINT_VIEWS
 
 
 def test_two_views_without_a_vm_in_common_stay_below_the_bound() -> None:
@@ -81,9 +88,9 @@
     upstream = make_upstream()
     for number in range(8):
         assert gate.may_send(upstream, TERMS, 200 + number / 10)
-        gate.note_sent(upstream.id, 200 + number / 10)
+        gate.record_sent(upstream.id, 200 + number / 10)
     assert not gate.may_send(upstream, TERMS, 200.9)
-    assert gate.find_wait(upstream, TERMS, 200.9) == pytest.approx(0.12)
+    assert gate.get_wait(upstream, TERMS, 200.9) == pytest.approx(0.12)
     assert gate.may_send(upstream, TERMS, 201.03)
 
 
@@ -94,7 +101,7 @@
     gate.hold(upstream.id, 200.0)
     permit = Permit(gate, upstream.id)
     assert not gate.may_send(upstream, TERMS, 205.0)
-    assert gate.find_wait(upstream, TERMS, 205.0) > 0
+    assert gate.get_wait(upstream, TERMS, 205.0) > 0
     permit.use(206.0)
     permit.use(206.5)
     permit.drop(206.5)
@@ -108,13 +115,13 @@
 def test_what_is_held_is_not_forgotten() -> None:
     gate = make_gate(SponsorGate, bound=ColdBound(0.25, 0.0))
     gate.hold(make_upstream().id, 200.0)
-    assert not gate.may_send(make_upstream(), TERMS, 200 + 2 * FORGET_LOG)
+    assert not gate.may_send(make_upstream(), TERMS, 200 + 2 * LOG_RETENTION_S)
 
 
 def test_an_upstream_that_bears_less_than_all_views_need_gets_nothing() -> None:
     gate = make_gate(SponsorGate, bound=ColdBound(0.1, 0.0))
     assert not gate.may_send(make_upstream(), TERMS, 200.0)
-    assert gate.find_wait(make_upstream(), TERMS, 200.0) == math.inf
+    assert gate.get_wait(make_upstream(), TERMS, 200.0) == math.inf
 
 
 def test_the_vms_that_send_change_while_an_upstream_stays_cold_for_long() -> None:
@@ -127,23 +134,23 @@
         gates = {name: make_gate(SponsorGate, name, names, cold_until=until) for name in names}
         return {name for name, gate in gates.items() if gate.may_send(upstream, TERMS, now)}
 
-    first, second = list_sponsors(2 * TERM - TERM_GAP - 0.5), list_sponsors(TERM - TERM_GAP - 0.5)
+    first, second = list_sponsors(2 * TERM_S - TERM_GAP_S - 0.5), list_sponsors(TERM_S - TERM_GAP_S - 0.5)
     assert first != second
     assert len(first) == len(second) == 8
-    assert not list_sponsors(TERM - TERM_GAP / 2), "two terms' VMs would send in one second"
+    assert not list_sponsors(TERM_S - TERM_GAP_S / 2), "two terms' VMs would send in one second"
     served: set[str] = set()
     for term in range(60):
-        served |= list_sponsors(term * TERM + 1.0)
+        served |= list_sponsors(term * TERM_S + 1.0)
     assert len(served) == len(names)
 
 
 def test_a_vm_has_one_turn_at_a_time() -> None:
     names = make_names(74)
-    gates = [make_gate(TurnGate, name, names, cold_until=1000.0) for name in names]
+    gates = [make_gate(RoundRobinGate, name, names, cold_until=1000.0) for name in names]
     for part in range(200):
         now = 200 + part / 20
         assert sum(gate.may_send(make_upstream(), TERMS, now) for gate in gates) <= 4
-    waits = [gate.find_wait(make_upstream(), TERMS, 200.0) for gate in gates]
+    waits = [gate.get_wait(make_upstream(), TERMS, 200.0) for gate in gates]
     assert all(
         gate.may_send(make_upstream(), TERMS, 200.0 + wait + 0.01) for gate, wait in zip(gates, waits, strict=True)
     )
@@ -157,24 +164,24 @@
     before = tracemalloc.get_traced_memory()[0]
     sponsored = [one for one in upstreams if gate.may_send(one, TERMS, 200.0)]
     for one in sponsored:
-        gate.note_sent(one.id, 200.0)
+        gate.record_sent(one.id, 200.0)
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert 5 <= len(sponsored) <= 80
     assert used < 1_000_000
-    gate.may_send(upstreams[0], TERMS, 200.0 + 2 * FORGET_LOG)
+    gate.may_send(upstreams[0], TERMS, 200.0 + 2 * LOG_RETENTION_S)
     assert not gate._logs
 
 
 def test_an_upstream_is_told_once_when_it_turns_cold_and_once_when_it_is_warm() -> None:
-    watch = ColdWatch()
+    watch = ColdTransitions()
     names = [UpstreamId("a"), UpstreamId("b")]
-    assert watch.take(names) == names
-    assert not watch.take(names)
+    assert watch.record_cold(names) == names
+    assert not watch.record_cold(names)
     until = {"a": 5.0, "b": 7.0}
-    assert watch.end(until.__getitem__, 6.0) == ["a"]
-    assert not watch.end(until.__getitem__, 6.5)
-    assert watch.take(names) == ["a"]
+    assert watch.pop_warm(until.__getitem__, 6.0) == ["a"]
+    assert not watch.pop_warm(until.__getitem__, 6.5)
+    assert watch.record_cold(names) == ["a"]
 
 
 def measure() -> None:
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -4,9 +4,15 @@
 
 import pytest
 
-from beamhatch.relay.choosing.chooser import LeastCost, Need
-from beamhatch.relay.choosing.distance import EVENT_BYTES, PLAIN_BYTES, UNTOLD_CACHE, Distances, find_cache
-from beamhatch.relay.choosing.standing import Standings
+from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
+from beamhatch.relay.choosing.distance import (
+    EVENT_BYTES,
+    PLAIN_BYTES,
+    UNKNOWN_CACHE_TRANSFER,
+    DistanceCosts,
+    compute_cache_transfer,
+)
+from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Address, Engine, Handle, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Places, RegionName
@@ -25,36 +31,43 @@
 
 
 def make_need(engine: Engine, decode_hall: str = "") -> Need:
-    return Need("p", 5000, 5068, cache=find_cache(engine, 5000), answer_bytes=68 * EVENT_BYTES, decode_hall=decode_hall)
+    return Need(
+        "p",
+        5000,
+        5068,
+        cache=compute_cache_transfer(engine, 5000),
+        answer_bytes=68 * EVENT_BYTES,
+        decode_hall=decode_hall,
+    )
 
 
 @pytest.mark.parametrize(("engine", "costs"), [(LARGE, (5.0, 26.5, 99.6)), (SMALL, (2.6, 7.1, 31.9))])
 def test_one_formula_weighs_caches_of_all_sizes(engine: Engine, costs: tuple[float, ...]) -> None:
-    cache = find_cache(engine, 5000)
-    found = [1000 * Distances("a", PLACES).count_move("a", hall, cache) for hall in HALLS]
+    cache = compute_cache_transfer(engine, 5000)
+    found = [1000 * DistanceCosts("a", PLACES).compute_transfer_cost("a", hall, cache) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
 
 
 @pytest.mark.parametrize(("size", "costs"), [(68 * EVENT_BYTES, (0.5, 16.3, 70.9)), (PLAIN_BYTES, (0.5, 4.0, 34.0))])
 def test_ways_cost_round_trips_and_the_bytes_that_cross(size: int, costs: tuple[float, ...]) -> None:
-    found = [1000 * Distances("a", PLACES).count_way(hall, size) for hall in HALLS]
+    found = [1000 * DistanceCosts("a", PLACES).compute_request_cost(hall, size) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
 
 
 @pytest.mark.parametrize("engine", [Engine(1, 1, 0.5), Engine(1, 1, 0.5, kv_token_bytes=9.0)])
 def test_what_is_not_told_has_a_prior(engine: Engine) -> None:
-    assert find_cache(engine, 5000) is UNTOLD_CACHE
+    assert compute_cache_transfer(engine, 5000) is UNKNOWN_CACHE_TRANSFER
 
 
 def count_prompts_until_far(engine: Engine, near: str, far: str) -> int:
     """Return how many prompts have to wait at a near prefill engine until a far one is chosen."""
-    standings = Standings()
-    chooser = LeastCost(standings, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
+    standings = UpstreamStatsRegistry()
+    chooser = LeastCostChooser(standings, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make("near", Phase.PREFILL, near), make("far", Phase.PREFILL, far)]
     for number in range(10):
         if chooser.choose_prefill(engines, make_need(engine, "a"), set(), NOW) is engines[1]:
             return number
-        standings.get(engines[0].id).begin(500, NOW)
+        standings.get(engines[0].id).record_start(500, NOW)
     return 10
 
 
@@ -64,14 +77,14 @@
 
 
 def test_a_prompt_is_read_in_the_region_whose_decode_engine_has_memory_for_it() -> None:
-    chooser = LeastCost(Standings(), "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
+    chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make("west", Phase.PREFILL, "a"), make("east", Phase.PREFILL, "c")]
     assert chooser.choose_prefill(engines, make_need(LARGE), set(), NOW) is engines[0]
     assert chooser.choose_prefill(engines, make_need(LARGE, "c"), set(), NOW) is engines[1]
 
 
 def test_a_stream_comes_from_the_callers_hall_and_a_cache_goes_to_its_own() -> None:
-    chooser = LeastCost(Standings(), "a", places=PLACES)
+    chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", places=PLACES)
     near, far = make("near", Phase.DECODE, "a"), make("far", Phase.DECODE, "b")
     engines = [far, near]
     assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=None, kv_tokens=KV) is near
@@ -81,5 +94,9 @@
 
 
 def test_distance_costs_nothing_where_it_is_left_out() -> None:
-    distances = Distances("a", PLACES, counts=False)
-    assert distances.count_way("c", 1e6) == distances.count_move("a", "c", find_cache(LARGE, 5000)) == 0.0
+    distances = DistanceCosts("a", PLACES, enabled=False)
+    assert (
+        distances.compute_request_cost("c", 1e6)
+        == distances.compute_transfer_cost("a", "c", compute_cache_transfer(LARGE, 5000))
+        == 0.0
+    )
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamhatch.relay.choosing.cold import ColdGate
+from beamhatch.relay.choosing.cold_gate import ColdGate
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
@@ -25,13 +25,13 @@
     def hold(self, upstream: UpstreamId, now: float) -> None:
         pass
 
-    def end_hold(self, upstream: UpstreamId, now: float) -> None:
+    def release(self, upstream: UpstreamId, now: float) -> None:
         pass
 
-    def note_sent(self, upstream: UpstreamId, now: float) -> None:
+    def record_sent(self, upstream: UpstreamId, now: float) -> None:
         self.sent.append(upstream)
 
-    def find_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
+    def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         return 1.0
 
 
@@ -67,7 +67,7 @@
     assert eligibility.list_eligible(upstreams, None, COLD, 11.9) == upstreams[1:]
     assert eligibility.list_eligible(upstreams, None, COLD, 12.1) == upstreams
     for one in upstreams:
-        eligibility.note_send(one, COLD, 11.9)
+        eligibility.record_send(one, COLD, 11.9)
     assert isinstance(eligibility.gate, ShutGate)
     assert eligibility.gate.sent == [upstreams[0].id]
 
--- a/tests/relay/choosing/test_peer_work.py
+++ b/tests/relay/choosing/test_peer_backlog.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamhatch.relay.choosing.peer_work import PeerWork
+from beamhatch.relay.choosing.peer_backlog import PeerBacklog
 from beamhatch.relay.fleet.peer_words import TOLD_LIFE
 from beamhatch.relay.model import UpstreamId
 
@@ -10,7 +10,7 @@
 
 
 def test_sums_what_was_told_last_by_each() -> None:
-    work = PeerWork()
+    work = PeerBacklog()
     work.take("a", {"e1": 3000, "e2": 500}, 10.0)
     work.take("b", {"e1": 1000}, 10.1)
     work.take("a", {"e1": 2000}, 10.2)
@@ -19,7 +19,7 @@
 
 
 def test_believes_nobody_who_fell_silent() -> None:
-    work = PeerWork()
+    work = PeerBacklog()
     work.take("a", {"e1": 3000}, 10.0)
     work.take("b", {"e1": 1000}, 11.0)
     assert work.count_tokens(ENGINE, 10.5 + TOLD_LIFE) == 1000
--- a/tests/relay/choosing/test_read_times.py
+++ b/tests/relay/choosing/test_prefill_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from beamhatch.relay.choosing.read_times import ReadTimes
+from beamhatch.relay.choosing.prefill_times import PrefillTimes
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from tests.support.platform import Platform, make_platform
 
@@ -13,13 +13,13 @@
 
 
 def test_the_slowest_counts_for_some_seconds() -> None:
-    times = ReadTimes()
-    assert times.find_slowest(10.0) == 0.0
-    times.note(0.8, 10.0)
-    times.note(0.2, 11.0)
-    assert times.find_slowest(12.0) == 0.8
-    assert times.find_slowest(14.5) == 0.2
-    assert times.find_slowest(16.0) == 0.0
+    times = PrefillTimes()
+    assert times.get_longest(10.0) == 0.0
+    times.record(0.8, 10.0)
+    times.record(0.2, 11.0)
+    assert times.get_longest(12.0) == 0.8
+    assert times.get_longest(14.5) == 0.2
+    assert times.get_longest(16.0) == 0.0
 
 
 def make_slower(platform: Platform, rate: float) -> None:
--- a/tests/relay/choosing/test_lack.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -5,7 +5,13 @@
 import random
 
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
-from beamhatch.relay.choosing.lack import EMPTIED_WAIT, LEAVING_WAIT, TRIAL_WAIT, find_lack, spread_return
+from beamhatch.relay.choosing.shortage import (
+    EVACUATED_RETRY_S,
+    LEAVING_RETRY_S,
+    PROBE_RETRY_S,
+    detect_shortage,
+    spread_retry,
+)
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.upstreams.listing import Entry, Listing
@@ -30,8 +36,8 @@
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     eligibility.listing.note_leaving(upstreams[0].life, NOW)
-    assert find_lack(eligibility, upstreams, None, None, NOW) is None
-    assert find_lack(eligibility, [], None, None, NOW) is None
+    assert detect_shortage(eligibility, upstreams, None, None, NOW) is None
+    assert detect_shortage(eligibility, [], None, None, NOW) is None
 
 
 def test_where_all_leave_or_lie_in_emptied_halls_that_is_told() -> None:
@@ -39,42 +45,42 @@
     eligibility = make_eligibility(upstreams)
     for one in upstreams:
         eligibility.listing.note_leaving(one.life, NOW)
-    lack = find_lack(eligibility, upstreams, None, None, NOW)
+    lack = detect_shortage(eligibility, upstreams, None, None, NOW)
     assert lack is not None
-    assert (lack.obstacle, lack.wait) == (Obstacle.LEAVING, LEAVING_WAIT)
+    assert (lack.obstacle, lack.wait) == (Obstacle.LEAVING, LEAVING_RETRY_S)
     for hall in "ab":
         eligibility.evacuations.take(Evacuation(hall, 2, True), NOW)
-    lack = find_lack(eligibility, upstreams, None, None, NOW)
+    lack = detect_shortage(eligibility, upstreams, None, None, NOW)
     assert lack is not None
-    assert (lack.obstacle, lack.wait) == (Obstacle.EMPTIED, EMPTIED_WAIT)
+    assert (lack.obstacle, lack.wait) == (Obstacle.EVACUATED, EVACUATED_RETRY_S)
 
 
 def test_where_any_rests_the_end_of_the_first_rest_is_told() -> None:
     upstreams = make_upstreams("abc")
     eligibility = make_eligibility(upstreams)
     eligibility.listing.note_leaving(upstreams[0].life, NOW)
-    eligibility.rests.take(upstreams[1].life, 5.0, NOW)
-    eligibility.rests.take(upstreams[2].life, 3.0, NOW)
-    lack = find_lack(eligibility, upstreams, None, None, NOW + 1.0)
+    eligibility.backoffs.record(upstreams[1].life, 5.0, NOW)
+    eligibility.backoffs.record(upstreams[2].life, 3.0, NOW)
+    lack = detect_shortage(eligibility, upstreams, None, None, NOW + 1.0)
     assert lack is not None
-    assert lack.obstacle is Obstacle.RESTING
+    assert lack.obstacle is Obstacle.BACKING_OFF
     assert 2.0 <= lack.wait <= 2.75
 
 
 def test_while_a_first_request_tries_whether_one_is_back_others_may_come_soon() -> None:
     upstreams = make_upstreams("a")
     eligibility = make_eligibility(upstreams)
-    eligibility.rests.take(upstreams[0].life, 1.0, NOW)
-    eligibility.rests.begin(upstreams[0].life, NOW + 2.0)
-    lack = find_lack(eligibility, upstreams, None, None, NOW + 2.0)
+    eligibility.backoffs.record(upstreams[0].life, 1.0, NOW)
+    eligibility.backoffs.begin_request(upstreams[0].life, NOW + 2.0)
+    lack = detect_shortage(eligibility, upstreams, None, None, NOW + 2.0)
     assert lack is not None
-    assert (lack.obstacle, lack.wait) == (Obstacle.RESTING, TRIAL_WAIT)
+    assert (lack.obstacle, lack.wait) == (Obstacle.BACKING_OFF, PROBE_RETRY_S)
 
 
 def play_returns(rate: int, rest: float) -> list[float]:
     """Return when callers come back that were refused in a rest, in seconds behind its end."""
     return [
-        spread_return(rest - at, random.random(), owed=False) - (rest - at)
+        spread_retry(rest - at, random.random(), owed=False) - (rest - at)
         for at in (number / rate for number in range(round(rate * rest)))
     ]
 
@@ -91,6 +97,6 @@
 
 def test_callers_that_came_back_before_go_first() -> None:
     for wait in (0.05, 1.0, 3.0):
-        latest_owed = spread_return(wait, 0.999, owed=True)
-        earliest_new = spread_return(wait, 0.0, owed=False)
+        latest_owed = spread_retry(wait, 0.999, owed=True)
+        earliest_new = spread_retry(wait, 0.0, owed=False)
         assert wait <= latest_owed <= earliest_new
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from beamhatch.relay.choosing.chooser import LOOKED_AT, LeastCost
-from beamhatch.relay.choosing.spill import PredictedSpill
-from beamhatch.relay.choosing.standing import Standings
+from beamhatch.relay.choosing.chooser import MAX_CANDIDATES, LeastCostChooser
+from beamhatch.relay.choosing.spill import CostSpillPolicy
+from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Distance
-from tests.relay.choosing.spill_play import PLACES, REGIONS, Play, RingSpill
+from tests.relay.choosing.spill_simulation import PLACES, REGIONS, RingSpillPolicy, Simulation
 
 LENGTH, BEGIN, END = 12.0, 3.0, 9.0
 """Seconds of a play, and from when to when one region is in trouble."""
@@ -31,34 +31,34 @@
 
 
 def test_in_calm_everybody_stays_in_its_region() -> None:
-    count = Play(PredictedSpill, 1).run(LENGTH, play_calm)
+    count = Simulation(CostSpillPolicy, 1).run(LENGTH, play_calm)
     assert count.far < 0.01
     assert count.missed == 0
 
 
 def test_without_distance_costs_they_do_not() -> None:
-    count = Play(PredictedSpill, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(LENGTH, play_calm)
+    count = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(LENGTH, play_calm)
     assert count.far > 0.3
 
 
 def test_what_a_region_cannot_bear_spills_and_is_in_time() -> None:
-    count = Play(PredictedSpill, 1).run(LENGTH, play_surge)
+    count = Simulation(CostSpillPolicy, 1).run(LENGTH, play_surge)
     assert count.missed < 0.005
     assert 0.02 < count.far < 0.25
 
 
 @pytest.mark.parametrize(
-    ("make_spill", "without"), [(PredictedSpill, frozenset({Mechanism.SPILL})), (RingSpill, ALL_IN)]
+    ("make_spill", "without"), [(CostSpillPolicy, frozenset({Mechanism.SPILL})), (RingSpillPolicy, ALL_IN)]
 )
 def test_where_refusals_say_nothing_of_a_region_its_callers_wait_for_it(
-    make_spill: type[PredictedSpill | RingSpill], without: Without
+    make_spill: type[CostSpillPolicy | RingSpillPolicy], without: Without
 ) -> None:
     """What the kept way is compared with: rings go by loads that a VM mostly does not know."""
-    assert Play(make_spill, 1, without).run(LENGTH, play_surge).missed > 0.02
+    assert Simulation(make_spill, 1, without).run(LENGTH, play_surge).missed > 0.02
 
 
 def test_a_region_without_engines_is_served_by_the_others_and_has_its_own_back_at_once() -> None:
-    count = Play(PredictedSpill, 1).run(LENGTH, play_calm, is_gone)
+    count = Simulation(CostSpillPolicy, 1).run(LENGTH, play_calm, is_gone)
     assert count.missed < 0.005
     by_second = [count.far_by_second[second] for second in range(int(LENGTH))]
     assert min(by_second[int(BEGIN) : int(END)]) > 30
@@ -71,9 +71,9 @@
         for hall in REGIONS
         for n in range(10)
     ]
-    chooser = LeastCost(Standings(), "x1", without=without, places=PLACES)
-    drawn = [one for _ in range(runs) for one in chooser._draw(engines, Phase.DECODE, set(), 1.0, "x1")]
-    assert len(drawn) == LOOKED_AT * runs
+    chooser = LeastCostChooser(UpstreamStatsRegistry(), "x1", without=without, places=PLACES)
+    drawn = [one for _ in range(runs) for one in chooser._sample(engines, Phase.DECODE, set(), 1.0, "x1")]
+    assert len(drawn) == MAX_CANDIDATES * runs
     return Counter(PLACES.measure("x1", one.hall) for one in drawn)
 
 
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.chooser import LeastCost, Need
-from beamhatch.relay.choosing.distance import EVENT_BYTES, find_cache
-from beamhatch.relay.choosing.standing import Standings
+from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
+from beamhatch.relay.choosing.distance import EVENT_BYTES, compute_cache_transfer
+from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
 from beamhatch.relay.model import (
     Address,
     Engine,
@@ -43,11 +43,11 @@
     return Upstream(UpstreamId(name), SERVICE, Address(name, 1), hall, False, Phase.DECODE, 16)
 
 
-class RecordingChooser(LeastCost):
+class RecordingChooser(LeastCostChooser):
     """Keeps what it was asked for."""
 
     def __init__(self) -> None:
-        super().__init__(Standings(), "a")
+        super().__init__(UpstreamStatsRegistry(), "a")
         self.needs: list[Need] = []
 
     def choose_decode(
@@ -66,7 +66,7 @@
 
 def test_tells_the_bytes_of_its_cache_its_body_and_its_answer() -> None:
     need = make_request().need
-    assert need.cache == find_cache(ENGINE, 5000)
+    assert need.cache == compute_cache_transfer(ENGINE, 5000)
     assert need.body_bytes == 700
     assert need.answer_bytes == 40 * EVENT_BYTES
 
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from beamhatch.relay.choosing.chooser import LeastCost
-from beamhatch.relay.choosing.standing import Standings
+from beamhatch.relay.choosing.chooser import LeastCostChooser
+from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
 from beamhatch.relay.model import (
     Address,
     Engine,
@@ -56,7 +56,7 @@
         traits = Engine(128, 60_000, 0.5, 2.0 if holds else 0.0) if engine else None
         self.request = RelayRequest(RequestFacts("q", None, None, 5000, 100), route, Service(SERVICE, traits))
         self.budget = Budget(BudgetTerms())
-        self.chooser = LeastCost(Standings(), "h")
+        self.chooser = LeastCostChooser(UpstreamStatsRegistry(), "h")
         phases = [Phase.PREFILL, Phase.PREFILL, Phase.DECODE, Phase.DECODE, Phase.DECODE]
         if not self.request.split:
             phases = [Phase.PLAIN] * 4
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -9,8 +9,8 @@
 from beamhatch.platform import store as platform_store
 from beamhatch.platform.epochs import Epoch
 from beamhatch.platform.run import main
+from beamhatch.relay.choosing.backoffs import Backoffs
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
-from beamhatch.relay.choosing.rests import Rests
 from beamhatch.relay.core import Core
 from beamhatch.relay.daemon import Daemon
 from beamhatch.relay.limits.limits import Limits
@@ -36,13 +36,13 @@
 
 def _passes_obstacle(obstacle: Obstacle) -> Callable[[], None]:
     def mutate() -> None:
-        find = Eligibility.find_obstacle
+        find = Eligibility.get_obstacle
 
         def find_other(self: Eligibility, *arguments: Any) -> Obstacle | None:
             found = find(self, *arguments)
             return None if found is obstacle else found
 
-        Eligibility.find_obstacle = find_other  # type: ignore[method-assign,assignment]
+        Eligibility.get_obstacle = find_other  # type: ignore[method-assign,assignment]
 
     return mutate
 
@@ -77,7 +77,7 @@
 
 
 def _ignores_rests() -> None:
-    Rests.may_send = lambda self, life, now: True  # type: ignore[method-assign]
+    Backoffs.may_send = lambda self, life, now: True  # type: ignore[method-assign]
 
 
 def _ignores_limits() -> None:
@@ -129,7 +129,7 @@
 MUTANTS = {
     "runs-again": Mutant(Promise.ONCE, UPSTREAM_FAULTS, _runs_again),
     "promises-falsely": Mutant(Promise.NOT_RUN, UPSTREAM_FAULTS, _promises_falsely),
-    "ignores-evacuations": Mutant(Promise.EMPTIED, [FaultKind.EVACUATE], _passes_obstacle(Obstacle.EMPTIED)),
+    "ignores-evacuations": Mutant(Promise.EMPTIED, [FaultKind.EVACUATE], _passes_obstacle(Obstacle.EVACUATED)),
     "ignores-regions": Mutant(Promise.REGION, [FaultKind.CONFIGURE], _passes_obstacle(Obstacle.REGION)),
     "ignores-cold": Mutant(Promise.COLD, COLD_FAULTS, _ignores_cold),
     "uses-leaving": Mutant(Promise.LEAVING, [FaultKind.UPSTREAM_LEAVES], _uses_leaving),
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.cold import WINDOW, ColdBound, ColdGate, KnownVms
-from beamhatch.relay.choosing.sponsors import SponsorGate
-from beamhatch.relay.choosing.turns import TurnGate
+from beamhatch.relay.choosing.cold_gate import WINDOW_S, ColdBound, ColdGate, KnownVms
+from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
+from beamhatch.relay.choosing.sponsor_gate import SponsorGate
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
 
 if TYPE_CHECKING:
@@ -16,19 +16,19 @@
 
 TERMS = ColdTerms(3.0, 8.0)
 BOUND = ColdBound(1.5, 5.0)
-MOST = 17
+MAX_REQUESTS = 17
 """Requests that a cold upstream may get in any second by these."""
 
-STEP = 0.01
+STEP_S = 0.01
 """Seconds."""
 
-LATEST_NEWS = 1.0
+MAX_UPDATE_DELAY_S = 1.0
 """Seconds until the last VM knows that an upstream is cold, or that there is a new VM."""
 
-LONGEST_CONNECT = 0.05
+MAX_CONNECT_S = 0.05
 """Seconds between the choice of an upstream and the request on its way there."""
 
-Kind = type[SponsorGate] | type[TurnGate]
+Kind = type[SponsorGate] | type[RoundRobinGate]
 
 
 @dataclass(eq=False)
@@ -73,7 +73,7 @@
 
     def _start(self, name: str) -> Vm:
         offset = self.random.uniform(-500, 500)
-        lag = self.random.uniform(0, LATEST_NEWS)
+        lag = self.random.uniform(0, MAX_UPDATE_DELAY_S)
         vm: Vm
 
         def find_cold_until(upstream: UpstreamId) -> float:
@@ -102,12 +102,12 @@
         for vm in self.vms:
             for other in self.vms:
                 if other is not vm and other.name not in vm.others:
-                    self._later.append((self.now + self.random.uniform(0, LATEST_NEWS), other.name, vm))
+                    self._later.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, vm))
 
     def restart(self, vms: Iterable[Vm]) -> None:
         """Have VMs forget everything; those in touch tell them most of whom they know before they may send."""
         gone = list(vms)
-        told = {vm.name: self._list_told(vm) for vm in gone}
+        told = {vm.name: self._list_announced(vm) for vm in gone}
         for vm in gone:
             self.vms.remove(vm)
         for vm in gone:
@@ -115,10 +115,14 @@
             back.side = vm.side
             for name in told[vm.name]:
                 soon = self.random.random() < 0.7
-                delay = self.random.uniform(0, LATEST_NEWS) if soon else self.random.uniform(0, 4 * LATEST_NEWS)
+                delay = (
+                    self.random.uniform(0, MAX_UPDATE_DELAY_S)
+                    if soon
+                    else self.random.uniform(0, 4 * MAX_UPDATE_DELAY_S)
+                )
                 self._later.append((self.now + delay, name, back))
 
-    def _list_told(self, vm: Vm) -> list[str]:
+    def _list_announced(self, vm: Vm) -> list[str]:
         in_touch = [one for one in self.vms if one.side == vm.side and one is not vm]
         names = {name for one in in_touch[:4] for name in one.others} | {one.name for one in in_touch}
         return sorted(names - {vm.name})
@@ -133,8 +137,8 @@
         others = [vm for vm in self.vms if vm.side == 0]
         new = self._start(name)
         for other in others:
-            self._later.append((self.now + self.random.uniform(0, LATEST_NEWS), other.name, new))
-            self._later.append((self.now + self.random.uniform(0, LATEST_NEWS), name, other))
+            self._later.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, new))
+            self._later.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), name, other))
 
     def remove(self, vm: Vm) -> None:
         """Lose a VM for good."""
@@ -152,12 +156,12 @@
         owed = 0.0
         while self.now < end - 1e-9:
             self._learn()
-            owed += demand * STEP * len(self.upstreams)
+            owed += demand * STEP_S * len(self.upstreams)
             while owed > self.random.random():
                 owed -= 1
                 self._ask(self.random.choice(vms or self.vms), self.random.choice(self.upstreams))
             self._deliver()
-            self.now += STEP
+            self.now += STEP_S
 
     def _learn(self) -> None:
         due = [one for one in self._later if one[0] <= self.now]
@@ -173,21 +177,21 @@
             return
         vm.gate.hold(upstream.id, now)
         self.served.add(vm.name)
-        self._pending.append((self.now + self.random.uniform(0, LONGEST_CONNECT), upstream.id, vm, vm.gate))
+        self._pending.append((self.now + self.random.uniform(0, MAX_CONNECT_S), upstream.id, vm, vm.gate))
 
     def _deliver(self) -> None:
         due = [one for one in self._pending if one[0] <= self.now]
         self._pending = [one for one in self._pending if one[0] > self.now]
         for _, upstream, vm, gate in due:
-            gate.end_hold(upstream, self.now + vm.offset)
-            gate.note_sent(upstream, self.now + vm.offset)
+            gate.release(upstream, self.now + vm.offset)
+            gate.record_sent(upstream, self.now + vm.offset)
             self.sent.setdefault(upstream, []).append(self.now)
 
     # --- what came of it ---------------------------------------------------------------------------------------------
 
-    def find_worst(self) -> int:
+    def get_max_per_second(self) -> int:
         """Return the most requests that an upstream got in a second."""
-        return max((_count_most(times) for times in self.sent.values()), default=0)
+        return max((_count_max_per_second(times) for times in self.sent.values()), default=0)
 
     def count_sent(self) -> int:
         return sum(len(times) for times in self.sent.values())
@@ -218,7 +222,7 @@
             self.run(self.random.choice([0.2, 0.9, 2.5]), demand)
 
 
-def _count_most(times: list[float]) -> int:
+def _count_max_per_second(times: list[float]) -> int:
     most, first = 0, 0
     for last, at in enumerate(times):
         while at - times[first] > 1.0 + 1e-9:
@@ -227,4 +231,4 @@
     return most
 
 
-assert WINDOW > 1.0
+assert WINDOW_S > 1.0
