--- a/src/beamhatch/relay/choosing/__init__.py
+++ b/src/beamhatch/relay/choosing/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream gets a send, by what is known of each."""
+"""Selection of the upstream that a request is sent to."""
--- a/src/beamhatch/relay/choosing/backoffs.py
+++ b/src/beamhatch/relay/choosing/backoffs.py
@@ -1,8 +1,7 @@
-"""Which upstreams have asked this VM for rest, and how it comes back to them.
+"""Track upstreams that have asked this VM to back off, and ramp requests up again afterwards.
 
-This answers the load of an upstream that turns requests away as it is overloaded: repeats that come before it has asked
-for them, and all of a VM's requests at the moment in which its time is over. A rest is asked of one VM, so peers
-are not told: an upstream that has too much of one VM may have room for others.
+After a back-off, one request probes the upstream, and each answer allows more. An upstream asks one VM to back off and
+may have room for others, so back-offs are not shared with peers.
 """
 
 from __future__ import annotations
@@ -18,22 +17,16 @@
     from beamhatch.relay.model import Life, Upstream, UpstreamId
 
 MAX_JITTER = 0.25
-"""Share by which a rest is lengthened at the most, drawn anew for each.
-
-VMs that were turned away at one moment would else come back at one moment.
-"""
+"""Maximum random extension of a back-off, as a share of it, so that VMs do not all return at once."""
 
 INITIAL_PROBES = 1
-"""Requests that may be under way at an upstream whose rest is over, before any has come to an answer there."""
+"""Requests that may be in flight after a back-off until the first one is answered."""
 
 RECOVERY_ANSWERS = 16
-"""Answers behind which an upstream is as any other: each lets two more in, so they come within five round trips."""
+"""Answers after which an upstream is used without limits again."""
 
 PROBE_TIMEOUT_S = 1.0
-"""Seconds behind which a request that has told nothing no longer keeps others away.
-
-The first event of a stream, or the answer of a plain service, comes within its target latency: 0.15 to 0.9 s.
-"""
+"""Seconds after which a probe without a result no longer counts as in flight."""
 
 
 @dataclass(slots=True)
@@ -41,12 +34,12 @@
     until: float
     """Monotonic seconds."""
     answers: int = 0
-    """Requests behind the end of the rest that came to an answer, and were not turned away."""
+    """Requests that were answered after the end of the back-off, and not rejected."""
     probes: deque[float] = field(default_factory=deque)
-    """When each of those began that are still to tell."""
+    """Start of each probe in flight."""
 
     def has_room(self, now: float) -> bool:
-        """Tell whether one more request may try whether the upstream is back."""
+        """Return whether one more probe may be sent."""
         while self.probes and self.probes[0] <= now - PROBE_TIMEOUT_S:
             self.probes.popleft()
         return len(self.probes) < INITIAL_PROBES + self.answers
@@ -54,14 +47,14 @@
 
 @dataclass(slots=True)
 class BackoffProbe:
-    """A request to an upstream whose rest is over; it tells once whether that is back."""
+    """Request to an upstream that has asked for a back-off; its result is recorded once."""
 
     backoffs: Backoffs
     life: Life
     _ended: bool = False
 
     def end(self, now: float, *, answered: bool) -> None:
-        """Tell, unless it has told."""
+        """Record the result, unless one was recorded before."""
         if not self._ended:
             self._ended = True
             self.backoffs.end_request(self.life, now, answered=answered)
@@ -69,68 +62,70 @@
 
 @dataclass(slots=True)
 class Backoffs:
-    """All rests that upstreams have asked this VM for, by the life that asked."""
+    """Back-offs that upstreams have asked this VM for, by the incarnation that asked."""
 
     _backoffs: dict[Life, _Backoff] = field(default_factory=dict)
     _ids: set[UpstreamId] = field(default_factory=set)
-    """Whose lives these are: by them, upstreams that ask nothing are passed at little cost."""
+    """Upstreams with a back-off, as a fast path for all others."""
 
     def may_send_to(self, upstream: Upstream, now: float) -> bool:
-        """Tell whether an upstream may be sent one more request; see ``may_send``."""
+        """Return whether an upstream may be sent one more request; see ``may_send``."""
         return upstream.id not in self._ids or self.may_send(upstream.life, now)
 
-    def record(self, life: Life, seconds: float, now: float) -> bool:
-        """Take in that an upstream wants nothing for some seconds; return whether it was not resting already."""
+    def record(self, incarnation: Life, seconds: float, now: float) -> bool:
+        """Record that an upstream asks for a back-off of some seconds; return whether none was active."""
         until = now + seconds * random.uniform(1.0, 1.0 + MAX_JITTER)
-        known = self._backoffs.get(life)
+        known = self._backoffs.get(incarnation)
         if known is not None and now < known.until:
             known.until = max(known.until, until)
             return False
-        self._backoffs[life] = _Backoff(until)
-        self._ids.add(life.id)
+        self._backoffs[incarnation] = _Backoff(until)
+        self._ids.add(incarnation.id)
         return True
 
-    def get_end(self, life: Life, now: float) -> float | None:
-        """Return when an upstream's rest ends, None where that is over or none was asked."""
-        rest = self._backoffs.get(life)
-        return rest.until if rest is not None and now < rest.until else None
+    def get_end(self, incarnation: Life, now: float) -> float | None:
+        """Return when an upstream's back-off ends, or None if none is active."""
+        backoff = self._backoffs.get(incarnation)
+        return backoff.until if backoff is not None and now < backoff.until else None
 
     def may_send(self, life: Life, now: float) -> bool:
-        """Tell whether an upstream may be sent one more request. It only looks."""
-        rest = self._backoffs.get(life)
-        return rest is None or (now >= rest.until and rest.has_room(now))
-
-    def is_active(self, life: Life, now: float) -> bool:
-        """Tell whether an upstream's rest lasts, so that it wants nothing at all."""
-        return self.get_end(life, now) is not None
-
-    def begin_request(self, life: Life, now: float) -> BackoffProbe | None:
-        """Count a request that is sent; return what it is to tell, None where the upstream did not ask for rest."""
-        rest = self._backoffs.get(life)
-        if rest is None:
+        """Return whether an upstream may be sent one more request, without counting it."""
+        backoff = self._backoffs.get(life)
+        return backoff is None or (now >= backoff.until and backoff.has_room(now))
+
+    def is_active(self, incarnation: Life, now: float) -> bool:
+        """Return whether an upstream's back-off is active."""
+        return self.get_end(incarnation, now) is not None
+
+    def begin_request(self, incarnation: Life, now: float) -> BackoffProbe | None:
+        """Count a request that is sent; return its probe, or None if the upstream has asked for no back-off."""
+        backoff = self._backoffs.get(incarnation)
+        if backoff is None:
             return None
-        rest.probes.append(now)
-        return BackoffProbe(self, life)
+        backoff.probes.append(now)
+        return BackoffProbe(self, incarnation)
 
-    def end_request(self, life: Life, now: float, *, answered: bool) -> None:
-        """Note that a request has told what it tells.
+    def end_request(self, incarnation: Life, now: float, *, answered: bool) -> None:
+        """Record the result of a probe.
 
-        :param answered: whether the upstream answered and did not turn it away
+        :param answered: whether the upstream answered and did not reject the request
         """
-        rest = self._backoffs.get(life)
-        if rest is None or now < rest.until:
+        backoff = self._backoffs.get(incarnation)
+        if backoff is None or now < backoff.until:
             return
-        if rest.probes:
-            rest.probes.popleft()
-        rest.answers += answered
-        if rest.answers >= RECOVERY_ANSWERS:
-            del self._backoffs[life]
+        if backoff.probes:
+            backoff.probes.popleft()
+        backoff.answers += answered
+        if backoff.answers >= RECOVERY_ANSWERS:
+            del self._backoffs[incarnation]
 
     def count_active(self, now: float) -> int:
-        """Return how many upstreams are resting."""
-        return sum(now < rest.until for rest in self._backoffs.values())
+        """Return the number of active back-offs."""
+        return sum(now < backoff.until for backoff in self._backoffs.values())
 
     def keep_only(self, listed: Collection[UpstreamId]) -> None:
-        """Drop those of upstreams that are not known any more."""
-        self._backoffs = {life: rest for life, rest in self._backoffs.items() if life.id in listed}
-        self._ids = {life.id for life in self._backoffs}
+        """Drop the back-offs of upstreams that are not listed."""
+        self._backoffs = {
+            incarnation: backoff for incarnation, backoff in self._backoffs.items() if incarnation.id in listed
+        }
+        self._ids = {incarnation.id for incarnation in self._backoffs}
--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -1,4 +1,4 @@
-"""Choose upstreams: the least predicted cost, in seconds."""
+"""Choose the upstream with the least predicted cost, in seconds."""
 
 from __future__ import annotations
 
@@ -22,67 +22,64 @@
     from beamhatch.relay.choosing.upstream_stats import UpstreamStats, UpstreamStatsRegistry
 
 UNRESPONSIVE_COST_S = 30.0
-"""Seconds: an upstream that does not answer is used only where there is no other."""
+"""Cost of an unresponsive upstream: high enough that it is used only when there is no other."""
 
 FAILURE_COST_S = 1.5
-"""Seconds that an upstream which fails everything costs more than one that fails nothing."""
+"""Cost of an upstream whose failure rate is 1."""
 
 LAPSE_COST_S = 2.0
-"""Seconds that a prefill engine whose handles lapse at once costs more: a prompt read in vain, and read again."""
+"""Cost of a prefill engine whose handles lapse at once, so that the prompt has to be prefilled again."""
 
 BUSY_COST_S = 1.0
-"""Seconds that an upstream which has just turned a request away costs more."""
+"""Cost of an upstream that rejected a request within the last ``BUSY_PAUSE_S``."""
 
 AFFINITY_BONUS_S = 0.08
-"""Seconds by which the engine that would have a prompt's parts goes before others."""
+"""Bonus for the prefill engine that the request's identity hashes to, as it may have cached parts of the prompt."""
 
 DECODE_STEP_COST_S = 0.012
-"""Seconds by which each further request at a decode engine slows one down."""
+"""Cost of each request that already runs at a decode engine."""
 
 MAX_KV_FILL = 0.85
-"""Share of a decode engine's KV memory above which it is used only where there is no other."""
+"""Share of a decode engine's KV memory above which ``FULL_COST_S`` applies."""
 
 SAMPLE_SIZE = 64
-"""Upstreams of both parts that are looked through for these."""
+"""Upstreams, of any phase, that are sampled from a large pool before those that can't be used are filtered out."""
 
 MAX_CANDIDATES = 12
-"""Upstreams that are weighed for one choice at the most; of more, as many are drawn at random."""
+"""Upstreams whose costs are compared for one choice; larger sets are sampled."""
 
 NEAR_CANDIDATES = {Distance.SAME_HALL: 4, Distance.SAME_REGION: 8}
-"""Of these, how many are drawn up to a distance, where there are as many.
-
-Of 60 engines in six halls, a draw from anywhere has two of the own hall in the mean, and none in one of twelve draws.
-"""
+"""Candidates to take from within each distance, if there are enough, so that a sample nearly always has local ones."""
 
 FULL_COST_S = 5.0
-"""Seconds that a decode engine without room costs more: longer than streams take, so that it is the last choice."""
+"""Cost of a decode engine without room: longer than a stream takes, so that it is the last choice."""
 
 DEFAULT_LATENCY_S = 0.06
-"""Seconds that a plain service is thought to take before any answer was seen."""
+"""Latency assumed for a plain service before the first answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What a request needs of an upstream."""
+    """What a request requires of an upstream."""
 
     identity: str
     prompt_tokens: int = 0
     tokens: int = 0
-    """Prompt and answer together."""
+    """Tokens of prompt and answer together."""
     cache: CacheTransfer = UNKNOWN_CACHE_TRANSFER
-    """What moving the prompt's KV cache takes."""
+    """Size and transfer time of the prompt's KV cache."""
     body_bytes: int = 0
-    """Bytes of its body."""
+    """Size of the request body."""
     answer_bytes: int = 0
-    """Bytes that its answer is thought to have."""
+    """Expected size of the answer."""
     decode_hall: str = ""
-    """The hall of the decode engine that has memory for it; empty where there is none yet."""
+    """Hall of the decode engine that has reserved memory for the request; empty if none has yet."""
     refused_halls: tuple[str, ...] = ()
-    """The hall of each decode engine that had no memory in this round."""
+    """Hall of each decode engine that refused the request for lack of memory in this round."""
 
 
 class Chooser(ABC):
-    """Chooses among usable upstreams; it only looks."""
+    """Strategy that chooses among usable upstreams, without changing their state."""
 
     def __init__(
         self,
@@ -101,21 +98,21 @@
         self._prefers_near = Mechanism.NEAR_DRAW not in without
         self.prefill_models = PrefillEstimators() if prefill_models is None else prefill_models
         self.peer_backlog = PeerBacklog() if peer_backlog is None else peer_backlog
-        self.compute_cold_cost: Callable[[Upstream, float], float] = _find_no_cost
-        """Returns the seconds that an upstream costs more as it is cold."""
+        self.compute_cold_cost: Callable[[Upstream, float], float] = _no_cold_cost
+        """Returns the additional cost of a cold upstream in seconds."""
         self._affinity_bonus = 0.0 if Mechanism.SESSION_GAIN in without else AFFINITY_BONUS_S
         self._failure_cost = 0.0 if Mechanism.FAULT_COST in without else FAILURE_COST_S
 
     @property
     def hall(self) -> str:
-        """Return the VM's hall."""
+        """Return the hall of this VM."""
         return self.distances.hall
 
     @abstractmethod
     def choose_prefill(
         self, usable: Sequence[Upstream], need: Need, tried: set[UpstreamId], now: float
     ) -> Upstream | None:
-        """Return a prefill engine, or None where there is none to ask."""
+        """Return a prefill engine, or None if there is no candidate."""
 
     @abstractmethod
     def choose_decode(
@@ -128,72 +125,78 @@
         handle: Handle | None,
         kv_tokens: int,
     ) -> Upstream | None:
-        """Return a decode engine, near the engine that holds the KV cache where there is one."""
+        """Return a decode engine, or None if there is no candidate.
+
+        :param handle: the KV cache of the prompt, if a prefill engine holds one
+        :param kv_tokens: the tokens that the KV memory of one decode engine holds
+        """
 
     @abstractmethod
     def predict_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
-        """Return the seconds until a prefill engine has read a prompt."""
+        """Return the seconds until a prefill engine has processed a prompt."""
 
     @abstractmethod
     def predict_decode_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
-        """Return the seconds until a decode engine has read a prompt itself."""
+        """Return the seconds until a decode engine has prefilled a prompt itself."""
 
     def is_unreachable(self, upstream: Upstream, now: float) -> bool:
-        """Tell whether a choice is known to answer nobody, so that there is no sense in sending it one more request."""
+        """Return whether an upstream is known to be unreachable and was probed just now."""
         return self.stats.get(upstream.id).is_unreachable(now)
 
     @abstractmethod
     def choose_plain(self, usable: Sequence[Upstream], tried: set[UpstreamId], now: float) -> Upstream | None:
-        """Return a replica of a plain service."""
+        """Return a replica of a plain service, or None if there is no candidate."""
 
 
 class LeastCostChooser(Chooser):
-    """Predicts the seconds until each upstream would be done, with a price on faults and distance."""
+    """Chooser of the upstream that is predicted to finish first, with costs added for failures and distance."""
 
     def choose_prefill(
         self, usable: Sequence[Upstream], need: Need, tried: set[UpstreamId], now: float
     ) -> Upstream | None:
-        """Return the prefill engine that is thought to be done first."""
+        """Return the prefill engine with the least predicted cost, or None if there is no candidate."""
         decode_hall = need.decode_hall or self.hall
         candidates = self._sample(usable, Phase.PREFILL, tried, now, decode_hall)
         if not candidates:
             return None
-        home = max(candidates, key=lambda one: hash_fraction(f"{need.identity}/{one.id}"))
+        preferred = max(candidates, key=lambda one: hash_fraction(f"{need.identity}/{one.id}"))
 
-        def count_place(hall: str) -> float:
-            way = self.distances.compute_request_cost(hall, need.body_bytes)
-            return way + self.distances.compute_transfer_cost(hall, decode_hall, need.cache)
+        def compute_hall_cost(hall: str) -> float:
+            request_cost = self.distances.compute_request_cost(hall, need.body_bytes)
+            return request_cost + self.distances.compute_transfer_cost(hall, decode_hall, need.cache)
 
-        places = {hall: count_place(hall) for hall in {one.hall for one in candidates}}
+        hall_costs = {hall: compute_hall_cost(hall) for hall in {one.hall for one in candidates}}
 
-        def count_cost(one: Upstream) -> float:
-            gain = self._affinity_bonus if one is home else 0.0
-            return self.predict_prefill(one, need, now) + places[one.hall] - gain + self.compute_cold_cost(one, now)
+        def compute_cost(one: Upstream) -> float:
+            bonus = self._affinity_bonus if one is preferred else 0.0
+            return (
+                self.predict_prefill(one, need, now) + hall_costs[one.hall] - bonus + self.compute_cold_cost(one, now)
+            )
 
-        return min(candidates, key=count_cost)
+        return min(candidates, key=compute_cost)
 
     def predict_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
-        """Return the seconds until a prefill engine has read a prompt, with a price on its faults."""
-        standing = self.stats.get(upstream.id)
-        ahead = self._estimate_tokens_ahead(upstream, need, now)
-        lapse = LAPSE_COST_S if now < standing.lapsed_until else 0.0
-        pace = self.prefill_models.get_prefill(upstream.service).model
-        return pace.predict(ahead + need.prompt_tokens) + lapse + self._compute_failure_cost(standing, now)
+        """Return the seconds until a prefill engine has processed a prompt, with the cost of its failures."""
+        stats = self.stats.get(upstream.id)
+        queued_tokens = self._estimate_tokens_ahead(upstream, need, now)
+        lapse_cost = LAPSE_COST_S if now < stats.lapsed_until else 0.0
+        model = self.prefill_models.get_prefill(upstream.service).model
+        return model.predict(queued_tokens + need.prompt_tokens) + lapse_cost + self._compute_failure_cost(stats, now)
 
     def predict_decode_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
-        """Return the seconds until a decode engine has read a prompt itself, with a price on its faults."""
-        standing = self.stats.get(upstream.id)
-        ahead = standing.pending_prefill_tokens + self.peer_backlog.count_tokens(upstream.id, now)
-        pace = self.prefill_models.get_decode(upstream.service).model
-        return pace.predict(ahead + need.prompt_tokens) + self._compute_failure_cost(standing, now)
+        """Return the seconds until a decode engine has prefilled a prompt itself, with the cost of its failures."""
+        stats = self.stats.get(upstream.id)
+        queued_tokens = stats.pending_prefill_tokens + self.peer_backlog.count_tokens(upstream.id, now)
+        model = self.prefill_models.get_decode(upstream.service).model
+        return model.predict(queued_tokens + need.prompt_tokens) + self._compute_failure_cost(stats, now)
 
     def _estimate_tokens_ahead(self, upstream: Upstream, need: Need, now: float) -> float:
-        """Return the tokens that a prefill engine has to read first, its own load and peers' words weighed."""
-        standing = self.stats.get(upstream.id)
+        """Return the tokens queued at a prefill engine, by this VM's requests, the engine's load and peers' reports."""
+        stats = self.stats.get(upstream.id)
         others = max(
-            standing.estimate_other_requests(now) * need.prompt_tokens, self.peer_backlog.count_tokens(upstream.id, now)
+            stats.estimate_other_requests(now) * need.prompt_tokens, self.peer_backlog.count_tokens(upstream.id, now)
         )
-        return standing.tokens + others
+        return stats.tokens + others
 
     def choose_decode(
         self,
@@ -205,7 +208,7 @@
         handle: Handle | None,
         kv_tokens: int,
     ) -> Upstream | None:
-        """Return the decode engine with the least work, near the VM and the handle where that costs nothing."""
+        """Return the decode engine with the least cost of load, distance and failures, or None without candidates."""
         candidates: Sequence[Upstream] = self._sample(usable, Phase.DECODE, tried, now, self.hall)
         find_region = self.distances.places.find_region
         refusals = Counter(find_region(hall) for hall in need.refused_halls)
@@ -217,7 +220,7 @@
                 lambda one: 1.0 if one.hall in refused else self._estimate_load(one, now),
             )
 
-        def count_place(hall: str) -> float:
+        def compute_hall_cost(hall: str) -> float:
             cost = self.distances.compute_request_cost(hall, need.body_bytes + need.answer_bytes)
             if handle is not None:
                 cost += self.distances.compute_transfer_cost(handle.upstream.hall, hall, need.cache)
@@ -225,75 +228,75 @@
                 cost += self._spill.compute_cost(find_region(hall), refusals)
             return cost
 
-        places = {hall: count_place(hall) for hall in {one.hall for one in candidates}}
+        hall_costs = {hall: compute_hall_cost(hall) for hall in {one.hall for one in candidates}}
 
-        def count_cost(one: Upstream) -> float:
-            standing = self.stats.get(one.id)
-            running = standing.running + standing.estimate_other_requests(now)
-            full = FULL_COST_S if standing.tokens + need.tokens > MAX_KV_FILL * kv_tokens else 0.0
+        def compute_cost(one: Upstream) -> float:
+            stats = self.stats.get(one.id)
+            running = stats.running + stats.estimate_other_requests(now)
+            full = FULL_COST_S if stats.tokens + need.tokens > MAX_KV_FILL * kv_tokens else 0.0
             cold = self.compute_cold_cost(one, now)
             return (
                 running * DECODE_STEP_COST_S
-                + places[one.hall]
+                + hall_costs[one.hall]
                 + full
                 + cold
-                + self._compute_failure_cost(standing, now)
+                + self._compute_failure_cost(stats, now)
             )
 
-        return min(candidates, key=count_cost, default=None)
+        return min(candidates, key=compute_cost, default=None)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
-        """Return the share of an engine's places that are known to be taken."""
-        standing = self.stats.get(upstream.id)
-        return (standing.running + standing.estimate_other_requests(now)) / max(1, upstream.slots)
+        """Return the estimated share of an engine's slots that are taken."""
+        stats = self.stats.get(upstream.id)
+        return (stats.running + stats.estimate_other_requests(now)) / max(1, upstream.slots)
 
     def choose_plain(self, usable: Sequence[Upstream], tried: set[UpstreamId], now: float) -> Upstream | None:
-        """Return the replica with the shortest predicted time."""
+        """Return the replica with the shortest predicted time, or None if there is no candidate."""
         candidates = self._sample(usable, None, tried, now, self.hall)
-        places = {
+        hall_costs = {
             hall: self.distances.compute_request_cost(hall, PLAIN_BYTES) for hall in {one.hall for one in candidates}
         }
 
-        def count_cost(one: Upstream) -> float:
-            standing = self.stats.get(one.id)
-            running = standing.running + standing.estimate_other_requests(now)
-            latency = standing.latency or DEFAULT_LATENCY_S
+        def compute_cost(one: Upstream) -> float:
+            stats = self.stats.get(one.id)
+            running = stats.running + stats.estimate_other_requests(now)
+            latency = stats.latency or DEFAULT_LATENCY_S
             work = latency * (1 + running / max(1, one.slots))
             return (
-                work + places[one.hall] + self.compute_cold_cost(one, now) + self._compute_failure_cost(standing, now)
+                work + hall_costs[one.hall] + self.compute_cold_cost(one, now) + self._compute_failure_cost(stats, now)
             )
 
-        return min(candidates, key=count_cost, default=None)
+        return min(candidates, key=compute_cost, default=None)
 
     def _sample(
         self, usable: Sequence[Upstream], phase: Phase | None, tried: set[UpstreamId], now: float, hall: str
     ) -> list[Upstream]:
-        """Return those that are weighed: all of a small pool, some of a large one, most of them near a hall."""
+        """Return the candidates to compare: all of a small pool, a sample of a large one, most of it near a hall."""
         drawn = usable if len(usable) <= SAMPLE_SIZE else random.sample(usable, SAMPLE_SIZE)
-        fitting = self._filter(drawn, phase, tried, now)
-        if not fitting and drawn is not usable:
-            fitting = self._filter(usable, phase, tried, now)
-        if len(fitting) <= MAX_CANDIDATES:
-            return fitting
-        return self._sample_near(fitting, hall) if self._prefers_near else random.sample(fitting, MAX_CANDIDATES)
-
-    def _sample_near(self, fitting: list[Upstream], hall: str) -> list[Upstream]:
-        """Return some from near a hall and some from anywhere, so that far ones are known when near ones are full."""
+        eligible = self._filter(drawn, phase, tried, now)
+        if not eligible and drawn is not usable:
+            eligible = self._filter(usable, phase, tried, now)
+        if len(eligible) <= MAX_CANDIDATES:
+            return eligible
+        return self._sample_near(eligible, hall) if self._prefers_near else random.sample(eligible, MAX_CANDIDATES)
+
+    def _sample_near(self, eligible: list[Upstream], hall: str) -> list[Upstream]:
+        """Return a sample from near a hall, and some from anywhere for when the near ones are full."""
         measure = self.distances.places.measure
-        distances = {found: measure(hall, found) for found in {one.hall for one in fitting}}
+        distances = {found: measure(hall, found) for found in {one.hall for one in eligible}}
         rings: dict[Distance, list[Upstream]] = {distance: [] for distance in Distance}
-        for one in fitting:
+        for one in eligible:
             rings[distances[one.hall]].append(one)
         drawn: list[Upstream] = []
-        rest = rings[Distance.OTHER_REGION]
-        for distance, most in NEAR_CANDIDATES.items():
+        others = rings[Distance.OTHER_REGION]
+        for distance, limit in NEAR_CANDIDATES.items():
             ring = rings[distance]
-            wanted = most - len(drawn)
-            first = random.randrange(len(ring)) if len(ring) > wanted else 0
-            turned = ring[first:] + ring[:first]
-            drawn += turned[:wanted]
-            rest += turned[wanted:]
-        return drawn + random.sample(rest, MAX_CANDIDATES - len(drawn))
+            count = limit - len(drawn)
+            first = random.randrange(len(ring)) if len(ring) > count else 0
+            rotated = ring[first:] + ring[:first]
+            drawn += rotated[:count]
+            others += rotated[count:]
+        return drawn + random.sample(others, MAX_CANDIDATES - len(drawn))
 
     def _filter(
         self, usable: Sequence[Upstream], phase: Phase | None, tried: set[UpstreamId], now: float
@@ -303,11 +306,11 @@
     def _is_candidate(self, upstream: Upstream, tried: set[UpstreamId], now: float) -> bool:
         return upstream.id not in tried and now >= self.stats.get(upstream.id).misdirected_until
 
-    def _compute_failure_cost(self, standing: UpstreamStats, now: float) -> float:
-        silent = UNRESPONSIVE_COST_S if now < standing.unresponsive_until else 0.0
-        busy = BUSY_COST_S if now < standing.busy_until else 0.0
-        return silent + busy + self._failure_cost * standing.get_failure_rate(now)
+    def _compute_failure_cost(self, stats: UpstreamStats, now: float) -> float:
+        unresponsive = UNRESPONSIVE_COST_S if now < stats.unresponsive_until else 0.0
+        busy = BUSY_COST_S if now < stats.busy_until else 0.0
+        return unresponsive + busy + self._failure_cost * stats.get_failure_rate(now)
 
 
-def _find_no_cost(upstream: Upstream, now: float) -> float:
+def _no_cold_cost(upstream: Upstream, now: float) -> float:
     return 0.0
--- a/src/beamhatch/relay/choosing/cold_gate.py
+++ b/src/beamhatch/relay/choosing/cold_gate.py
@@ -1,4 +1,4 @@
-"""What a cold upstream may be sent: so little over all VMs together that it does not fall over as it warms up."""
+"""Limit the rate of requests to cold upstreams over all VMs, so that they are not overloaded while they warm up."""
 
 from __future__ import annotations
 
@@ -14,129 +14,128 @@
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 WINDOW_S = 1.02
-"""Seconds over which this VM counts what it sent: the second that the bound is of, and the granularity of timers."""
+"""Seconds over which sent requests are counted: the second of the limit, plus timer granularity."""
 
 HELD_RETRY_S = 0.25
-"""Seconds until one asks again where room is held for a request that has not gone out: what a prompt is read in."""
+"""Seconds until the next check if all room is reserved by requests that have not been sent yet."""
 
 STARTUP_DELAY_S = 2.0
-"""Seconds behind its start in which a VM sends nothing to cold upstreams.
+"""Seconds after its start in which a VM sends nothing to cold upstreams.
 
-What it sent before a restart is more than a second old by then, and it has heard of the other VMs.
+Requests sent before a restart have left the window by then, and the other VMs are known.
 """
 
 DISCOVERY_S = 12.0
-"""Seconds behind its start in which a VM may not know all others: VMs tell each other of new ones every 10 s.
+"""Seconds after its start in which a VM may not know all others, since VMs announce new ones every 10 s.
 
-One that knows few takes itself for one of few. With views that are late by that, one of 50 fleets of 8 VMs was over the
-bound, by 3 of 17, as VMs that knew two others had a large part at once.
+A VM that knows few others would take too large a part of the limit.
 """
 
 VIEW_TTL_S = 1.0
-"""Seconds for which the VMs that are known of are not looked up anew."""
+"""Seconds after which the list of known VMs is refreshed."""
 
 LOG_RETENTION_S = 60.0
-"""Seconds without a request for which it is remembered what was sent to an upstream."""
+"""Seconds after the last request for which the send log of an upstream is kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """How many requests may reach a cold upstream in any second, over all VMs."""
+    """Limit on the requests that may reach a cold upstream in any second, over all VMs."""
 
     overage: float = 1.0
-    """Times the rate that the upstream bears."""
+    """Factor on the rate that the upstream accepts while it is cold."""
     slack: float = 0.0
-    """Requests on top of that."""
+    """Requests a second added to that."""
 
     def compute_limit(self, terms: ColdTerms) -> float:
-        """Return the requests of one second."""
+        """Return the requests that may be sent in one second."""
         return terms.rate * self.overage + self.slack
 
 
 @dataclass(frozen=True, slots=True)
 class KnownVms:
-    """The VMs that one VM knows of."""
+    """Access to the VMs that one VM knows of."""
 
     own: str
-    """Its name, which a restart does not change."""
+    """Name of this VM, which a restart does not change."""
     list_others: Callable[[float], Sequence[str]]
-    """Returns the names of those that were there of late, whether they are in touch or not."""
+    """Returns the names of recently seen VMs at a time, connected or not."""
     expects_others: Callable[[], bool]
-    """Tells whether there are others, although none may have been heard of."""
+    """Returns whether other VMs exist, even if none is known yet."""
 
 
 class ColdGate(ABC):
-    """Decides whether this VM may send one more request to an upstream that is cold.
+    """Limiter of the requests that this VM sends to cold upstreams.
 
-    The sum over all VMs, whatever they know of each other, is to stay below what the upstream bears in any second.
+    In any second, the sum over all VMs is to stay within the upstream's limit, even if the VMs don't know each other.
     """
 
     @abstractmethod
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
-        """Tell whether one more request may go there now. It only looks."""
+        """Return whether one more request may be sent now, without counting it."""
 
     @abstractmethod
     def hold(self, upstream: UpstreamId, now: float) -> None:
-        """Keep room for a request that is to go to a cold upstream, at a time that is not known yet."""
+        """Reserve room for a request that is to be sent to a cold upstream later."""
 
     @abstractmethod
     def release(self, upstream: UpstreamId, now: float) -> None:
-        """Give that room back: the request goes out now, or not at all."""
+        """Release reserved room when the request is sent or dropped."""
 
     @abstractmethod
     def record_sent(self, upstream: UpstreamId, now: float) -> None:
-        """Count a request that goes to a cold upstream."""
+        """Count a request that is sent to a cold upstream."""
 
     @abstractmethod
     def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return the seconds until this VM may send a request there: 0 where it may, infinite where it can't say."""
+        """Return the seconds until this VM may send a request: 0 if it may now, infinite if unknown."""
 
 
 @dataclass(slots=True)
 class Permit:
-    """Room for one request at a cold upstream, from the plan until it goes out or is given up."""
+    """Reserved room for one request at a cold upstream, until the request is sent or dropped."""
 
     gate: ColdGate
     upstream: UpstreamId
     _held: bool = True
 
     def use(self, now: float) -> None:
-        """Count the request: it goes out now."""
+        """Release the room and count the request as sent."""
         if self._held:
             self.drop(now)
             self.gate.record_sent(self.upstream, now)
 
     def drop(self, now: float) -> None:
-        """Give the room back, unless the request went out."""
+        """Release the room, unless that was done already."""
         if self._held:
             self._held = False
             self.gate.release(self.upstream, now)
 
 
 class UnlimitedGate(ColdGate):
-    """Bounds nothing."""
+    """Gate without a limit."""
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
-        """Say yes."""
+        """Return True."""
         return True
 
     def hold(self, upstream: UpstreamId, now: float) -> None:
-        """Hold nothing."""
+        """Do nothing."""
 
     def release(self, upstream: UpstreamId, now: float) -> None:
-        """Hold nothing."""
+        """Do nothing."""
 
     def record_sent(self, upstream: UpstreamId, now: float) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return no time."""
+        """Return 0."""
         return 0.0
 
 
 @dataclass(slots=True)
 class _SendLog:
-    """What this VM sent to one upstream in the last second, and what it holds room for."""
+    """Requests that this VM sent to one upstream within the window, and reservations."""
 
     times: deque[float] = field(default_factory=deque)
     held: int = 0
@@ -147,15 +146,15 @@
             self.times.popleft()
         return len(self.times) + self.held
 
-    def get_wait(self, most: int, now: float) -> float:
-        over = self.count(now) - most
-        if over < 0:
+    def get_wait(self, limit: int, now: float) -> float:
+        excess = self.count(now) - limit
+        if excess < 0:
             return 0.0
-        return self.times[over] + WINDOW_S - now if over < len(self.times) else HELD_RETRY_S
+        return self.times[excess] + WINDOW_S - now if excess < len(self.times) else HELD_RETRY_S
 
 
 class CountingGate(ColdGate):
-    """Lets a VM send some requests in any second; how many, and when, is what the kinds of it differ in."""
+    """Gate that counts sent requests in a sliding window; subclasses decide how many are allowed, and when."""
 
     def __init__(self, vms: KnownVms, bound: ColdBound, started: float) -> None:
         self.vms = vms
@@ -168,50 +167,50 @@
 
     @abstractmethod
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
-        """Return how many requests of any second this VM may send to a cold upstream now."""
+        """Return how many requests a second this VM may send to a cold upstream now."""
 
     @abstractmethod
     def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return the seconds until this VM may send any where it may not now; infinite where it can't say."""
+        """Return the seconds until ``count_allowed`` is above 0; infinite if unknown."""
 
     @abstractmethod
     def on_view_changed(self) -> None:
-        """Take in that other VMs are known of than before."""
+        """Handle a change of the set of known VMs."""
 
     def on_view_refreshed(self) -> None:
-        """Take in that it was looked anew which VMs there are."""
+        """Handle a refresh of the set of known VMs, whether it changed or not."""
 
     def is_discovering(self, now: float) -> bool:
-        """Tell whether this VM started so late that it may know few of the others."""
+        """Return whether this VM started so recently that it may not know all others."""
         return now < self._discovery_ends_at and self.vms.expects_others()
 
     def is_view_fresh(self, now: float) -> bool:
-        """Tell whether it was looked just now which VMs there are."""
+        """Return whether the list of known VMs is younger than ``VIEW_TTL_S``."""
         return now - self._refreshed_at < VIEW_TTL_S
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
-        """Tell whether one more request may go there now."""
+        """Return whether one more request may be sent now."""
         if not self._is_open(now):
             return False
         log = self._logs.get(upstream.id)
         return (0 if log is None else log.count(now)) < self.count_allowed(upstream, terms, now)
 
     def hold(self, upstream: UpstreamId, now: float) -> None:
-        """Keep room for a request."""
+        """Reserve room for a request."""
         log = self._get_log(upstream, now)
         log.held += 1
 
     def release(self, upstream: UpstreamId, now: float) -> None:
-        """Give room back."""
+        """Release reserved room."""
         log = self._get_log(upstream, now)
         log.held = max(0, log.held - 1)
 
     def record_sent(self, upstream: UpstreamId, now: float) -> None:
-        """Count a request."""
+        """Count a sent request."""
         self._get_log(upstream, now).times.append(now)
 
     def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return the seconds until there is room."""
+        """Return the seconds until there is room; infinite if unknown."""
         if not self._is_open(now):
             return self._startup_ends_at - now if now < self._startup_ends_at else math.inf
         allowed = self.count_allowed(upstream, terms, now)
@@ -222,15 +221,15 @@
 
     @property
     def vm_count(self) -> int:
-        """Return how many VMs there are, as far as this one knows."""
+        """Return the number of known VMs, with this one."""
         return 1 + len(self._others)
 
     def list_others(self) -> Sequence[str]:
-        """Return the other VMs."""
+        """Return the names of the other known VMs."""
         return self._others
 
     def _is_open(self, now: float) -> bool:
-        """Tell whether this VM may send anything: not just behind its start, nor while it hears of no other."""
+        """Return whether this VM may send at all: its startup delay is over, and it knows others if there are any."""
         if now < self._startup_ends_at:
             return False
         self._refresh_view(now)
--- a/src/beamhatch/relay/choosing/cold_transitions.py
+++ b/src/beamhatch/relay/choosing/cold_transitions.py
@@ -1,4 +1,4 @@
-"""Which upstreams are cold, as operators are told."""
+"""Detect when upstreams turn cold and warm, for the log."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True)
 class ColdTransitions:
-    """Tells each upstream that turns cold, and each that is warm again, once."""
+    """Set of cold upstreams that reports each change once."""
 
     cold: set[UpstreamId] = field(default_factory=set)
 
     def record_cold(self, upstreams: Iterable[UpstreamId]) -> list[UpstreamId]:
-        """Take in which upstreams said that they are cold; return those that were warm."""
+        """Record upstreams that announced that they are cold; return those that were warm before."""
         turned = [upstream for upstream in upstreams if upstream not in self.cold]
         self.cold.update(turned)
         return turned
 
     def pop_warm(self, find_cold_until: Callable[[UpstreamId], float], now: float) -> list[UpstreamId]:
-        """Return those that are warm again, or gone and forgotten."""
+        """Remove and return the upstreams that are warm again, or no longer known."""
         warm = [upstream for upstream in self.cold if find_cold_until(upstream) <= now]
         self.cold.difference_update(warm)
         return sorted(warm)
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -1,7 +1,6 @@
-"""What distance costs, in seconds: ways there and back, callers' bytes, and KV caches that move between engines.
+"""Compute the cost of distance in seconds: round trips, bytes of callers, and KV cache transfers between engines.
 
-One formula for caches of any size and links of any speed, so that a cache of 819 MB a prompt keeps engines together
-which one of 92 MB does not.
+The cost of a transfer grows with the size of the cache, so large caches keep prefill and decode close together.
 """
 
 from __future__ import annotations
@@ -15,59 +14,55 @@
     from beamhatch.relay.model import Engine
 
 ROUND_TRIP_S = {Distance.SAME_HALL: 0.0005, Distance.SAME_REGION: 0.001, Distance.OTHER_REGION: 0.025}
-"""Seconds there and back: usual for machines of one building, of one city, of cities some hundred kilometres apart."""
+"""Seconds of a network round trip."""
 
 TRANSFER_FACTORS = {Distance.SAME_HALL: 1.0, Distance.SAME_REGION: 2.0, Distance.OTHER_REGION: 10.0}
-"""How many times as long a KV cache is under way as it is within a hall; the platform's figures."""
+"""Transfer time of a KV cache relative to a transfer within a hall, as specified by the platform."""
 
 BYTE_COST_FACTORS = {Distance.SAME_HALL: 0.0, Distance.SAME_REGION: 1.0, Distance.OTHER_REGION: 3.0}
-"""How dear bytes are, in parts of what they cost between halls; the platform's figures for KV caches."""
+"""Cost of a byte relative to one that crosses halls of a region, as specified by the platform for KV caches."""
 
 KV_BYTE_COST_S = 0.02e-9
-"""Seconds that a byte of a KV cache counts for between halls.
-
-A cache of 0.8 GB then counts for 16 ms beside its time under way: about as much as one more stream at its engine.
-"""
+"""Seconds per byte of a KV cache that crosses halls, in addition to the transfer time."""
 
 CALLER_BYTE_COST_S = 1.5e-6
-"""Seconds that a byte of a caller's request or answer counts for between halls.
+"""Seconds per byte of a caller's request or answer that crosses halls.
 
-A plain answer of 2 kB counts for 3 ms and a stream of 68 events for 15 ms. A KV cache's byte counts for a 75,000th of
-that, as caches move on links of their own.
+Far above the cost of a KV cache's byte, since caches have links of their own.
 """
 
 PLAIN_BYTES = 2_000
-"""Bytes of a plain request and its answer, heads included."""
+"""Bytes of a plain request and its answer, with headers."""
 
 EVENT_BYTES = 150
-"""Bytes of one event of a stream, with what its packet and chunk add."""
+"""Bytes of one event of a stream, with packet and chunk overhead."""
 
 DEFAULT_TRANSFER_S = 0.02
-"""Seconds for which a KV cache is under way within a hall where its bytes or its link are not told."""
+"""Transfer time of a KV cache within a hall if its size or the link rate is unknown."""
 
 
 @dataclass(slots=True)
 class DistanceCosts:
-    """What distance costs one VM."""
+    """Costs of distance, as seen from one hall."""
 
     hall: str
     places: Places = field(default_factory=Places)
     enabled: bool = True
-    """False where distance is to cost nothing."""
+    """False if distance costs nothing."""
 
     def measure(self, hall: str) -> Distance:
-        """Return how far a hall is from this VM's."""
+        """Return the distance of a hall from this VM's hall."""
         return self.places.measure(self.hall, hall)
 
     def compute_request_cost(self, hall: str, caller_bytes: float) -> float:
-        """Return the seconds that an upstream's place costs, with a price on what crosses for the caller."""
+        """Return the cost of a request to a hall: the round trip, and the bytes of the caller that cross."""
         if not self.enabled:
             return 0.0
         distance = self.measure(hall)
         return ROUND_TRIP_S[distance] + caller_bytes * CALLER_BYTE_COST_S * BYTE_COST_FACTORS[distance]
 
     def compute_transfer_cost(self, source: str, target: str, cache: CacheTransfer) -> float:
-        """Return the seconds that it costs to move a KV cache between engines of two halls."""
+        """Return the cost of a KV cache transfer between engines of two halls."""
         if not self.enabled:
             return 0.0
         distance = self.places.measure(source, target)
@@ -76,20 +71,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheTransfer:
-    """What moving one prompt's KV cache takes."""
+    """Size and transfer time of one prompt's KV cache."""
 
     size: float = 0.0
-    """Bytes; 0 where they are not told."""
+    """Bytes; 0 if unknown."""
     seconds: float = DEFAULT_TRANSFER_S
-    """Seconds within a hall."""
+    """Transfer time within a hall."""
 
 
 UNKNOWN_CACHE_TRANSFER = CacheTransfer()
-"""Of a prompt whose bytes are not told."""
+"""Transfer of a cache of unknown size."""
 
 
 def compute_cache_transfer(engine: Engine, tokens: int) -> CacheTransfer:
-    """Return what moving the KV cache of some tokens takes."""
+    """Return the size and transfer time of the KV cache of some tokens."""
     size = tokens * engine.kv_token_bytes
     if not size or not engine.link_rate:
         return UNKNOWN_CACHE_TRANSFER
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -1,7 +1,7 @@
-"""Which upstreams a request may go to at all. What each of them would cost is another matter, of the chooser.
+"""Decide which upstreams a request may be sent to.
 
-Every decision that sends anything asks here, so that a new condition holds for all of them: first and repeated sends,
-prompts and streams, plain services, memory that is set aside.
+Every code path that sends a request checks here, also for retries and memory reservations, so that each condition holds
+for all of them. The chooser then compares the costs of eligible upstreams.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Obstacle(Enum):
-    """Why an upstream may not be sent a request."""
+    """Reason why an upstream may not be sent a request."""
 
     EVACUATED = "the operators have emptied its hall"
     LEAVING = "it leaves"
@@ -37,20 +37,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPermit:
-    """Room for one request at an upstream that is cold, names a limit, or both."""
+    """Reserved room for one request at an upstream that is cold, has announced a limit, or both."""
 
     cold: Permit | None
     limited: LimitPermit | None
 
     def use(self, now: float) -> None:
-        """Use the room: the request goes out now."""
+        """Use the room when the request is sent."""
         if self.cold is not None:
             self.cold.use(now)
         if self.limited is not None:
             self.limited.use(now)
 
     def drop(self, now: float) -> None:
-        """Give the room back, unless the request went out."""
+        """Release the room, unless the request was sent."""
         if self.cold is not None:
             self.cold.drop(now)
         if self.limited is not None:
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Eligibility:
-    """Knows what stands between requests and upstreams."""
+    """Conditions under which upstreams may be sent requests."""
 
     listing: Listing
     places: Places = field(default_factory=Places)
@@ -71,11 +71,11 @@
     def get_obstacle(
         self, upstream: Upstream, regions: Regions, cold: ColdTerms | None, now: float, *, owed: bool = False
     ) -> Obstacle | None:
-        """Return why an upstream may not be sent a request, or None where it may.
+        """Return why an upstream may not be sent a request, or None if it may.
 
-        :param regions: the regions that the request may be served in; None where it may be in any
-        :param cold: what upstreams of the service bear while they are cold; None where that is as much as ever
-        :param owed: whether its caller was refused before
+        :param regions: the regions that the request may be served in; None allows any
+        :param cold: the limits of the service's cold upstreams; None if they are not limited
+        :param owed: whether the caller was refused before
         """
         if self.evacuations.is_emptied(upstream.hall):
             return Obstacle.EVACUATED
@@ -90,28 +90,28 @@
         return Obstacle.COLD if self.is_cold_blocked(upstream, cold, now) else None
 
     def is_in_regions(self, upstream: Upstream, regions: Regions) -> bool:
-        """Tell whether an upstream is in one of the regions that a request may be served in."""
+        """Return whether an upstream is in one of the regions that a request may be served in."""
         return regions is None or self.places.lies_in(upstream.hall, regions)
 
     def is_cold(self, upstream: Upstream, cold: ColdTerms, now: float) -> bool:
-        """Tell whether an upstream is cold, or may be as its hall was taken back a moment ago."""
+        """Return whether an upstream is cold, or may be since the evacuation of its hall ended recently."""
         return now < self.get_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
         return now < max(self.listing.latest_cold, self.evacuations.latest_return + cold.start_time)
 
     def get_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
-        """Return until when an upstream is taken as cold, in monotonic seconds."""
+        """Return until when an upstream counts as cold, in monotonic seconds."""
         returned = self.evacuations.find_return(upstream.hall)
         return max(self.listing.find_cold_until(upstream.id), returned + cold.start_time)
 
     def get_cold_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
-        """Return the seconds until this VM may send to a cold upstream, at the latest when that is warm."""
+        """Return the seconds until this VM may send to a cold upstream, at most until it is warm."""
         warm_in = max(0.0, self.get_cold_until(upstream, cold) - now)
         return min(warm_in, self.gate.get_wait(upstream, cold, now))
 
     def acquire_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
-        """Hold room for a request that is to go to an upstream; None where that is warm, and names no limit."""
+        """Reserve room for a request to an upstream; return None if it is warm and has no limit."""
         limited = self.limits.hold(upstream.life, now)
         if cold is None or not self.is_cold(upstream, cold, now):
             return None if limited is None else SendPermit(None, limited)
@@ -119,11 +119,11 @@
         return SendPermit(Permit(self.gate, upstream.id), limited)
 
     def is_cold_blocked(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> bool:
-        """Tell whether a cold upstream bears no more from this VM now."""
+        """Return whether an upstream is cold and the gate allows no further request from this VM now."""
         return cold is not None and self.is_cold(upstream, cold, now) and not self.gate.may_send(upstream, cold, now)
 
     def record_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
-        """Count a request that goes to an upstream without a permit."""
+        """Count a request that is sent to an upstream without a permit."""
         self.limits.spend(upstream.life, now)
         if cold is not None and self.is_cold(upstream, cold, now):
             self.gate.record_sent(upstream.id, now)
@@ -137,14 +137,14 @@
         *,
         owed: bool = False,
     ) -> list[Upstream]:
-        """Return those of some upstreams that a request may go to."""
+        """Return the upstreams that a request may be sent to."""
         if cold is not None and not self._may_any_be_cold(cold, now):
-            cold = None  # 1,000 warm upstreams are looked through in a third of the time
+            cold = None  # skip the check of each upstream
         return [one for one in upstreams if self.get_obstacle(one, regions, cold, now, owed=owed) is None]
 
     def count_obstacles(
         self, upstreams: Iterable[Upstream], regions: Regions, cold: ColdTerms | None, now: float
     ) -> Counter[Obstacle]:
-        """Return how many of some upstreams each obstacle keeps a request from, for who asks why it was refused."""
+        """Return the number of upstreams that each obstacle excludes."""
         found = (self.get_obstacle(one, regions, cold, now) for one in upstreams)
         return Counter(obstacle for obstacle in found if obstacle is not None)
--- a/src/beamhatch/relay/choosing/peer_backlog.py
+++ b/src/beamhatch/relay/choosing/peer_backlog.py
@@ -1,7 +1,6 @@
-"""Which prompts other VMs have engines read at the moment, from what they tell.
+"""Track the prefill work that peers have queued at each engine.
 
-Engines need not say how busy they are. So each VM tells its peers how many prompt tokens of its requests are at each
-engine and not read yet; the sum is what a further prompt waits for.
+Engines need not report their load, so each VM sends its peers the number of its pending prompt tokens by engine.
 """
 
 from __future__ import annotations
@@ -16,10 +15,10 @@
 
 
 class PeerBacklog(PeerWords[Mapping[str, int]]):
-    """The tokens that are to be read for each VM, by engine."""
+    """Pending prompt tokens of each peer, by engine."""
 
     __slots__ = ()
 
     def count_tokens(self, upstream: UpstreamId, now: float) -> int:
-        """Return the tokens that an engine has to read for the VMs that were heard."""
+        """Return the pending prompt tokens at an engine, summed over the peers with a recent report."""
         return sum(tokens.get(upstream, 0) for tokens in self.list_values(now))
--- a/src/beamhatch/relay/choosing/prefill_model.py
+++ b/src/beamhatch/relay/choosing/prefill_model.py
@@ -1,7 +1,6 @@
-"""How fast the engines of a service read prompts, learned from the prompts that they read for this VM and its peers.
+"""Estimate how fast the engines of a service prefill prompts, from samples of this VM and its peers.
 
-The time of a reading is taken as a line over its tokens: some seconds for the call itself, and some for each token.
-Engines of one service are taken to be alike; one that is slower than the others shows in its own standing.
+The time of a prefill is modelled as a fixed overhead plus a time per token. All engines of a service share one model.
 """
 
 from __future__ import annotations
@@ -19,93 +18,89 @@
     from collections.abc import Sequence
 
 DEFAULT_TOKENS_PER_S = 30_000.0
-"""Prompt tokens a second before any reading was seen.
-
-Between the readers of the deployments that were measured (33,000 and 56,000) and half of them, and soon replaced.
-"""
+"""Prefill rate assumed before the model is fitted."""
 
 DEFAULT_OVERHEAD_S = 0.05
-"""Seconds of a call beside the reading, before any was seen: some round trips and the engine's own."""
+"""Overhead of a call assumed before the model is fitted: round trips and the engine's own."""
 
 DECODE_RATE_FACTOR = 0.375
-"""Pace of a decode engine that reads a prompt itself, as a share of a prefill engine's, before any was seen.
+"""Prefill rate of a decode engine relative to a prefill engine, assumed before the model is fitted.
 
-By the platform's pages it reads at half the pace, in pieces between the steps of its streams, which take a part too.
+Decode engines prefill in chunks between decode steps.
 """
 
 MAX_SAMPLES = 24
-"""Readings that a line is drawn through: some seconds of traffic."""
+"""Samples that a model is fitted to."""
 
 MAX_UNSENT = 8
-"""Readings that are kept to be told to peers: more than a VM sees between two beats, but for bursts."""
+"""Own samples kept until the next heartbeat to peers."""
 
 MIN_SAMPLES = 8
-"""Readings below which the prior is believed: lines through 8 were mostly within 0.15 of those through 24 (trials)."""
+"""Samples needed for the first fit."""
 
 FIT_INTERVAL_SAMPLES = 4
-"""Readings between two fits; a fit takes 0.1 ms."""
+"""Samples between two fits."""
 
 FIT_ITERATIONS = 4
-"""Times that a line is drawn anew through the readings that are nearest to it; the last ones change little."""
+"""Iterations of least trimmed squares."""
 
 FIT_QUANTILE = 0.25
-"""Quantile of the readings by which the line goes: the slower ones had work ahead that nobody told of."""
+"""Quantile of the samples that the line follows, since slower prefills had waited for unreported work."""
 
 MIN_TOKENS_STDEV = 200.0
-"""Standard deviation of the prompts' tokens below which they say nothing of the seconds of a token."""
+"""Standard deviation of the prompt lengths below which the time per token can't be fitted."""
 
 MIN_TOKENS_PER_S = 2_000.0
-"""Prompt tokens a second: the lower bound on what is learned."""
+"""Lower bound of a fitted rate."""
 
 MAX_TOKENS_PER_S = 1_000_000.0
-"""The upper bound; both are far outside of what engines do."""
+"""Upper bound of a fitted rate."""
 
 
 class PrefillSample(msgspec.Struct, array_like=True, frozen=True):
-    """A prompt that an engine read for some VM, as VMs tell each other."""
+    """One prefill, as VMs report it to each other."""
 
     service: str
     at_decode: bool
-    """True where a decode engine read it between the steps of its streams."""
+    """True if a decode engine did it, between decode steps."""
     tokens: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class PrefillModel:
-    """A line: seconds of a call, and tokens a second."""
+    """Linear model of prefill time: seconds of overhead, and tokens a second."""
 
     overhead: float = DEFAULT_OVERHEAD_S
     rate: float = DEFAULT_TOKENS_PER_S
 
     def predict(self, tokens: float) -> float:
-        """Return the seconds until a prompt is read, by its own tokens and those ahead of it."""
+        """Return the seconds to prefill some tokens, those of a prompt and those queued before it."""
         return self.overhead + tokens / self.rate
 
 
 @dataclass(slots=True)
 class PrefillEstimator:
-    """What the readings of late show."""
+    """Estimator of one prefill model from recent samples."""
 
     model: PrefillModel = PrefillModel()
     fitted: bool = False
-    """True once the pace is what this VM found, from readings."""
+    """True if the model was fitted to samples by this VM."""
     enabled: bool = True
     _samples: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _unsent: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=MAX_UNSENT))
-    """Own readings that peers were not told yet."""
+    """Own samples not yet sent to peers, as tokens and seconds."""
     _unfitted: int = 0
 
     def record_own(self, tokens: int, seconds: float) -> None:
-        """Take in the reading of a prompt that, as far as was known, had no other one ahead of it."""
+        """Record a prefill for this VM that had no known work queued before it, and keep it for peers."""
         self._unsent.append((tokens, seconds))
         self.record(tokens, seconds)
 
     def record(self, tokens: int, seconds: float) -> None:
-        """Take in such a reading, of this VM's or another one's.
+        """Record a prefill for any VM, and fit the model if enough samples are new.
 
-        A VM of a large fleet has a prompt read every few seconds. By own readings alone, 195 VMs went by the prior,
-        half of the true rate, for 12 s.
+        Samples of peers count as well, since a VM of a large fleet sees few prefills itself.
         """
         if not self.enabled:
             return
@@ -117,26 +112,26 @@
             self.fitted = True
 
     def pop_unsent(self) -> list[tuple[int, float]]:
-        """Return the own readings, tokens and seconds, that peers were not told yet; they are taken as told now."""
-        untold = list(self._unsent)
+        """Remove and return the own samples not yet sent to peers, as tokens and seconds."""
+        unsent = list(self._unsent)
         self._unsent.clear()
-        return untold
+        return unsent
 
-    def adopt(self, pace: PrefillModel) -> None:
-        """Take over what another VM has found, where this one knows nothing yet."""
+    def adopt(self, model: PrefillModel) -> None:
+        """Use the model of another VM, unless this one has fitted its own."""
         if self.enabled and not self.fitted:
-            self.model = pace
+            self.model = model
 
 
 def fit_model(samples: Sequence[tuple[float, float]]) -> PrefillModel:
-    """Return the line through the undisturbed half of some readings: least trimmed squares.
+    """Fit a model to the half of the samples nearest to ``FIT_QUANTILE``, by least trimmed squares.
 
-    :param samples: tokens and seconds of each
+    :param samples: tokens and seconds of each prefill
     """
     per_token = _get_quantile([(seconds - DEFAULT_OVERHEAD_S) / tokens for tokens, seconds in samples if tokens])
-    line = _make_model(DEFAULT_OVERHEAD_S, per_token)
+    model = _make_model(DEFAULT_OVERHEAD_S, per_token)
     for _ in range(FIT_ITERATIONS):
-        residuals = [seconds - line.predict(tokens) for tokens, seconds in samples]
+        residuals = [seconds - model.predict(tokens) for tokens, seconds in samples]
         level = _get_quantile(residuals)
         ranked = sorted(zip(residuals, samples, strict=True), key=lambda pair: abs(pair[0] - level))
         kept = [sample for _, sample in ranked[: max(MIN_SAMPLES // 2, len(ranked) // 2)]]
@@ -145,8 +140,8 @@
         fitted = linear_regression([tokens for tokens, _ in kept], [seconds for _, seconds in kept])
         if fitted.slope <= 0:
             break
-        line = _make_model(fitted.intercept, fitted.slope)
-    return line
+        model = _make_model(fitted.intercept, fitted.slope)
+    return model
 
 
 def _get_quantile(values: list[float]) -> float:
@@ -159,40 +154,43 @@
 
 @dataclass(slots=True)
 class PrefillEstimators:
-    """The paces of all services."""
+    """Estimators for the prefill and decode engines of all services."""
 
     enabled: bool = True
-    """False where the prior holds whatever is seen."""
+    """False if samples are ignored and the defaults apply."""
     _prefill: dict[ServiceName, PrefillEstimator] = field(default_factory=dict)
     _decode: dict[ServiceName, PrefillEstimator] = field(default_factory=dict)
 
     def get_prefill(self, service: ServiceName) -> PrefillEstimator:
-        """Return how fast the prefill engines of a service read."""
-        reading = self._prefill.get(service)
-        if reading is None:
-            reading = self._prefill[service] = PrefillEstimator(enabled=self.enabled)
-        return reading
-
-    def record(self, reading: PrefillSample) -> None:
-        """Take in a peer's reading."""
-        service = ServiceName(reading.service)
-        pace = self.get_decode(service) if reading.at_decode else self.get_prefill(service)
-        pace.record(reading.tokens, reading.seconds)
+        """Return the estimator of a service's prefill engines."""
+        estimator = self._prefill.get(service)
+        if estimator is None:
+            estimator = self._prefill[service] = PrefillEstimator(enabled=self.enabled)
+        return estimator
+
+    def record(self, sample: PrefillSample) -> None:
+        """Record a sample of a peer."""
+        service = ServiceName(sample.service)
+        estimator = self.get_decode(service) if sample.at_decode else self.get_prefill(service)
+        estimator.record(sample.tokens, sample.seconds)
 
     def pop_unsent(self) -> list[PrefillSample]:
-        """Return this VM's readings that peers were not told yet; they are taken as told now."""
-        readings = []
-        for whole, paces in ((False, self._prefill), (True, self._decode)):
-            for service, pace in paces.items():
-                readings += [PrefillSample(service, whole, *one) for one in pace.pop_unsent()]
-        return readings
+        """Remove and return this VM's samples not yet sent to peers."""
+        samples = []
+        for at_decode, estimators in ((False, self._prefill), (True, self._decode)):
+            for service, estimator in estimators.items():
+                samples += [PrefillSample(service, at_decode, *one) for one in estimator.pop_unsent()]
+        return samples
 
     def get_decode(self, service: ServiceName) -> PrefillEstimator:
-        """Return how fast the decode engines of a service read, between the steps of their streams."""
-        whole = self._decode.get(service)
-        if whole is None:
-            whole = self._decode[service] = PrefillEstimator(enabled=self.enabled)
-        if not whole.fitted:
-            reading = self.get_prefill(service).model
-            whole.model = PrefillModel(reading.overhead, DECODE_RATE_FACTOR * reading.rate)
-        return whole
+        """Return the estimator of a service's decode engines.
+
+        Until its first fit, its model is derived from that of the prefill engines.
+        """
+        estimator = self._decode.get(service)
+        if estimator is None:
+            estimator = self._decode[service] = PrefillEstimator(enabled=self.enabled)
+        if not estimator.fitted:
+            model = self.get_prefill(service).model
+            estimator.model = PrefillModel(model.overhead, DECODE_RATE_FACTOR * model.rate)
+        return estimator
--- a/src/beamhatch/relay/choosing/round_robin_gate.py
+++ b/src/beamhatch/relay/choosing/round_robin_gate.py
@@ -1,7 +1,7 @@
-"""Each VM has a short turn at each cold upstream, one behind the other on the upstream's own countdown.
+"""Give each VM a short turn to send requests to each cold upstream, one after the other.
 
-The countdown is all that VMs have in common without a message. Where it differs by a second from VM to VM, a second of
-true time sees the turns of two seconds and those that began before.
+Turns are scheduled by the upstream's remaining cold time, which VMs know without messages among them. It may differ
+between VMs, so turns of different times of the schedule can fall into the same second.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 TURN_S = 0.5
-"""Seconds of a turn: a VM of many has a request in it now and then."""
+"""Length of a turn in seconds."""
 
 MAX_COUNTDOWN_SKEW_S = 1.0
-"""Seconds by which VMs' countdowns differ at the most."""
+"""Maximum difference between VMs in the remaining cold time of an upstream, in seconds."""
 
 MIN_ROUND_S = 1.0 + MAX_COUNTDOWN_SKEW_S + TURN_S
-"""Seconds of countdowns whose turns may fall into one second."""
+"""Seconds of the schedule whose turns may fall into one second of real time."""
 
 
 class RoundRobinGate(CountingGate):
-    """Lets each VM send one request in its turn."""
+    """Gate that is open during this VM's turns."""
 
     def __init__(
         self, vms: KnownVms, bound: ColdBound, started: float, find_cold_until: Callable[[UpstreamId], float]
@@ -38,11 +38,11 @@
         self._ranks: dict[UpstreamId, int] = {}
 
     def on_view_changed(self) -> None:
-        """Work the order out anew."""
+        """Clear the ranks, which depend on the known VMs."""
         self._ranks.clear()
 
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
-        """Return this VM's part in its turn: 1, or more where all VMs may have theirs in one second."""
+        """Return 0 outside of this VM's turn, in it 1 or an equal part of the limit, whichever is more."""
         if self._get_wait_for_turn(upstream.id, terms, now) > 0:
             return 0
         return max(1, int(self.bound.compute_limit(terms) / self.vm_count))
@@ -52,11 +52,11 @@
         return max(0.0, self._get_wait_for_turn(upstream.id, terms, now))
 
     def _get_wait_for_turn(self, upstream: UpstreamId, terms: ColdTerms, now: float) -> float:
-        """Return the seconds until this VM's turn begins; not above 0 during it."""
-        most = self.bound.compute_limit(terms)
-        if most < 1 + 1e-9:
+        """Return the seconds until this VM's turn begins; 0 or less during the turn."""
+        limit = self.bound.compute_limit(terms)
+        if limit < 1 + 1e-9:
             return self._find_cold_until(upstream) - now
-        rate = (most - 1) / MIN_ROUND_S
+        rate = (limit - 1) / MIN_ROUND_S
         period = max(self.vm_count / rate, MIN_ROUND_S)
         left = self._find_cold_until(upstream) - now
         until = (left - self._get_rank(upstream) / rate) % period
--- a/src/beamhatch/relay/choosing/shortage.py
+++ b/src/beamhatch/relay/choosing/shortage.py
@@ -1,7 +1,6 @@
-"""What keeps a request from all upstreams that could answer it, and when that may be over.
+"""Detect that no upstream of a service may be sent a request, and estimate when callers should retry.
 
-This answers the load of a service of which all upstreams leave, rest, are at their limits, or lie in emptied halls at
-once: its requests are refused at once, and their callers told when there is sense in coming back.
+Requests are refused at once if all upstreams are leaving, backing off, at their limits or in evacuated halls.
 """
 
 from __future__ import annotations
@@ -18,64 +17,63 @@
     from beamhatch.relay.model import ColdTerms, Regions, Upstream
 
 EVACUATED_RETRY_S = 2.0
-"""Seconds after which a caller may come back where all halls are emptied: an operator has to act first."""
+"""Seconds until a retry if all halls are evacuated: an operator has to act first."""
 
 LEAVING_RETRY_S = 1.0
-"""Seconds after which a caller may come back where all upstreams leave: others mostly start before the first leaves,
-and an upstream that is replaced is back within 2 s."""
+"""Seconds until a retry if all upstreams are leaving: replacements usually start meanwhile."""
 
 PROBE_RETRY_S = 0.1
-"""Seconds after which a caller may come back where rests are over and the first requests behind them are under way."""
+"""Seconds until a retry if back-offs are over and the first probes are in flight."""
 
 MIN_RETRY_WINDOW_S = 0.5
-"""Seconds over which callers come back at the least: five round trips, in which an upstream is trusted again."""
+"""Minimum seconds over which retries are spread: an upstream recovers from a back-off within about five round trips."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shortage:
-    """Why nothing may be sent to any upstream."""
+    """Reason why no upstream may be sent a request."""
 
     obstacle: Obstacle
     wait: float
-    """Seconds until this may be over."""
+    """Seconds until the shortage may be over."""
     rate: float = 0.0
-    """Requests a second that all VMs may send behind that, where the upstreams' limits are the obstacle."""
+    """Requests a second that all VMs may send after that, if the upstreams' limits are the obstacle."""
 
 
 def detect_shortage(
     eligibility: Eligibility, answering: Sequence[Upstream], regions: Regions, cold: ColdTerms | None, now: float
 ) -> Shortage | None:
-    """Return what keeps a request from all of some upstreams, None where nothing does.
+    """Return why none of some upstreams may be sent a request, or None if one may.
 
-    What ends by itself is told, a rest or a limit, whichever ends first. Cold ones bear more in a moment: they are no
-    reason to give up.
+    Back-offs and limits end by themselves, so the one that ends first takes precedence. Cold upstreams soon accept more
+    and are no shortage.
     """
     found = eligibility.count_obstacles(answering, regions, cold, now)
     if not found or found.total() < len(answering) or Obstacle.COLD in found:
         return None
-    passing = [
-        lack
-        for lack in (_detect_backoff(eligibility, answering, now), _detect_limit(eligibility, answering, now))
-        if lack
+    temporary = [
+        shortage
+        for shortage in (_detect_backoff(eligibility, answering, now), _detect_limit(eligibility, answering, now))
+        if shortage
     ]
-    if passing:
-        return min(passing, key=lambda lack: lack.wait)
+    if temporary:
+        return min(temporary, key=lambda shortage: shortage.wait)
     obstacle = found.most_common(1)[0][0]
     return Shortage(obstacle, EVACUATED_RETRY_S if obstacle is Obstacle.EVACUATED else LEAVING_RETRY_S)
 
 
 def _detect_backoff(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
-    """Return when the first of some upstreams that rest may be sent something, None where none rests."""
-    resting = [one.life for one in answering if not eligibility.backoffs.may_send_to(one, now)]
-    if not resting:
+    """Return the shortage until the first back-off ends, or None if no upstream backs off."""
+    backing_off = [one.life for one in answering if not eligibility.backoffs.may_send_to(one, now)]
+    if not backing_off:
         return None
-    waits = [end - now for end in (eligibility.backoffs.get_end(life, now) for life in resting) if end is not None]
-    trying = len(resting) > len(waits)
-    return Shortage(Obstacle.BACKING_OFF, PROBE_RETRY_S if trying else min(waits))
+    waits = [end - now for end in (eligibility.backoffs.get_end(life, now) for life in backing_off) if end is not None]
+    probing = len(backing_off) > len(waits)
+    return Shortage(Obstacle.BACKING_OFF, PROBE_RETRY_S if probing else min(waits))
 
 
 def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
-    """Return when the first of some upstreams has room that nothing but its limit keeps shut, None where none is."""
+    """Return the shortage until the first limit has room, or None if no upstream is excluded by its limit alone."""
     limits = eligibility.limits
     lives = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
     if not lives:
@@ -84,12 +82,12 @@
 
 
 def spread_retry(wait: float, draw: float, *, owed: bool) -> float:
-    """Return the seconds after which one of many callers is to come back that were all told to wait.
+    """Return the seconds after which a refused caller should retry.
 
-    Told the same moment, all that were refused in a rest would come in that moment; so they are spread over as long as
-    they waited. Callers that came back before go first.
+    Retries are spread over a window as long as the wait, so that they do not arrive all at once. Callers that were
+    refused before get the first half of it.
 
-    :param draw: from 0 up to 1, drawn anew for each caller
+    :param draw: a random number from 0 up to 1 for each caller
     :param owed: whether the caller was refused before
     """
     half = max(wait, MIN_RETRY_WINDOW_S) / 2
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -1,4 +1,4 @@
-"""When a request that needs decode memory goes to another hall or region than its VM's."""
+"""Decide when a request that needs decode memory spills to another hall or region than its VM's."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from beamhatch.relay.places import Distance, RegionName
 
 FAILED_ROUND_COST_S = 0.1
-"""Seconds that it costs to find that no engine asked has memory: some polls of the line."""
+"""Cost of a round of requests in which no engine had memory."""
 
 REFUSAL_PRIOR = 2.0
-"""Engines that are thought to have had memory before any was asked: two refusals make the next one as likely as not."""
+"""Weight of the prior that an engine has memory: after this many refusals, the next one has a probability of 0.5."""
 
 IsNear = Callable[[str], bool]
-"""Tells whether a hall is in the VM's region."""
+"""Returns whether a hall is in the VM's region."""
 
 
 class SpillReason(Enum):
-    """Why a request runs in another region than that of its VM."""
+    """Reason why a request runs in another region than its VM."""
 
     NONE_NEAR = "the own region has no engine that may take it"
     PAIR = "the decode engine that has memory for it is there"
@@ -33,43 +33,46 @@
 ) -> SpillReason:
     """Return why an engine of another region was chosen.
 
-    :param usable: the engines that the choice was among
+    :param usable: the engines that were available for the choice
     :param refused: those that had no memory for the request
     """
-    own = [one for one in usable if one.phase is phase and near(one.hall)]
-    if not own:
+    local = [one for one in usable if one.phase is phase and near(one.hall)]
+    if not local:
         return SpillReason.NONE_NEAR
-    return SpillReason.TURNED_AWAY if any(one.id in refused for one in own) else SpillReason.CHEAPER
+    return SpillReason.TURNED_AWAY if any(one.id in refused for one in local) else SpillReason.CHEAPER
 
 
 EstimateLoad = Callable[[Upstream], float]
-"""Returns the share of an engine's places that are known to be taken; 1 where it has just refused."""
+"""Returns the estimated share of an engine's slots that are taken; 1 if it has just refused."""
 
 
 class SpillPolicy(ABC):
-    """Decides among engines that are drawn, by where they are and by who refused."""
+    """Policy that restricts and prices sampled engines by their location and by earlier refusals."""
 
     @abstractmethod
     def filter(
-        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: EstimateLoad
+        self, sampled: Sequence[Upstream], measure: Callable[[str], Distance], estimate_load: EstimateLoad
     ) -> Sequence[Upstream]:
-        """Return the engines among which the cost decides."""
+        """Return the engines whose costs are to be compared."""
 
     @abstractmethod
     def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
-        """Return the seconds that an engine of a region costs more, as others there have refused this request."""
+        """Return the additional cost of a region's engines in seconds.
+
+        :param refusals: how many engines of each region have refused this request
+        """
 
 
 class CostSpillPolicy(SpillPolicy):
-    """All compete by predicted time: load, distance, and the chance that a region which refused is full."""
+    """Policy that compares all engines and adds a cost for the probability that the next engine of a region refuses."""
 
     def filter(
-        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: EstimateLoad
+        self, sampled: Sequence[Upstream], measure: Callable[[str], Distance], estimate_load: EstimateLoad
     ) -> Sequence[Upstream]:
-        """Return all."""
-        return drawn
+        """Return all sampled engines."""
+        return sampled
 
     def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
-        """Return the chance that the region's next engine refuses as well, times what asking in vain costs."""
+        """Return the probability that the region's next engine refuses, times the cost of a failed round."""
         refused = refusals.get(region, 0)
         return FAILED_ROUND_COST_S * refused / (refused + REFUSAL_PRIOR)
--- a/src/beamhatch/relay/choosing/sponsor_gate.py
+++ b/src/beamhatch/relay/choosing/sponsor_gate.py
@@ -1,9 +1,7 @@
-"""A few VMs send to each cold upstream, and all others nothing.
+"""Let only a few VMs, its sponsors, send requests to each cold upstream.
 
-Which ones follows from the names of the VMs that are known of, by consistent hashing: those whose hashes come next
-behind the upstream's. So VMs that know of the same ones agree without a message, and one VM more or less changes one of
-them. Together they have half of what the upstream bears: two views that have nothing in common, as those of a fleet in
-two parts that forgot each other, still sum up to no more than all of it.
+Sponsors are chosen by consistent hashing over the known VMs, so VMs with the same view agree without messages. Together
+they use half of the upstream's limit, so that the sponsors of two disjoint views still stay within it.
 """
 
 from __future__ import annotations
@@ -22,17 +20,17 @@
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 MAX_DISJOINT_VIEWS = 2
-"""Views without a VM in common that together stay below what an upstream bears."""
+"""Number of disjoint views whose sponsors together stay within an upstream's limit."""
 
 TERM_S = 10.0
-"""Seconds for which the same VMs send to an upstream that stays cold for long; then it is the turn of others."""
+"""Seconds after which the sponsors of an upstream that stays cold change."""
 
 TERM_GAP_S = 2.0
-"""Seconds between two terms: how late it is known that an upstream is cold, and the second that the bound is of."""
+"""Seconds without sponsors between two terms: the delay of updates between VMs, and the second of the limit."""
 
 
 class SponsorGate(CountingGate):
-    """Lets the few VMs send whose hashes come next behind that of the upstream."""
+    """Gate that is open on the VMs whose hashes follow that of the upstream."""
 
     def __init__(
         self, vms: KnownVms, bound: ColdBound, started: float, find_cold_until: Callable[[UpstreamId], float]
@@ -41,29 +39,26 @@
         self._find_cold_until = find_cold_until
         self._own = hash_fraction(vms.own)
         self._ring = [self._own]
-        """The hashes of all VMs, in order."""
+        """Sorted hashes of all known VMs."""
         self._not_sponsored: set[UpstreamId] = set()
-        """Upstreams that this VM was found to have no part in, since it looked which VMs there are.
-
-        With 1,000 cold upstreams of a fleet of 300 it saves two thirds of the time of a choice.
-        """
+        """Upstreams that this VM does not sponsor, cached until the next refresh of the view."""
 
     def on_view_changed(self) -> None:
-        """Take in which VMs there are."""
+        """Rebuild the hash ring."""
         self._ring = sorted([self._own, *map(hash_fraction, self.list_others())])
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
-        """Tell whether one more request may go there now."""
+        """Return whether one more request may be sent now."""
         if self.is_view_fresh(now) and upstream.id in self._not_sponsored:
             return False
         return super().may_send(upstream, terms, now)
 
     def on_view_refreshed(self) -> None:
-        """Look anew at each upstream."""
+        """Clear the cache of upstreams that this VM does not sponsor."""
         self._not_sponsored.clear()
 
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
-        """Return this VM's part of any second, 0 where others send."""
+        """Return this sponsor's part of the limit, or 0 if this VM is no sponsor now."""
         part = int(self.bound.compute_limit(terms) / MAX_DISJOINT_VIEWS)
         sponsors = min(part, self.vm_count)
         if not sponsors:
@@ -74,23 +69,23 @@
         if not self._is_sponsor(upstream.id, term, sponsors):
             self._not_sponsored.add(upstream.id)
             return 0
-        self._not_sponsored.discard(upstream.id)  # its turn came since the last look
+        self._not_sponsored.discard(upstream.id)  # may have become a sponsor since the last refresh
         return 1 if self.is_discovering(now) else part // sponsors
 
     def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return no time: it is the turn of other VMs, and callers that come back reach one of them."""
+        """Return infinity: other VMs are sponsors, and callers that retry may reach one of them."""
         return math.inf
 
     def _get_term(self, upstream: Upstream, terms: ColdTerms, now: float) -> int | None:
-        """Return the number of the term, counted from the end of the cold time, or None between two of them."""
+        """Return the number of the term, counted back from the end of the cold time, or None between two terms."""
         left = max(0.0, self._find_cold_until(upstream.id) - now)
         term = int(left // TERM_S)
         end = (term + 1) * TERM_S
-        had_one_before = max(terms.start_time, upstream.cold_left) > end
-        return None if had_one_before and left > end - TERM_GAP_S else term
+        has_previous_term = max(terms.start_time, upstream.cold_left) > end
+        return None if has_previous_term and left > end - TERM_GAP_S else term
 
     def _is_sponsor(self, upstream: UpstreamId, term: int, sponsors: int) -> bool:
-        """Tell whether this VM is among the next some behind an upstream, the first being next to the last."""
+        """Return whether this VM is among the first VMs that follow the upstream on the hash ring."""
         first = bisect_left(self._ring, hash_fraction(f"{upstream}/{term}"))
         own = bisect_left(self._ring, self._own)
         return (own - first) % len(self._ring) < sponsors
--- a/src/beamhatch/relay/choosing/upstream_stats.py
+++ b/src/beamhatch/relay/choosing/upstream_stats.py
@@ -1,4 +1,4 @@
-"""What this VM's own traffic shows of each upstream: work under way, load, faults."""
+"""Track each upstream's requests in flight, load and failures, as seen by this VM."""
 
 from __future__ import annotations
 
@@ -9,51 +9,48 @@
     from beamhatch.relay.model import UpstreamId
 
 FAILURE_HALF_LIFE_S = 4.0
-"""Seconds after which a fault weighs half."""
+"""Seconds after which a failure rate without new results has halved."""
 
 FAILURE_WEIGHT = 0.25
-"""How far one more outcome moves the share of faults."""
+"""Weight of a new result in the moving average of the failure rate."""
 
 MIN_UNRESPONSIVE_PAUSE_S = 0.8
-"""Seconds for which a silent upstream is passed over at first; each pause is twice the last."""
+"""First pause after no response; each further pause is twice as long."""
 
 MAX_UNRESPONSIVE_PAUSE_S = 4.0
-"""Seconds for which an upstream that does not answer at all is passed over."""
+"""Longest pause after no response."""
 
 UNREACHABLE_THRESHOLD = 2
-"""Silences in a row, without any sign between them, from which on an upstream is known to answer nobody."""
+"""Consecutive requests without a response after which an upstream counts as unreachable."""
 
 PROBE_INTERVAL_S = 0.4
-"""Seconds between two requests that still try an upstream which answers nobody: about as long as one waits there.
-
-So callers are refused for no longer than that once it answers again.
-"""
+"""Seconds between two requests that probe an unreachable upstream."""
 
 MIN_MISDIRECTED_PAUSE_S = 2.0
-"""Seconds for the first time; each pause is twice the last."""
+"""First pause after a misdirected request; each further pause is twice as long."""
 
 MAX_MISDIRECTED_PAUSE_S = 30.0
-"""Seconds for which an upstream that says that it is another one is passed over."""
+"""Longest pause after a misdirected request, which another upstream at the same address has answered."""
 
 BUSY_PAUSE_S = 0.6
-"""Seconds for which an upstream that turned a request away is passed over where there are others."""
+"""Seconds for which an upstream that rejected a request is avoided."""
 
 HINT_WEIGHT = 0.8
-"""How much of what another VM tells of an upstream's faults is believed."""
+"""Weight of a failure rate that another VM reports."""
 
 UNRESPONSIVE_FAILURE_RATE = 0.5
-"""Share of faults from which on an upstream is taken not to answer: half of its work, of which little is left soon."""
+"""Failure rate from which on an upstream counts as unresponsive."""
 
 LOAD_TTL_S = 0.6
-"""Seconds for which a load that an upstream told is believed."""
+"""Seconds over which the weight of a reported load falls to 0."""
 
 LATENCY_WEIGHT = 0.15
-"""Weight of one more observation in the running mean: the mean is of the last ten or so."""
+"""Weight of a new result in the moving average of the latency."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What an upstream tells of its load: requests running, waiting, and its slots."""
+    """Load that an upstream reports: running and waiting requests, and its slots."""
 
     running: int
     waiting: int
@@ -62,59 +59,59 @@
 
 @dataclass(slots=True)
 class UpstreamStats:
-    """One upstream."""
+    """Statistics of one upstream."""
 
     running: int = 0
-    """Requests of this VM under way there."""
+    """Requests of this VM in flight."""
     tokens: int = 0
-    """Tokens of these: prompts for prefill, KV memory for decode."""
+    """Tokens of these requests: prompts for prefill, KV memory for decode."""
     pending_prefill_tokens: int = 0
-    """Tokens of this VM's prompts that are still to be read there."""
+    """Tokens of this VM's prompts that are not prefilled yet."""
     latency: float = 0.0
-    """Running mean of the seconds of one piece of work; 0 where none ended yet."""
+    """Moving average of the seconds per request; 0 before the first success."""
     succeeded_at: float = -1e9
     unresponsive_count: int = 0
-    """Connections refused or unanswered in a row."""
+    """Consecutive connections that were refused or got no response."""
     unresponsive_until: float = -1e9
     sent_at: float = -1e9
-    """When this VM sent it something last."""
+    """Time of this VM's last request."""
     misdirected_count: int = 0
     misdirected_until: float = -1e9
     busy_until: float = -1e9
     lapsed_until: float = -1e9
-    """Until when its handles are taken to lapse at once."""
+    """Until when its handles are assumed to lapse at once."""
     _failure_rate: float = 0.0
-    """By own work and by what other VMs tell."""
+    """By own requests and by reports of other VMs."""
     _own_failure_rate: float = 0.0
-    """By own work only: this is what other VMs are told."""
+    """By own requests only, as reported to other VMs."""
     _failure_rate_at: float = 0.0
     _others: int = 0
     _load_at: float = -1e9
 
     def record_start(self, tokens: int, now: float) -> None:
-        """Enter work that is sent."""
+        """Record a request that is sent."""
         self.sent_at = now
         self.running += 1
         self.tokens += tokens
 
     def reset(self) -> None:
-        """Forget what its earlier life showed; work of this VM that is still to end there stays counted."""
+        """Reset all statistics for a new incarnation, except for requests in flight."""
         fresh = UpstreamStats(self.running, self.tokens, self.pending_prefill_tokens)
         for each in fields(self):
             setattr(self, each.name, getattr(fresh, each.name))
 
     def is_unreachable(self, now: float) -> bool:
-        """Tell whether it is known to answer nobody, and whether it does so still was tried just now."""
-        silent = self.unresponsive_count >= UNREACHABLE_THRESHOLD and now < self.unresponsive_until
-        return silent and now - self.sent_at < PROBE_INTERVAL_S
+        """Return whether it is known to be unreachable and was probed within ``PROBE_INTERVAL_S``."""
+        unreachable = self.unresponsive_count >= UNREACHABLE_THRESHOLD and now < self.unresponsive_until
+        return unreachable and now - self.sent_at < PROBE_INTERVAL_S
 
     def record_end(self, tokens: int) -> None:
-        """Enter that work ended, however it did."""
+        """Record the end of a request, successful or not."""
         self.running -= 1
         self.tokens -= tokens
 
     def record_success(self, seconds: float, now: float) -> None:
-        """Note that a piece of work was done."""
+        """Record a successful request and its latency."""
         self.latency = seconds if not self.latency else self.latency + LATENCY_WEIGHT * (seconds - self.latency)
         self.succeeded_at = now
         self.unresponsive_count = 0
@@ -123,56 +120,56 @@
         self._update_failure_rate(0.0, now)
 
     def record_response(self, now: float) -> None:
-        """Note that it answers, whatever the answer is."""
+        """Record any response, which shows that the upstream is reachable."""
         self.unresponsive_count = 0
         self.unresponsive_until = -1e9
         self.succeeded_at = max(self.succeeded_at, now)
 
     def record_failure(self, now: float) -> None:
-        """Note that it failed a piece of work."""
+        """Record a failed request."""
         self._update_failure_rate(1.0, now)
 
     def record_no_response(self, now: float) -> None:
-        """Note that it could not be reached, or did not answer in its time."""
+        """Record that it could not be reached or did not respond in time."""
         self._update_failure_rate(1.0, now)
         pause = min(MAX_UNRESPONSIVE_PAUSE_S, MIN_UNRESPONSIVE_PAUSE_S * 2**self.unresponsive_count)
         self.unresponsive_count += 1
         self.unresponsive_until = now + pause
 
     def record_busy(self, now: float) -> None:
-        """Note that it turned a request away."""
+        """Record that it rejected a request."""
         self.busy_until = now + BUSY_PAUSE_S
 
     def apply_hint(self, faults: float, now: float) -> None:
-        """Take in the share of faults that another VM saw."""
-        believed = HINT_WEIGHT * faults
-        if believed > self.get_failure_rate(now):
+        """Apply the failure rate that another VM reports, if it is higher than the known one after weighting."""
+        weighted = HINT_WEIGHT * faults
+        if weighted > self.get_failure_rate(now):
             self._own_failure_rate = self.get_own_failure_rate(now)
-            self._failure_rate = believed
+            self._failure_rate = weighted
             self._failure_rate_at = now
 
     def record_misdirected(self, now: float) -> None:
-        """Note that another upstream has its address."""
+        """Record that another upstream answered at its address."""
         pause = min(MAX_MISDIRECTED_PAUSE_S, MIN_MISDIRECTED_PAUSE_S * 2**self.misdirected_count)
         self.misdirected_count += 1
         self.misdirected_until = now + pause
 
     def record_load(self, load: Load, now: float) -> None:
-        """Take in what it tells of its load."""
+        """Record the load that it reports."""
         self._others = max(0, load.running + load.waiting - self.running)
         self._load_at = now
 
     def estimate_other_requests(self, now: float) -> float:
-        """Return how many requests of other VMs are thought to be there."""
+        """Return the estimated number of requests of other VMs."""
         age = now - self._load_at
         return self._others * max(0.0, 1.0 - age / LOAD_TTL_S)
 
     def get_failure_rate(self, now: float) -> float:
-        """Return the share of work that it failed of late."""
+        """Return the recent failure rate, including reports of other VMs."""
         return self._failure_rate * 0.5 ** ((now - self._failure_rate_at) / FAILURE_HALF_LIFE_S)
 
     def get_own_failure_rate(self, now: float) -> float:
-        """Return the share of this VM's own work that it failed of late."""
+        """Return the recent failure rate of this VM's own requests."""
         return self._own_failure_rate * 0.5 ** ((now - self._failure_rate_at) / FAILURE_HALF_LIFE_S)
 
     def _update_failure_rate(self, outcome: float, now: float) -> None:
@@ -185,24 +182,24 @@
 
 @dataclass(slots=True)
 class UpstreamStatsRegistry:
-    """All upstreams by id."""
+    """Statistics of all upstreams by id."""
 
     _stats: dict[UpstreamId, UpstreamStats] = field(default_factory=dict)
 
     def get(self, upstream: UpstreamId) -> UpstreamStats:
-        """Return the standing of an upstream, a new one where it is not known."""
-        standing = self._stats.get(upstream)
-        if standing is None:
-            standing = self._stats[upstream] = UpstreamStats()
-        return standing
+        """Return the statistics of an upstream, created if missing."""
+        stats = self._stats.get(upstream)
+        if stats is None:
+            stats = self._stats[upstream] = UpstreamStats()
+        return stats
 
     def list_failing(self, least: float, now: float) -> dict[str, float]:
-        """Return the upstreams that failed a large enough share of their work, with that share."""
-        faults = {str(name): round(one.get_own_failure_rate(now), 2) for name, one in self._stats.items()}
-        return {name: share for name, share in faults.items() if share >= least}
+        """Return the upstreams whose own failure rate is at least ``least``, with that rate."""
+        rates = {str(name): round(one.get_own_failure_rate(now), 2) for name, one in self._stats.items()}
+        return {name: rate for name, rate in rates.items() if rate >= least}
 
     def list_unresponsive(self, now: float) -> set[UpstreamId]:
-        """Return the upstreams that do not answer, by own work or by what other VMs tell."""
+        """Return the unresponsive upstreams, by own requests or by reports of other VMs."""
         return {
             name
             for name, one in self._stats.items()
@@ -210,13 +207,13 @@
         }
 
     def list_pending_prefill(self) -> dict[str, int]:
-        """Return the tokens of this VM's prompts that are still to be read, by engine."""
+        """Return the tokens of this VM's prompts that are not prefilled yet, by engine."""
         return {
             str(name): one.pending_prefill_tokens for name, one in self._stats.items() if one.pending_prefill_tokens
         }
 
     def keep_only(self, wanted: set[UpstreamId]) -> None:
-        """Drop upstreams that are gone and have no work."""
+        """Drop the statistics of other upstreams, unless they have requests in flight."""
         dropped = [name for name, one in self._stats.items() if name not in wanted and not one.running]
         for name in dropped:
             del self._stats[name]
