--- a/tests/relay/choosing/__init__.py
+++ b/tests/relay/choosing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of choosing."""
+"""Tests of the selection of upstreams."""
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -1,7 +1,7 @@
-"""A play of decode engines in three regions of two halls, whose VMs choose by the real chooser.
+"""Simulation of decode engines in three regions of two halls, with the real chooser on each VM.
 
-Requests come at random, ask up to as many engines for a place as a request may, hold it for a stream's time, and wait
-in between as those in line do. What a VM knows of an engine is what its own requests saw there.
+Requests arrive at random, ask engines for a slot in rounds, and hold it for the duration of a stream. A VM knows of an
+engine only what its own requests observe.
 """
 
 from __future__ import annotations
@@ -27,50 +27,50 @@
 REGIONS = {f"{region}{hall}": RegionName(region) for region in "xyz" for hall in "12"}
 PLACES = Places(REGIONS)
 SLOTS, ENGINES, VMS = 16, 8, 12
-"""Places of an engine, decode engines of a hall, VMs of a hall."""
+"""Slots per engine, decode engines per hall, VMs per hall."""
 
 STREAM_S = 1.2
-"""Seconds of a stream."""
+"""Mean duration of a stream."""
 
 NORMAL_RATE = 0.5 * SLOTS * ENGINES / STREAM_S
-"""Requests a second and hall that take half of the places."""
+"""Requests a second and hall that occupy half of the slots."""
 
 IN_TIME_S, TIMEOUT_S, POLL_S = 0.5, 3.0, 0.1
-"""Seconds within which a place has to be found, after which a caller leaves, and between two rounds of asking."""
+"""Seconds after which a request counts as late, after which it is given up, and between two rounds of attempts."""
 
 ROUND_TRIP_S = {Distance.SAME_HALL: 0.001, Distance.SAME_REGION: 0.0015, Distance.OTHER_REGION: 0.025}
-"""Seconds of one question."""
+"""Seconds of one attempt."""
 
 NEED = Need("p", 5000, 5070, answer_bytes=70 * 150)
 
 
 RING_LOAD = 0.85
-"""Share of the places of a ring that are taken, as far as they are known, from which on the next one is looked at."""
+"""Estimated share of taken slots in a ring from which on the next ring is added."""
 
 
 class RingSpillPolicy(SpillPolicy):
-    """Own hall, own region, others: the next ring is looked at when the nearer ones are loaded beyond a threshold."""
+    """Policy by rings (own hall, own region, others) that adds the next ring when the nearer ones exceed a load."""
 
     def filter(
-        self, drawn: Sequence[Upstream], measure: Callable[[str], Distance], count_load: EstimateLoad
+        self, sampled: Sequence[Upstream], measure: Callable[[str], Distance], estimate_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return the engines of the nearest rings, up to the first that has room."""
         chosen: list[Upstream] = []
         for ring in Distance:
-            found = [one for one in drawn if measure(one.hall) is ring]
+            found = [one for one in sampled if measure(one.hall) is ring]
             chosen += found
-            if found and sum(map(count_load, found)) < RING_LOAD * len(found):
+            if found and sum(map(estimate_load, found)) < RING_LOAD * len(found):
                 break
         return chosen
 
     def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
-        """Return nothing: the rings decide."""
+        """Return 0: the rings decide."""
         return 0.0
 
 
 @dataclass
 class Outcome:
-    """What became of the requests of one play."""
+    """Counts of the requests of one simulation."""
 
     asked: int = 0
     late: int = 0
@@ -78,7 +78,7 @@
     placements: defaultdict[Distance, int] = field(default_factory=lambda: defaultdict(int))
     attempts: int = 0
     far_by_second: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))
-    """Requests that ran in another region than their VM's, by the second in which they came."""
+    """Requests that ran in another region than their VM's, by the second of arrival."""
 
     @property
     def far(self) -> float:
@@ -87,7 +87,7 @@
 
     @property
     def missed(self) -> float:
-        """Return the share that was late or found no place."""
+        """Return the share of requests that were late or found no slot."""
         return (self.late + self.lost) / max(1, self.asked)
 
 
@@ -99,12 +99,12 @@
 
 
 class Simulation:
-    """One run of some seconds."""
+    """Discrete event simulation."""
 
     def __init__(
         self, make_spill: Callable[[], SpillPolicy], seed: int, without: Without = ALL_IN, places: Places = PLACES
     ) -> None:
-        self._draw = random.Random(seed)
+        self._random = random.Random(seed)
         random.seed(seed)
         self.engines = [
             Upstream(UpstreamId(f"{hall}-{n}"), ServiceName("s"), Address("h", n), hall, False, Phase.DECODE, SLOTS)
@@ -127,82 +127,82 @@
         find_rate: Callable[[str, float], float],
         is_gone: Callable[[str, float], bool] = lambda hall, now: False,
     ) -> Outcome:
-        """Play.
+        """Run the simulation.
 
-        :param find_rate: tells the requests a second of a hall at a time, as a multiple of its usual
-        :param is_gone: tells whether the engines of a hall are not listed at a time
+        :param find_rate: returns the request rate of a hall at a time, as a multiple of ``NORMAL_RATE``
+        :param is_gone: returns whether the engines of a hall are unlisted at a time
         """
         self._is_gone = is_gone
         for hall in REGIONS:
             now = 0.0
-            while (now := now + self._draw.expovariate(4 * NORMAL_RATE)) < seconds:
-                if self._draw.random() * 4 < find_rate(hall, now):
-                    vm = self._draw.choice([n for n, own in enumerate(self.halls) if own == hall])
-                    self._later(now, self._make_round(_Request(vm, now)))
+            while (now := now + self._random.expovariate(4 * NORMAL_RATE)) < seconds:
+                if self._random.random() * 4 < find_rate(hall, now):
+                    vm = self._random.choice([n for n, own in enumerate(self.halls) if own == hall])
+                    self._schedule(now, self._make_round(_Request(vm, now)))
         while self._events:
             now, _, event = heapq.heappop(self._events)
             event(now)
         return self.count
 
-    def _later(self, at: float, event: Callable[[float], None]) -> None:
+    def _schedule(self, at: float, event: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), event))
 
-    def _make_round(self, asking: _Request) -> Callable[[float], None]:
+    def _make_round(self, request: _Request) -> Callable[[float], None]:
         def begin(now: float) -> None:
-            if now == asking.came:
+            if now == request.came:
                 self.count.asked += 1
-            asking.refused.clear()
-            self._ask(asking, now)
+            request.refused.clear()
+            self._attempt(request, now)
 
         return begin
 
-    def _ask(self, asking: _Request, now: float) -> None:
+    def _attempt(self, request: _Request, now: float) -> None:
         usable = [one for one in self.engines if not self._is_gone(one.hall, now)]
-        chooser = self.choosers[asking.vm]
-        need = replace(NEED, refused_halls=tuple(one.hall for one in asking.refused))
-        tried = {one.id for one in asking.refused}
+        chooser = self.choosers[request.vm]
+        need = replace(NEED, refused_halls=tuple(one.hall for one in request.refused))
+        tried = {one.id for one in request.refused}
         found = chooser.choose_decode(usable, need, tried, now, handle=None, kv_tokens=SLOTS * 5070)
         if found is None:
-            self._wait(asking, now)
+            self._wait(request, now)
             return
         self.count.attempts += 1
-        distance = PLACES.measure(self.halls[asking.vm], found.hall)
-        self._later(now + ROUND_TRIP_S[distance], lambda at: self._answer(asking, found, at))
+        distance = PLACES.measure(self.halls[request.vm], found.hall)
+        self._schedule(now + ROUND_TRIP_S[distance], lambda at: self._answer(request, found, at))
 
-    def _answer(self, asking: _Request, engine: Upstream, now: float) -> None:
+    def _answer(self, request: _Request, engine: Upstream, now: float) -> None:
         if self.running[engine.id] >= SLOTS or self._is_gone(engine.hall, now):
-            asking.refused.append(engine)
-            if len(asking.refused) < RESERVE_TRIES:
-                self._ask(asking, now)
+            request.refused.append(engine)
+            if len(request.refused) < RESERVE_TRIES:
+                self._attempt(request, now)
             else:
-                self._wait(asking, now)
+                self._wait(request, now)
             return
-        self._take(asking, engine, now)
+        self._run_stream(request, engine, now)
 
-    def _wait(self, asking: _Request, now: float) -> None:
-        if now - asking.came > TIMEOUT_S:
+    def _wait(self, request: _Request, now: float) -> None:
+        if now - request.came > TIMEOUT_S:
             self.count.lost += 1
         else:
-            self._later(now + POLL_S * self._draw.uniform(0.6, 1.4), self._make_round(asking))
+            self._schedule(now + POLL_S * self._random.uniform(0.6, 1.4), self._make_round(request))
 
-    def _take(self, asking: _Request, engine: Upstream, now: float) -> None:
-        distance = PLACES.measure(self.halls[asking.vm], engine.hall)
+    def _run_stream(self, request: _Request, engine: Upstream, now: float) -> None:
+        distance = PLACES.measure(self.halls[request.vm], engine.hall)
         self.count.placements[distance] += 1
         if distance is Distance.OTHER_REGION:
-            self.count.far_by_second[int(asking.came)] += 1
-        if now - asking.came > IN_TIME_S:
+            self.count.far_by_second[int(request.came)] += 1
+        if now - request.came > IN_TIME_S:
             self.count.late += 1
         self.running[engine.id] += 1
-        standing = self.choosers[asking.vm].stats.get(engine.id)
-        standing.record_start(5070, now)
+        stats = self.choosers[request.vm].stats.get(engine.id)
+        stats.record_start(5070, now)
 
-        def tell_load(at: float) -> None:
+        def report_load(at: float) -> None:
             running = self.running[engine.id]
-            standing.record_load(Load(running, 0, SLOTS), at)
+            stats.record_load(Load(running, 0, SLOTS), at)
 
         def end(at: float) -> None:
             self.running[engine.id] -= 1
-            standing.record_end(5070)
+            stats.record_end(5070)
 
-        self._later(now + 0.1, tell_load)
-        self._later(now + STREAM_S * self._draw.uniform(0.7, 1.3), end)
+        self._schedule(now + 0.1, report_load)
+        self._schedule(now + STREAM_S * self._random.uniform(0.7, 1.3), end)
--- a/tests/relay/choosing/test_backoffs.py
+++ b/tests/relay/choosing/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Upstreams that have asked for rest, and how a VM comes back to them."""
+"""Tests of back-offs and of the probes after them."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 ONE = Life(UpstreamId("one"), 1)
 NOW = 100.0
-LONGEST = 3.0 * (1 + MAX_JITTER)
+MAX_BACKOFF_S = 3.0 * (1 + MAX_JITTER)
 
 
-def make_rested() -> tuple[Backoffs, float]:
-    """Return rests with one of 3 s that is over, and the time."""
+def make_ended() -> tuple[Backoffs, float]:
+    """Return back-offs of which one of 3 s has just ended, and the time."""
     rests = Backoffs()
     rests.record(ONE, 3.0, NOW)
-    return rests, NOW + LONGEST
+    return rests, NOW + MAX_BACKOFF_S
 
 
-def test_nothing_is_sent_for_as_long_as_was_asked() -> None:
+def test_nothing_is_sent_during_a_backoff() -> None:
     rests = Backoffs()
     assert rests.may_send(ONE, NOW)
     assert rests.record(ONE, 3.0, NOW)
     assert not rests.may_send(ONE, NOW + 3.0)
     assert rests.is_active(ONE, NOW + 2.99)
-    assert rests.may_send(ONE, NOW + LONGEST)
+    assert rests.may_send(ONE, NOW + MAX_BACKOFF_S)
 
 
-def test_a_shorter_word_does_not_end_a_rest_earlier_and_a_longer_one_lengthens_it() -> None:
+def test_a_backoff_can_be_extended_and_not_shortened() -> None:
     rests = Backoffs()
     rests.record(ONE, 3.0, NOW)
     assert not rests.record(ONE, 0.5, NOW + 1.0)
@@ -42,67 +42,67 @@
     assert not rests.may_send(ONE, NOW + 10.9)
 
 
-def test_another_life_did_not_ask() -> None:
+def test_a_backoff_does_not_apply_to_other_incarnations() -> None:
     rests = Backoffs()
     rests.record(ONE, 3.0, NOW)
     assert rests.may_send(Life(ONE.id, 2), NOW)
     assert not rests.may_send(ONE, NOW)
 
 
-def test_one_request_tries_first_and_each_answer_lets_two_more_in() -> None:
-    rests, now = make_rested()
+def test_each_answered_probe_allows_two_more() -> None:
+    rests, now = make_ended()
     allowed = []
     for _ in range(4):
-        trials = []
+        probes = []
         while rests.may_send(ONE, now):
-            trial = rests.begin_request(ONE, now)
-            assert trial is not None
-            trials.append(trial)
-        allowed.append(len(trials))
+            probe = rests.begin_request(ONE, now)
+            assert probe is not None
+            probes.append(probe)
+        allowed.append(len(probes))
         now += 0.1
-        for trial in trials:
-            trial.end(now, answered=True)
+        for probe in probes:
+            probe.end(now, answered=True)
     assert allowed == [1, 2, 4, 8]
 
 
-def test_behind_enough_answers_it_is_as_any_other() -> None:
-    rests, now = make_rested()
+def test_probing_ends_after_enough_answers() -> None:
+    rests, now = make_ended()
     for _ in range(RECOVERY_ANSWERS):
-        trial = rests.begin_request(ONE, now)
-        assert trial is not None
-        trial.end(now, answered=True)
+        probe = rests.begin_request(ONE, now)
+        assert probe is not None
+        probe.end(now, answered=True)
     assert rests.begin_request(ONE, now) is None
 
 
-def test_a_trial_tells_once_and_one_that_failed_lets_nobody_more_in() -> None:
-    rests, now = make_rested()
-    trial = rests.begin_request(ONE, now)
-    assert trial is not None
+def test_a_probe_is_counted_once_and_a_failed_one_allows_no_more() -> None:
+    rests, now = make_ended()
+    probe = rests.begin_request(ONE, now)
+    assert probe is not None
     assert not rests.may_send(ONE, now)
-    trial.end(now, answered=False)
-    trial.end(now, answered=True)
+    probe.end(now, answered=False)
+    probe.end(now, answered=True)
     assert rests.may_send(ONE, now)
     rests.begin_request(ONE, now)
     assert not rests.may_send(ONE, now)
 
 
-def test_a_trial_that_tells_nothing_keeps_nobody_away_for_long() -> None:
-    rests, now = make_rested()
+def test_a_probe_without_a_result_times_out() -> None:
+    rests, now = make_ended()
     rests.begin_request(ONE, now)
     assert not rests.may_send(ONE, now + PROBE_TIMEOUT_S - 0.01)
     assert rests.may_send(ONE, now + PROBE_TIMEOUT_S)
 
 
-def test_a_trial_that_is_asked_for_rest_begins_it_anew() -> None:
-    rests, now = make_rested()
-    trial = rests.begin_request(ONE, now)
-    assert trial is not None
+def test_a_probe_may_start_another_backoff() -> None:
+    rests, now = make_ended()
+    probe = rests.begin_request(ONE, now)
+    assert probe is not None
     assert rests.record(ONE, 3.0, now)
-    trial.end(now, answered=False)
+    probe.end(now, answered=False)
     assert not rests.may_send(ONE, now + 2.9)
 
 
-def test_what_is_listed_no_longer_is_forgotten() -> None:
+def test_unlisted_upstreams_are_dropped() -> None:
     rests = Backoffs()
     rests.record(ONE, 3.0, NOW)
     rests.keep_only({ONE.id})
@@ -112,8 +112,8 @@
 
 
 @pytest.mark.parametrize("vms", [8, 74, 195, 300])
-def test_machines_that_were_turned_away_at_one_moment_come_back_apart(vms: int) -> None:
-    random.seed(vms)  # by chance alone, 7 of 2,000 draws of 74 VMs have more than a tenth in one bin
+def test_vms_that_were_rejected_at_once_return_at_different_times(vms: int) -> None:
+    random.seed(vms)  # a few seeds exceed the bound by chance
     busiest = []
     for _ in range(100):
         ends = Counter[int]()
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -1,4 +1,4 @@
-"""Choose upstreams."""
+"""Tests of the chooser of upstreams."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert len(chosen) == 1
 
 
-def test_a_queue_outweighs_the_cache() -> None:
+def test_a_queue_outweighs_cache_affinity() -> None:
     chooser, standings = make_chooser()
     engines = [make(f"u{number}", Phase.PREFILL) for number in range(4)]
     home = chooser.choose_prefill(engines, NEED, set(), NOW)
@@ -36,7 +36,7 @@
     assert chooser.choose_prefill(engines, NEED, set(), NOW) != home
 
 
-def test_a_kv_cache_lands_in_its_hall_where_that_is_not_busier() -> None:
+def test_the_decode_engine_is_in_the_hall_of_the_kv_cache_unless_it_is_busier() -> None:
     chooser, standings = make_chooser()
     near, far = make("near", Phase.DECODE, "b"), make("far", Phase.DECODE, "a")
     handle = Handle("k", make("p", Phase.PREFILL, "b"), NOW)
@@ -46,7 +46,7 @@
     assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == far
 
 
-def test_silence_faults_and_refusals_outweigh_load_and_pass() -> None:
+def test_failures_outweigh_load_until_they_expire() -> None:
     chooser, standings = make_chooser()
     good, bad = make("good", Phase.PLAIN), make("bad", Phase.PLAIN)
     standings.get(good.id).record_load(Load(6, 2, 6), NOW)
@@ -60,17 +60,17 @@
     assert chooser.choose_plain([bad], set(), NOW + 60) == bad
 
 
-def test_what_peers_tell_counts_until_it_is_old() -> None:
+def test_failure_rates_reported_by_peers_expire() -> None:
     chooser, standings = make_chooser()
-    told, other = make("told", Phase.PLAIN), make("other", Phase.PLAIN)
+    reported, other = make("told", Phase.PLAIN), make("other", Phase.PLAIN)
     standings.get(other.id).record_start(0, NOW)
-    standings.get(told.id).apply_hint(0.5, NOW)
-    assert chooser.choose_plain([told, other], set(), NOW) == other
-    assert chooser.choose_plain([told, other], set(), NOW + 40) == told
+    standings.get(reported.id).apply_hint(0.5, NOW)
+    assert chooser.choose_plain([reported, other], set(), NOW) == other
+    assert chooser.choose_plain([reported, other], set(), NOW + 40) == reported
     assert standings.list_failing(0.1, NOW) == {}
 
 
-def test_a_choice_among_thousands_looks_at_a_few() -> None:
+def test_a_choice_among_thousands_examines_a_sample() -> None:
     chooser, standings = make_chooser()
     phases = (Phase.PREFILL, Phase.DECODE, Phase.DECODE)
     engines = [make(f"u{number}", phases[number % 3]) for number in range(6900)]
@@ -79,7 +79,7 @@
     assert len(standings._stats) <= 2 * SAMPLE_SIZE
 
 
-def test_the_only_engine_of_a_part_is_found_among_thousands() -> None:
+def test_the_only_engine_of_a_phase_is_found_among_thousands() -> None:
     chooser, _ = make_chooser()
     engines = [make(f"u{number}", Phase.DECODE) for number in range(2000)] + [make("only", Phase.PREFILL)]
     assert chooser.choose_prefill(engines, NEED, set(), NOW) == engines[-1]
--- a/tests/relay/choosing/test_cold_fleet.py
+++ b/tests/relay/choosing/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""What cold upstreams get from all VMs together, whatever the VMs know of each other."""
+"""Tests of the limit on requests to cold upstreams over all VMs, with incomplete views of the fleet."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 KINDS = [SponsorGate, RoundRobinGate]
 HIGH = 170.0
-"""Requests a second for a cold upstream: ten times what it may get."""
+"""Requests a second for a cold upstream, ten times its limit."""
 
 
 @pytest.mark.parametrize("vms", [1, 8, 74, 195])
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_cold_upstream_gets_some_of_a_surge_and_no_more_than_it_bears(kind: Kind, vms: int) -> None:
+def test_a_surge_to_a_cold_upstream_is_limited(kind: Kind, vms: int) -> None:
     fleet = ColdFleet(vms, kind)
     fleet.turn_cold(6.0)
     fleet.run(5.0, HIGH)
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_no_second_is_over_whatever_happens_to_the_fleet(seed: int) -> None:
+def test_the_limit_holds_under_random_fleet_events(seed: int) -> None:
     fleet = ColdFleet([8, 74][seed % 2], seed=seed)
     fleet.turn_cold(30.0)
     fleet.draw_events(12.0, HIGH)
@@ -33,14 +33,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_second_of_a_large_fleet_is_over(seed: int) -> None:
+def test_the_limit_holds_under_random_events_in_a_large_fleet(seed: int) -> None:
     fleet = ColdFleet(195, seed=seed)
     fleet.turn_cold(30.0)
     fleet.draw_events(12.0, HIGH)
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
-def test_two_parts_that_forgot_each_other_stay_below_the_bound_together() -> None:
+def test_two_separated_parts_stay_within_the_limit() -> None:
     fleet = ColdFleet(74)
     fleet.cut(fleet.vms[:30])
     fleet.restart(list(fleet.vms))
@@ -51,7 +51,7 @@
     assert 8 < fleet.get_max_per_second() <= MAX_REQUESTS
 
 
-def test_all_vms_that_restart_at_once_stay_below_the_bound() -> None:
+def test_restarts_of_all_vms_stay_within_the_limit() -> None:
     fleet = ColdFleet(74)
     fleet.turn_cold(30.0)
     for _ in range(6):
@@ -60,7 +60,7 @@
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
-def test_vms_cut_apart_one_by_one_stay_below_the_bound() -> None:
+def test_isolated_vms_stay_within_the_limit() -> None:
     fleet = ColdFleet(74)
     for side, vm in enumerate(fleet.vms):
         fleet.cut([vm], side)
@@ -72,7 +72,7 @@
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
-def test_every_vm_of_a_fleet_gets_through_while_all_upstreams_stay_cold_for_long() -> None:
+def test_nearly_all_vms_can_send_to_upstreams_that_stay_cold() -> None:
     fleet = ColdFleet(74, upstreams=15)
     fleet.turn_cold(30.0)
     fleet.run(30.0, 40.0)
@@ -82,11 +82,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize(("parts", "cold"), [(2, 25.0), (3, 6.0)])
 def test_parts_that_forgot_each_other_stay_below_the_bound(parts: int, cold: float, seed: int) -> None:
-    """Each part may use half of the bound, so the sum holds for two parts, and for the first term of sponsors alone.
-
-    Two parts have sponsors of different terms where an upstream stays cold for 25 s: up to 20 in a second where 17 are
-    borne. Three parts have half of the bound each: 24.
-    """
+    """Exceeded by three parts, as each uses half of the limit, and by two parts with sponsors of different terms."""
     fleet = ColdFleet(24, seed=seed)
     for side in range(1, parts):
         fleet.cut(fleet.vms[side::parts], side)
--- a/tests/relay/choosing/test_cold_gate.py
+++ b/tests/relay/choosing/test_cold_gate.py
@@ -1,4 +1,4 @@
-"""How much one VM sends to a cold upstream."""
+"""Tests of the limits on requests to cold upstreams."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_vm_sends_nothing_just_behind_its_start(kind: type[SponsorGate] | type[RoundRobinGate]) -> None:
+def test_a_vm_sends_nothing_just_after_its_start(kind: type[SponsorGate] | type[RoundRobinGate]) -> None:
     gate = make_gate(kind)
     assert not gate.may_send(make_upstream(), TERMS, START + STARTUP_DELAY_S - 0.1)
     assert gate.get_wait(make_upstream(), TERMS, START + 0.5) == pytest.approx(STARTUP_DELAY_S - 0.5)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_vm_that_hears_of_nobody_although_there_are_others_sends_nothing(
+def test_a_vm_that_knows_none_of_the_expected_others_sends_nothing(
     kind: type[SponsorGate] | type[RoundRobinGate],
 ) -> None:
     gate = make_gate(kind, expects=True)
@@ -70,13 +70,13 @@
 
 
 @pytest.mark.parametrize("vms", [1, 2, 5, 8, 74, 195])
-def test_all_vms_together_have_their_view_s_part_of_the_bound(vms: int) -> None:
+def test_all_vms_of_a_view_stay_within_its_part_of_the_limit(vms: int) -> None:
     names = make_names(vms)
     for number in range(20):
         assert 0 < count_sponsors(names, make_upstream(f"u{number}")) <= 17 // MAX_DISJOINT_VIEWS
 
 
-def test_two_views_without_a_vm_in_common_stay_below_the_bound() -> None:
+def test_two_disjoint_views_stay_within_the_limit() -> None:
     names = make_names(74)
     for number in range(20):
         upstream = make_upstream(f"u{number}")
@@ -94,7 +94,7 @@
     assert gate.may_send(upstream, TERMS, 201.03)
 
 
-def test_a_permit_is_held_from_the_plan_and_counts_when_the_request_goes_out() -> None:
+def test_a_permit_reserves_room_until_its_request_is_sent_or_dropped() -> None:
     gate = make_gate(SponsorGate, bound=ColdBound(0.25, 0.0))
     upstream = make_upstream()
     assert gate.may_send(upstream, TERMS, 200.0)
@@ -112,19 +112,19 @@
     assert gate.may_send(upstream, TERMS, 207.2)
 
 
-def test_what_is_held_is_not_forgotten() -> None:
+def test_reservations_do_not_expire() -> None:
     gate = make_gate(SponsorGate, bound=ColdBound(0.25, 0.0))
     gate.hold(make_upstream().id, 200.0)
     assert not gate.may_send(make_upstream(), TERMS, 200 + 2 * LOG_RETENTION_S)
 
 
-def test_an_upstream_that_bears_less_than_all_views_need_gets_nothing() -> None:
+def test_an_upstream_with_less_than_one_request_per_view_gets_none() -> None:
     gate = make_gate(SponsorGate, bound=ColdBound(0.1, 0.0))
     assert not gate.may_send(make_upstream(), TERMS, 200.0)
     assert gate.get_wait(make_upstream(), TERMS, 200.0) == math.inf
 
 
-def test_the_vms_that_send_change_while_an_upstream_stays_cold_for_long() -> None:
+def test_sponsors_change_with_each_term() -> None:
     names = make_names(74)
     upstream = make_upstream(cold_left=600.0)
     until = 800.0
@@ -137,14 +137,14 @@
     first, second = list_sponsors(2 * TERM_S - TERM_GAP_S - 0.5), list_sponsors(TERM_S - TERM_GAP_S - 0.5)
     assert first != second
     assert len(first) == len(second) == 8
-    assert not list_sponsors(TERM_S - TERM_GAP_S / 2), "two terms' VMs would send in one second"
+    assert not list_sponsors(TERM_S - TERM_GAP_S / 2), "sponsors of two terms may send in the same second"
     served: set[str] = set()
     for term in range(60):
         served |= list_sponsors(term * TERM_S + 1.0)
     assert len(served) == len(names)
 
 
-def test_a_vm_has_one_turn_at_a_time() -> None:
+def test_few_vms_have_their_turn_at_the_same_time() -> None:
     names = make_names(74)
     gates = [make_gate(RoundRobinGate, name, names, cold_until=1000.0) for name in names]
     for part in range(200):
@@ -156,7 +156,7 @@
     )
 
 
-def test_a_thousand_cold_upstreams_cost_little() -> None:
+def test_a_thousand_cold_upstreams_use_little_memory() -> None:
     names = make_names(300)
     gate = make_gate(SponsorGate, names[0], names, cold_until=201.0)
     upstreams = [make_upstream(f"u{number}") for number in range(1000)]
@@ -173,19 +173,19 @@
     assert not gate._logs
 
 
-def test_an_upstream_is_told_once_when_it_turns_cold_and_once_when_it_is_warm() -> None:
-    watch = ColdTransitions()
+def test_each_transition_to_cold_and_warm_is_reported_once() -> None:
+    transitions = ColdTransitions()
     names = [UpstreamId("a"), UpstreamId("b")]
-    assert watch.record_cold(names) == names
-    assert not watch.record_cold(names)
+    assert transitions.record_cold(names) == names
+    assert not transitions.record_cold(names)
     until = {"a": 5.0, "b": 7.0}
-    assert watch.pop_warm(until.__getitem__, 6.0) == ["a"]
-    assert not watch.pop_warm(until.__getitem__, 6.5)
-    assert watch.record_cold(names) == ["a"]
+    assert transitions.pop_warm(until.__getitem__, 6.0) == ["a"]
+    assert not transitions.pop_warm(until.__getitem__, 6.5)
+    assert transitions.record_cold(names) == ["a"]
 
 
 def measure() -> None:
-    """Print what a thousand cold upstreams cost a VM of 300."""
+    """Print the time to check a thousand cold upstreams on one of 300 VMs."""
     names = make_names(300)
     gate = make_gate(SponsorGate, names[0], names, cold_until=201.0)
     upstreams = [make_upstream(f"u{number}") for number in range(1000)]
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -1,4 +1,4 @@
-"""What distance costs."""
+"""Tests of the costs of distance."""
 
 from __future__ import annotations
 
@@ -49,18 +49,18 @@
 
 
 @pytest.mark.parametrize(("size", "costs"), [(68 * EVENT_BYTES, (0.5, 16.3, 70.9)), (PLAIN_BYTES, (0.5, 4.0, 34.0))])
-def test_ways_cost_round_trips_and_the_bytes_that_cross(size: int, costs: tuple[float, ...]) -> None:
+def test_requests_cost_round_trips_and_the_bytes_that_cross(size: int, costs: tuple[float, ...]) -> None:
     found = [1000 * DistanceCosts("a", PLACES).compute_request_cost(hall, size) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
 
 
 @pytest.mark.parametrize("engine", [Engine(1, 1, 0.5), Engine(1, 1, 0.5, kv_token_bytes=9.0)])
-def test_what_is_not_told_has_a_prior(engine: Engine) -> None:
+def test_a_cache_of_unknown_size_has_a_default_transfer(engine: Engine) -> None:
     assert compute_cache_transfer(engine, 5000) is UNKNOWN_CACHE_TRANSFER
 
 
 def count_prompts_until_far(engine: Engine, near: str, far: str) -> int:
-    """Return how many prompts have to wait at a near prefill engine until a far one is chosen."""
+    """Return the number of prompts queued at a near prefill engine when a far one is chosen."""
     standings = UpstreamStatsRegistry()
     chooser = LeastCostChooser(standings, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make("near", Phase.PREFILL, near), make("far", Phase.PREFILL, far)]
@@ -76,14 +76,14 @@
     assert count_prompts_until_far(LARGE, "a", "c") > count_prompts_until_far(LARGE, "a", "b")
 
 
-def test_a_prompt_is_read_in_the_region_whose_decode_engine_has_memory_for_it() -> None:
+def test_prefill_is_in_the_region_of_the_decode_engine() -> None:
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make("west", Phase.PREFILL, "a"), make("east", Phase.PREFILL, "c")]
     assert chooser.choose_prefill(engines, make_need(LARGE), set(), NOW) is engines[0]
     assert chooser.choose_prefill(engines, make_need(LARGE, "c"), set(), NOW) is engines[1]
 
 
-def test_a_stream_comes_from_the_callers_hall_and_a_cache_goes_to_its_own() -> None:
+def test_decode_is_near_the_caller_or_near_a_large_cache() -> None:
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", places=PLACES)
     near, far = make("near", Phase.DECODE, "a"), make("far", Phase.DECODE, "b")
     engines = [far, near]
@@ -93,7 +93,7 @@
     assert chooser.choose_decode(engines, make_need(LARGE), set(), NOW, handle=handle, kv_tokens=KV) is far
 
 
-def test_distance_costs_nothing_where_it_is_left_out() -> None:
+def test_disabled_distance_costs_are_zero() -> None:
     distances = DistanceCosts("a", PLACES, enabled=False)
     assert (
         distances.compute_request_cost("c", 1e6)
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -1,4 +1,4 @@
-"""What keeps an upstream from requests."""
+"""Tests of the eligibility of upstreams."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return Eligibility(listing, PLACES, gate=ShutGate())
 
 
-def test_an_emptied_hall_gets_nothing_until_it_is_taken_back() -> None:
+def test_an_evacuated_hall_gets_nothing_until_its_evacuation_ends() -> None:
     upstreams = [make_upstream("a"), make_upstream("b")]
     eligibility = make_eligibility(*upstreams)
     eligibility.evacuations.take(Evacuation("a", 2, True), 10.0)
@@ -54,14 +54,14 @@
     assert eligibility.list_eligible(upstreams, None, None, 11.0) == upstreams
 
 
-def test_regions_bound_where_a_request_may_go() -> None:
+def test_requests_stay_in_their_regions() -> None:
     upstreams = [make_upstream("a"), make_upstream("c")]
     eligibility = make_eligibility(*upstreams)
     assert eligibility.list_eligible(upstreams, frozenset({EAST}), None, 10.0) == upstreams[1:]
     assert eligibility.count_obstacles(upstreams, frozenset(), None, 10.0) == {Obstacle.REGION: 2}
 
 
-def test_the_gate_decides_on_cold_upstreams_alone() -> None:
+def test_the_gate_applies_to_cold_upstreams_only() -> None:
     upstreams = [make_upstream("a", 2.0), make_upstream("b")]
     eligibility = make_eligibility(*upstreams)
     assert eligibility.list_eligible(upstreams, None, COLD, 11.9) == upstreams[1:]
@@ -72,7 +72,7 @@
     assert eligibility.gate.sent == [upstreams[0].id]
 
 
-def test_the_upstreams_of_a_hall_that_was_taken_back_are_taken_as_cold() -> None:
+def test_upstreams_count_as_cold_after_the_evacuation_of_their_hall() -> None:
     upstreams = [make_upstream("a")]
     eligibility = make_eligibility(*upstreams)
     eligibility.evacuations.take(Evacuation("a", 2, True), 10.0)
--- a/tests/relay/choosing/test_peer_backlog.py
+++ b/tests/relay/choosing/test_peer_backlog.py
@@ -1,4 +1,4 @@
-"""What other VMs tell that engines have to read."""
+"""Tests of the prefill backlog reported by peers."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 ENGINE = UpstreamId("e1")
 
 
-def test_sums_what_was_told_last_by_each() -> None:
-    work = PeerBacklog()
-    work.take("a", {"e1": 3000, "e2": 500}, 10.0)
-    work.take("b", {"e1": 1000}, 10.1)
-    work.take("a", {"e1": 2000}, 10.2)
-    assert work.count_tokens(ENGINE, 10.3) == 3000
-    assert work.count_tokens(UpstreamId("e2"), 10.3) == 0
+def test_sums_the_last_report_of_each_peer() -> None:
+    backlog = PeerBacklog()
+    backlog.take("a", {"e1": 3000, "e2": 500}, 10.0)
+    backlog.take("b", {"e1": 1000}, 10.1)
+    backlog.take("a", {"e1": 2000}, 10.2)
+    assert backlog.count_tokens(ENGINE, 10.3) == 3000
+    assert backlog.count_tokens(UpstreamId("e2"), 10.3) == 0
 
 
-def test_believes_nobody_who_fell_silent() -> None:
-    work = PeerBacklog()
-    work.take("a", {"e1": 3000}, 10.0)
-    work.take("b", {"e1": 1000}, 11.0)
-    assert work.count_tokens(ENGINE, 10.5 + TOLD_LIFE) == 1000
-    work.forget_old(10.5 + TOLD_LIFE)
-    assert work.count_tokens(ENGINE, 10.0) == 1000
+def test_reports_of_disconnected_peers_expire() -> None:
+    backlog = PeerBacklog()
+    backlog.take("a", {"e1": 3000}, 10.0)
+    backlog.take("b", {"e1": 1000}, 11.0)
+    assert backlog.count_tokens(ENGINE, 10.5 + TOLD_LIFE) == 1000
+    backlog.forget_old(10.5 + TOLD_LIFE)
+    assert backlog.count_tokens(ENGINE, 10.0) == 1000
--- a/tests/relay/choosing/test_prefill_times.py
+++ b/tests/relay/choosing/test_prefill_times.py
@@ -1,4 +1,4 @@
-"""How long prompts took of late."""
+"""Tests of the tracking of prefill times."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from tests.support.platform import Platform, make_platform
 
 CALM, BUSY = 10_000.0, 6_500.0
-"""Prompt tokens a second at which a prompt of 5,000 takes 0.5 s, and 0.77 s."""
+"""Prefill rates in tokens a second, at which a prompt of 5,000 tokens takes 0.5 s and 0.77 s."""
 
 
-def test_the_slowest_counts_for_some_seconds() -> None:
+def test_the_longest_time_in_the_window_counts() -> None:
     times = PrefillTimes()
     assert times.get_longest(10.0) == 0.0
     times.record(0.8, 10.0)
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize(("without", "most"), [(ALL_IN, 8), (frozenset({Mechanism.READ_TIMES}), 16)])
-def test_prompts_at_engines_that_turn_busy_are_read_once(without: Without, most: int) -> None:
-    """Eight callers while engines slow down: without the times of late, prompts are read twice."""
+def test_prompts_at_engines_that_slow_down_are_prefilled_once(without: Without, most: int) -> None:
+    """Without recent prefill times, prompts at engines that slow down are prefilled twice."""
     platform = make_platform(without=without)
     make_slower(platform, CALM)
     platform.finish(platform.call("/stream/x", "first"))
@@ -45,7 +45,7 @@
         assert prompts > 8
 
 
-def test_an_engine_that_is_silent_is_left_soon() -> None:
+def test_an_unresponsive_engine_is_abandoned_soon() -> None:
     platform = make_platform()
     platform.finish(platform.call("/stream/x", "first"))
     platform.network.cut("host-prefill-0")
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -1,4 +1,4 @@
-"""What is told where nothing may be sent to any upstream."""
+"""Tests of the detection of shortages and of the retries of refused callers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return Eligibility(listing)
 
 
-def test_nothing_lacks_while_one_may_be_sent_to() -> None:
+def test_there_is_no_shortage_while_one_upstream_may_be_sent_requests() -> None:
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     eligibility.listing.note_leaving(upstreams[0].life, NOW)
@@ -40,62 +40,62 @@
     assert detect_shortage(eligibility, [], None, None, NOW) is None
 
 
-def test_where_all_leave_or_lie_in_emptied_halls_that_is_told() -> None:
+def test_leaving_and_evacuated_upstreams_are_a_shortage() -> None:
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     for one in upstreams:
         eligibility.listing.note_leaving(one.life, NOW)
-    lack = detect_shortage(eligibility, upstreams, None, None, NOW)
-    assert lack is not None
-    assert (lack.obstacle, lack.wait) == (Obstacle.LEAVING, LEAVING_RETRY_S)
+    shortage = detect_shortage(eligibility, upstreams, None, None, NOW)
+    assert shortage is not None
+    assert (shortage.obstacle, shortage.wait) == (Obstacle.LEAVING, LEAVING_RETRY_S)
     for hall in "ab":
         eligibility.evacuations.take(Evacuation(hall, 2, True), NOW)
-    lack = detect_shortage(eligibility, upstreams, None, None, NOW)
-    assert lack is not None
-    assert (lack.obstacle, lack.wait) == (Obstacle.EVACUATED, EVACUATED_RETRY_S)
+    shortage = detect_shortage(eligibility, upstreams, None, None, NOW)
+    assert shortage is not None
+    assert (shortage.obstacle, shortage.wait) == (Obstacle.EVACUATED, EVACUATED_RETRY_S)
 
 
-def test_where_any_rests_the_end_of_the_first_rest_is_told() -> None:
+def test_the_wait_lasts_until_the_first_backoff_ends() -> None:
     upstreams = make_upstreams("abc")
     eligibility = make_eligibility(upstreams)
     eligibility.listing.note_leaving(upstreams[0].life, NOW)
     eligibility.backoffs.record(upstreams[1].life, 5.0, NOW)
     eligibility.backoffs.record(upstreams[2].life, 3.0, NOW)
-    lack = detect_shortage(eligibility, upstreams, None, None, NOW + 1.0)
-    assert lack is not None
-    assert lack.obstacle is Obstacle.BACKING_OFF
-    assert 2.0 <= lack.wait <= 2.75
+    shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 1.0)
+    assert shortage is not None
+    assert shortage.obstacle is Obstacle.BACKING_OFF
+    assert 2.0 <= shortage.wait <= 2.75
 
 
-def test_while_a_first_request_tries_whether_one_is_back_others_may_come_soon() -> None:
+def test_the_wait_is_short_while_a_probe_is_in_flight() -> None:
     upstreams = make_upstreams("a")
     eligibility = make_eligibility(upstreams)
     eligibility.backoffs.record(upstreams[0].life, 1.0, NOW)
     eligibility.backoffs.begin_request(upstreams[0].life, NOW + 2.0)
-    lack = detect_shortage(eligibility, upstreams, None, None, NOW + 2.0)
-    assert lack is not None
-    assert (lack.obstacle, lack.wait) == (Obstacle.BACKING_OFF, PROBE_RETRY_S)
+    shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 2.0)
+    assert shortage is not None
+    assert (shortage.obstacle, shortage.wait) == (Obstacle.BACKING_OFF, PROBE_RETRY_S)
 
 
-def play_returns(rate: int, rest: float) -> list[float]:
-    """Return when callers come back that were refused in a rest, in seconds behind its end."""
+def simulate_retries(rate: int, backoff: float) -> list[float]:
+    """Return when callers that were refused during a back-off retry, in seconds after its end."""
     return [
-        spread_retry(rest - at, random.random(), owed=False) - (rest - at)
-        for at in (number / rate for number in range(round(rate * rest)))
+        spread_retry(backoff - at, random.random(), owed=False) - (backoff - at)
+        for at in (number / rate for number in range(round(rate * backoff)))
     ]
 
 
-def test_callers_that_were_refused_in_a_rest_come_back_one_after_the_other() -> None:
+def test_retries_after_a_backoff_are_spread() -> None:
     for seed in range(200):
         random.seed(seed)
-        returns = sorted(play_returns(10, 3.0))
-        assert len(returns) == 30
-        assert returns[0] >= 0
-        busiest = max(sum(at <= other < at + 0.1 for other in returns) for at in returns)
+        retries = sorted(simulate_retries(10, 3.0))
+        assert len(retries) == 30
+        assert retries[0] >= 0
+        busiest = max(sum(at <= other < at + 0.1 for other in retries) for at in retries)
         assert busiest <= 30 / 3
 
 
-def test_callers_that_came_back_before_go_first() -> None:
+def test_callers_that_were_refused_before_retry_first() -> None:
     for wait in (0.05, 1.0, 3.0):
         latest_owed = spread_retry(wait, 0.999, owed=True)
         earliest_new = spread_retry(wait, 0.0, owed=False)
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -1,4 +1,4 @@
-"""When requests go to another region, and that they come back."""
+"""Tests of the spill of requests to other regions, and of their return."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.relay.choosing.spill_simulation import PLACES, REGIONS, RingSpillPolicy, Simulation
 
 LENGTH, BEGIN, END = 12.0, 3.0, 9.0
-"""Seconds of a play, and from when to when one region is in trouble."""
+"""Seconds of a simulation, and the start and end of the disturbance of one region."""
 
 
-def play_calm(hall: str, now: float) -> float:
+def get_calm_rate(hall: str, now: float) -> float:
     return 1.0
 
 
-def play_surge(hall: str, now: float) -> float:
+def get_surge_rate(hall: str, now: float) -> float:
     return 2.2 if hall[0] == "x" and BEGIN <= now < END else 1.0
 
 
@@ -30,19 +30,21 @@
     return hall[0] == "x" and BEGIN <= now < END
 
 
-def test_in_calm_everybody_stays_in_its_region() -> None:
-    count = Simulation(CostSpillPolicy, 1).run(LENGTH, play_calm)
+def test_requests_stay_in_their_region_under_normal_load() -> None:
+    count = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate)
     assert count.far < 0.01
     assert count.missed == 0
 
 
-def test_without_distance_costs_they_do_not() -> None:
-    count = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(LENGTH, play_calm)
+def test_requests_leave_their_region_without_distance_costs() -> None:
+    count = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(
+        LENGTH, get_calm_rate
+    )
     assert count.far > 0.3
 
 
-def test_what_a_region_cannot_bear_spills_and_is_in_time() -> None:
-    count = Simulation(CostSpillPolicy, 1).run(LENGTH, play_surge)
+def test_a_surge_spills_and_is_served_in_time() -> None:
+    count = Simulation(CostSpillPolicy, 1).run(LENGTH, get_surge_rate)
     assert count.missed < 0.005
     assert 0.02 < count.far < 0.25
 
@@ -50,15 +52,15 @@
 @pytest.mark.parametrize(
     ("make_spill", "without"), [(CostSpillPolicy, frozenset({Mechanism.SPILL})), (RingSpillPolicy, ALL_IN)]
 )
-def test_where_refusals_say_nothing_of_a_region_its_callers_wait_for_it(
+def test_requests_are_late_if_refusals_have_no_cost(
     make_spill: type[CostSpillPolicy | RingSpillPolicy], without: Without
 ) -> None:
-    """What the kept way is compared with: rings go by loads that a VM mostly does not know."""
-    assert Simulation(make_spill, 1, without).run(LENGTH, play_surge).missed > 0.02
+    """Alternatives to ``CostSpillPolicy`` miss its bound, since a VM knows few engines' loads."""
+    assert Simulation(make_spill, 1, without).run(LENGTH, get_surge_rate).missed > 0.02
 
 
-def test_a_region_without_engines_is_served_by_the_others_and_has_its_own_back_at_once() -> None:
-    count = Simulation(CostSpillPolicy, 1).run(LENGTH, play_calm, is_gone)
+def test_a_region_without_engines_is_served_by_others_until_its_own_return() -> None:
+    count = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate, is_gone)
     assert count.missed < 0.005
     by_second = [count.far_by_second[second] for second in range(int(LENGTH))]
     assert min(by_second[int(BEGIN) : int(END)]) > 30
@@ -77,7 +79,7 @@
     return Counter(PLACES.measure("x1", one.hall) for one in drawn)
 
 
-def test_most_of_those_that_are_weighed_are_near_and_some_are_far() -> None:
+def test_most_candidates_are_near_and_some_are_far() -> None:
     drawn = draw(ALL_IN)
     total = sum(drawn.values())
     assert drawn[Distance.SAME_HALL] + drawn[Distance.SAME_REGION] > 0.6 * total
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that send to cold upstreams, without requests, a network or a store."""
+"""Simulation of VMs that send requests to cold upstreams, without a network or a store."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 TERMS = ColdTerms(3.0, 8.0)
 BOUND = ColdBound(1.5, 5.0)
 MAX_REQUESTS = 17
-"""Requests that a cold upstream may get in any second by these."""
+"""Limit of a cold upstream in any second by ``TERMS`` and ``BOUND``."""
 
 STEP_S = 0.01
-"""Seconds."""
+"""Time step of the simulation."""
 
 MAX_UPDATE_DELAY_S = 1.0
-"""Seconds until the last VM knows that an upstream is cold, or that there is a new VM."""
+"""Delay until the last VM knows that an upstream is cold, or that a VM is new."""
 
 MAX_CONNECT_S = 0.05
-"""Seconds between the choice of an upstream and the request on its way there."""
+"""Delay between the choice of an upstream and the sending of the request."""
 
 Kind = type[SponsorGate] | type[RoundRobinGate]
 
 
 @dataclass(eq=False)
 class Vm:
-    """One VM; a restart begins another life."""
+    """One incarnation of a VM."""
 
     name: str
     offset: float
-    """Of its clock."""
+    """Offset of its clock in seconds."""
     lag: float
-    """Seconds by which its news of upstreams are late."""
+    """Delay of its updates of upstreams in seconds."""
     gate: ColdGate
     others: set[str] = field(default_factory=set)
     side: int = 0
-    """VMs on different sides of a cut don't hear each other."""
+    """Side of a network partition; VMs on different sides are not connected."""
 
 
 class ColdFleet:
-    """All of them, and what cold upstreams got."""
+    """Fleet of VMs, with the requests that cold upstreams received."""
 
     def __init__(self, vms: int, kind: Kind = SponsorGate, *, seed: int = 1, upstreams: int = 1) -> None:
         self.random = random.Random(seed)
@@ -57,9 +57,9 @@
         self.asked = 0
         self.sent: dict[UpstreamId, list[float]] = {}
         self.served: set[str] = set()
-        """VMs that could send something."""
+        """Names of VMs that were allowed to send a request."""
         self._pending: list[tuple[float, UpstreamId, Vm, ColdGate]] = []
-        self._later: list[tuple[float, str, Vm]] = []
+        self._announcements: list[tuple[float, str, Vm]] = []
         self.upstreams = [self._make_upstream(f"u{seed}-{number}") for number in range(upstreams)]
         self.vms: list[Vm] = []
         names = {f"10.0.{number}:1" for number in range(vms)}
@@ -84,93 +84,93 @@
         self.vms.append(vm)
         return vm
 
-    # --- what happens to it ------------------------------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------------------------------------------
 
     def turn_cold(self, seconds: float) -> None:
-        """Have all upstreams be cold from now on."""
+        """Make all upstreams cold for some seconds from now on."""
         self.cold_until = self.now + seconds
 
     def cut(self, vms: Iterable[Vm], side: int = 1) -> None:
-        """Cut VMs off from the others; what they know of them stays."""
+        """Partition VMs from the others; they still know of each other."""
         for vm in vms:
             vm.side = side
 
     def heal(self) -> None:
-        """End all cuts: VMs hear of each other again within a second."""
+        """End all partitions: VMs know of each other again after ``MAX_UPDATE_DELAY_S`` at most."""
         for vm in self.vms:
             vm.side = 0
         for vm in self.vms:
             for other in self.vms:
                 if other is not vm and other.name not in vm.others:
-                    self._later.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, vm))
+                    self._announcements.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, vm))
 
     def restart(self, vms: Iterable[Vm]) -> None:
-        """Have VMs forget everything; those in touch tell them most of whom they know before they may send."""
+        """Restart VMs without state; connected VMs announce most of those that they know during the startup delay."""
         gone = list(vms)
-        told = {vm.name: self._list_announced(vm) for vm in gone}
+        announced = {vm.name: self._list_announced(vm) for vm in gone}
         for vm in gone:
             self.vms.remove(vm)
         for vm in gone:
             back = self._start(vm.name)
             back.side = vm.side
-            for name in told[vm.name]:
+            for name in announced[vm.name]:
                 soon = self.random.random() < 0.7
                 delay = (
                     self.random.uniform(0, MAX_UPDATE_DELAY_S)
                     if soon
                     else self.random.uniform(0, 4 * MAX_UPDATE_DELAY_S)
                 )
-                self._later.append((self.now + delay, name, back))
+                self._announcements.append((self.now + delay, name, back))
 
     def _list_announced(self, vm: Vm) -> list[str]:
-        in_touch = [one for one in self.vms if one.side == vm.side and one is not vm]
-        names = {name for one in in_touch[:4] for name in one.others} | {one.name for one in in_touch}
+        connected = [one for one in self.vms if one.side == vm.side and one is not vm]
+        names = {name for one in connected[:4] for name in one.others} | {one.name for one in connected}
         return sorted(names - {vm.name})
 
     def forget(self) -> None:
-        """Have VMs forget those that they did not hear of for long."""
+        """Make VMs forget the VMs that they are not connected to."""
         for vm in self.vms:
             vm.others = {one.name for one in self.vms if one.side == vm.side and one is not vm}
 
     def add(self, name: str) -> None:
-        """Start a new VM; the others hear of it within a second."""
+        """Start a new VM; the others know of it after ``MAX_UPDATE_DELAY_S`` at most."""
         others = [vm for vm in self.vms if vm.side == 0]
         new = self._start(name)
         for other in others:
-            self._later.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, new))
-            self._later.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), name, other))
+            self._announcements.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, new))
+            self._announcements.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), name, other))
 
     def remove(self, vm: Vm) -> None:
-        """Lose a VM for good."""
+        """Remove a VM for good."""
         self.vms.remove(vm)
 
     # --- time --------------------------------------------------------------------------------------------------------
 
     def run(self, seconds: float, demand: float, vms: list[Vm] | None = None) -> None:
-        """Let time pass.
+        """Run the simulation for some seconds.
 
-        :param demand: requests a second, at VMs drawn at random, that would go to each upstream if it were warm
-        :param vms: the VMs that callers ask
+        :param demand: requests a second for each upstream, at random VMs
+        :param vms: the VMs that receive the requests; all if omitted
         """
         end = self.now + seconds
         owed = 0.0
         while self.now < end - 1e-9:
-            self._learn()
+            self._apply_announcements()
             owed += demand * STEP_S * len(self.upstreams)
             while owed > self.random.random():
                 owed -= 1
-                self._ask(self.random.choice(vms or self.vms), self.random.choice(self.upstreams))
+                self._request(self.random.choice(vms or self.vms), self.random.choice(self.upstreams))
             self._deliver()
             self.now += STEP_S
 
-    def _learn(self) -> None:
-        due = [one for one in self._later if one[0] <= self.now]
+    def _apply_announcements(self) -> None:
+        due = [one for one in self._announcements if one[0] <= self.now]
         if due:
-            self._later = [one for one in self._later if one[0] > self.now]
+            self._announcements = [one for one in self._announcements if one[0] > self.now]
         for _, name, vm in due:
             vm.others.add(name)
 
-    def _ask(self, vm: Vm, upstream: Upstream) -> None:
+    def _request(self, vm: Vm, upstream: Upstream) -> None:
         self.asked += 1
         now = self.now + vm.offset
         if not vm.gate.may_send(upstream, TERMS, now):
@@ -187,17 +187,17 @@
             gate.record_sent(upstream, self.now + vm.offset)
             self.sent.setdefault(upstream, []).append(self.now)
 
-    # --- what came of it ---------------------------------------------------------------------------------------------
+    # --- results -----------------------------------------------------------------------------------------------------
 
     def get_max_per_second(self) -> int:
-        """Return the most requests that an upstream got in a second."""
+        """Return the largest number of requests to one upstream in any second."""
         return max((_count_max_per_second(times) for times in self.sent.values()), default=0)
 
     def count_sent(self) -> int:
         return sum(len(times) for times in self.sent.values())
 
     def draw_events(self, seconds: float, demand: float) -> None:
-        """Let time pass with cuts, restarts, new and lost VMs, and upstreams that turn cold again at any moment."""
+        """Run with random partitions, restarts, new and lost VMs, and upstreams that turn cold again."""
         end = self.now + seconds
         number = 0
         while self.now < end:
