--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -272,9 +272,9 @@
         self, usable: Sequence[Upstream], phase: Phase | None, tried: set[UpstreamId], now: float, hall: str
     ) -> list[Upstream]:
         """Return the candidates to compare: all of a small pool, a sample of a large one, most of it near a hall."""
-        drawn = usable if len(usable) <= SAMPLE_SIZE else random.sample(usable, SAMPLE_SIZE)
-        eligible = self._filter(drawn, phase, tried, now)
-        if not eligible and drawn is not usable:
+        sampled = usable if len(usable) <= SAMPLE_SIZE else random.sample(usable, SAMPLE_SIZE)
+        eligible = self._filter(sampled, phase, tried, now)
+        if not eligible and sampled is not usable:
             eligible = self._filter(usable, phase, tried, now)
         if len(eligible) <= MAX_CANDIDATES:
             return eligible
@@ -287,16 +287,16 @@
         rings: dict[Distance, list[Upstream]] = {distance: [] for distance in Distance}
         for one in eligible:
             rings[distances[one.hall]].append(one)
-        drawn: list[Upstream] = []
+        sampled: list[Upstream] = []
         others = rings[Distance.OTHER_REGION]
         for distance, limit in NEAR_CANDIDATES.items():
             ring = rings[distance]
-            count = limit - len(drawn)
+            count = limit - len(sampled)
             first = random.randrange(len(ring)) if len(ring) > count else 0
             rotated = ring[first:] + ring[:first]
-            drawn += rotated[:count]
+            sampled += rotated[:count]
             others += rotated[count:]
-        return drawn + random.sample(others, MAX_CANDIDATES - len(drawn))
+        return sampled + random.sample(others, MAX_CANDIDATES - len(sampled))
 
     def _filter(
         self, usable: Sequence[Upstream], phase: Phase | None, tried: set[UpstreamId], now: float
--- a/src/beamhatch/relay/choosing/shortage.py
+++ b/src/beamhatch/relay/choosing/shortage.py
@@ -75,10 +75,10 @@
 def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
     """Return the shortage until the first limit has room, or None if no upstream is excluded by its limit alone."""
     limits = eligibility.limits
-    lives = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
-    if not lives:
+    limited = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
+    if not limited:
         return None
-    return Shortage(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in lives), limits.find_pace(lives))
+    return Shortage(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in limited), limits.find_pace(limited))
 
 
 def spread_retry(wait: float, draw: float, *, owed: bool) -> float:
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -72,7 +72,7 @@
 class Outcome:
     """Counts of the requests of one simulation."""
 
-    asked: int = 0
+    requests: int = 0
     late: int = 0
     lost: int = 0
     placements: defaultdict[Distance, int] = field(default_factory=lambda: defaultdict(int))
@@ -83,18 +83,18 @@
     @property
     def far(self) -> float:
         """Return the share of requests that ran in another region than their VM's."""
-        return self.placements[Distance.OTHER_REGION] / max(1, self.asked)
+        return self.placements[Distance.OTHER_REGION] / max(1, self.requests)
 
     @property
     def missed(self) -> float:
         """Return the share of requests that were late or found no slot."""
-        return (self.late + self.lost) / max(1, self.asked)
+        return (self.late + self.lost) / max(1, self.requests)
 
 
 @dataclass
 class _Request:
     vm: int
-    came: float
+    arrived_at: float
     refused: list[Upstream] = field(default_factory=list)
 
 
@@ -117,47 +117,47 @@
             for hall in self.halls
         ]
         self.running: defaultdict[UpstreamId, int] = defaultdict(int)
-        self.count = Outcome()
+        self.outcome = Outcome()
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
 
     def run(
         self,
         seconds: float,
-        find_rate: Callable[[str, float], float],
-        is_gone: Callable[[str, float], bool] = lambda hall, now: False,
+        get_rate: Callable[[str, float], float],
+        is_unlisted: Callable[[str, float], bool] = lambda hall, now: False,
     ) -> Outcome:
         """Run the simulation.
 
-        :param find_rate: returns the request rate of a hall at a time, as a multiple of ``NORMAL_RATE``
-        :param is_gone: returns whether the engines of a hall are unlisted at a time
+        :param get_rate: returns the request rate of a hall at a time, as a multiple of ``NORMAL_RATE``
+        :param is_unlisted: returns whether the engines of a hall are unlisted at a time
         """
-        self._is_gone = is_gone
+        self._is_unlisted = is_unlisted
         for hall in REGIONS:
             now = 0.0
             while (now := now + self._random.expovariate(4 * NORMAL_RATE)) < seconds:
-                if self._random.random() * 4 < find_rate(hall, now):
+                if self._random.random() * 4 < get_rate(hall, now):
                     vm = self._random.choice([n for n, own in enumerate(self.halls) if own == hall])
                     self._schedule(now, self._make_round(_Request(vm, now)))
         while self._events:
             now, _, event = heapq.heappop(self._events)
             event(now)
-        return self.count
+        return self.outcome
 
     def _schedule(self, at: float, event: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), event))
 
     def _make_round(self, request: _Request) -> Callable[[float], None]:
         def begin(now: float) -> None:
-            if now == request.came:
-                self.count.asked += 1
+            if now == request.arrived_at:
+                self.outcome.requests += 1
             request.refused.clear()
             self._attempt(request, now)
 
         return begin
 
     def _attempt(self, request: _Request, now: float) -> None:
-        usable = [one for one in self.engines if not self._is_gone(one.hall, now)]
+        usable = [one for one in self.engines if not self._is_unlisted(one.hall, now)]
         chooser = self.choosers[request.vm]
         need = replace(NEED, refused_halls=tuple(one.hall for one in request.refused))
         tried = {one.id for one in request.refused}
@@ -165,12 +165,12 @@
         if found is None:
             self._wait(request, now)
             return
-        self.count.attempts += 1
+        self.outcome.attempts += 1
         distance = PLACES.measure(self.halls[request.vm], found.hall)
         self._schedule(now + ROUND_TRIP_S[distance], lambda at: self._answer(request, found, at))
 
     def _answer(self, request: _Request, engine: Upstream, now: float) -> None:
-        if self.running[engine.id] >= SLOTS or self._is_gone(engine.hall, now):
+        if self.running[engine.id] >= SLOTS or self._is_unlisted(engine.hall, now):
             request.refused.append(engine)
             if len(request.refused) < RESERVE_TRIES:
                 self._attempt(request, now)
@@ -180,18 +180,18 @@
         self._run_stream(request, engine, now)
 
     def _wait(self, request: _Request, now: float) -> None:
-        if now - request.came > TIMEOUT_S:
-            self.count.lost += 1
+        if now - request.arrived_at > TIMEOUT_S:
+            self.outcome.lost += 1
         else:
             self._schedule(now + POLL_S * self._random.uniform(0.6, 1.4), self._make_round(request))
 
     def _run_stream(self, request: _Request, engine: Upstream, now: float) -> None:
         distance = PLACES.measure(self.halls[request.vm], engine.hall)
-        self.count.placements[distance] += 1
+        self.outcome.placements[distance] += 1
         if distance is Distance.OTHER_REGION:
-            self.count.far_by_second[int(request.came)] += 1
-        if now - request.came > IN_TIME_S:
-            self.count.late += 1
+            self.outcome.far_by_second[int(request.arrived_at)] += 1
+        if now - request.arrived_at > IN_TIME_S:
+            self.outcome.late += 1
         self.running[engine.id] += 1
         stats = self.choosers[request.vm].stats.get(engine.id)
         stats.record_start(5070, now)
--- a/tests/relay/choosing/test_backoffs.py
+++ b/tests/relay/choosing/test_backoffs.py
@@ -19,43 +19,43 @@
 
 def make_ended() -> tuple[Backoffs, float]:
     """Return back-offs of which one of 3 s has just ended, and the time."""
-    rests = Backoffs()
-    rests.record(ONE, 3.0, NOW)
-    return rests, NOW + MAX_BACKOFF_S
+    backoffs = Backoffs()
+    backoffs.record(ONE, 3.0, NOW)
+    return backoffs, NOW + MAX_BACKOFF_S
 
 
 def test_nothing_is_sent_during_a_backoff() -> None:
-    rests = Backoffs()
-    assert rests.may_send(ONE, NOW)
-    assert rests.record(ONE, 3.0, NOW)
-    assert not rests.may_send(ONE, NOW + 3.0)
-    assert rests.is_active(ONE, NOW + 2.99)
-    assert rests.may_send(ONE, NOW + MAX_BACKOFF_S)
+    backoffs = Backoffs()
+    assert backoffs.may_send(ONE, NOW)
+    assert backoffs.record(ONE, 3.0, NOW)
+    assert not backoffs.may_send(ONE, NOW + 3.0)
+    assert backoffs.is_active(ONE, NOW + 2.99)
+    assert backoffs.may_send(ONE, NOW + MAX_BACKOFF_S)
 
 
 def test_a_backoff_can_be_extended_and_not_shortened() -> None:
-    rests = Backoffs()
-    rests.record(ONE, 3.0, NOW)
-    assert not rests.record(ONE, 0.5, NOW + 1.0)
-    assert not rests.may_send(ONE, NOW + 2.99)
-    assert not rests.record(ONE, 9.0, NOW + 2.0)
-    assert not rests.may_send(ONE, NOW + 10.9)
+    backoffs = Backoffs()
+    backoffs.record(ONE, 3.0, NOW)
+    assert not backoffs.record(ONE, 0.5, NOW + 1.0)
+    assert not backoffs.may_send(ONE, NOW + 2.99)
+    assert not backoffs.record(ONE, 9.0, NOW + 2.0)
+    assert not backoffs.may_send(ONE, NOW + 10.9)
 
 
 def test_a_backoff_does_not_apply_to_other_incarnations() -> None:
-    rests = Backoffs()
-    rests.record(ONE, 3.0, NOW)
-    assert rests.may_send(Life(ONE.id, 2), NOW)
-    assert not rests.may_send(ONE, NOW)
+    backoffs = Backoffs()
+    backoffs.record(ONE, 3.0, NOW)
+    assert backoffs.may_send(Life(ONE.id, 2), NOW)
+    assert not backoffs.may_send(ONE, NOW)
 
 
 def test_each_answered_probe_allows_two_more() -> None:
-    rests, now = make_ended()
+    backoffs, now = make_ended()
     allowed = []
     for _ in range(4):
         probes = []
-        while rests.may_send(ONE, now):
-            probe = rests.begin_request(ONE, now)
+        while backoffs.may_send(ONE, now):
+            probe = backoffs.begin_request(ONE, now)
             assert probe is not None
             probes.append(probe)
         allowed.append(len(probes))
@@ -66,49 +66,49 @@
 
 
 def test_probing_ends_after_enough_answers() -> None:
-    rests, now = make_ended()
+    backoffs, now = make_ended()
     for _ in range(RECOVERY_ANSWERS):
-        probe = rests.begin_request(ONE, now)
+        probe = backoffs.begin_request(ONE, now)
         assert probe is not None
         probe.end(now, answered=True)
-    assert rests.begin_request(ONE, now) is None
+    assert backoffs.begin_request(ONE, now) is None
 
 
 def test_a_probe_is_counted_once_and_a_failed_one_allows_no_more() -> None:
-    rests, now = make_ended()
-    probe = rests.begin_request(ONE, now)
+    backoffs, now = make_ended()
+    probe = backoffs.begin_request(ONE, now)
     assert probe is not None
-    assert not rests.may_send(ONE, now)
+    assert not backoffs.may_send(ONE, now)
     probe.end(now, answered=False)
     probe.end(now, answered=True)
-    assert rests.may_send(ONE, now)
-    rests.begin_request(ONE, now)
-    assert not rests.may_send(ONE, now)
+    assert backoffs.may_send(ONE, now)
+    backoffs.begin_request(ONE, now)
+    assert not backoffs.may_send(ONE, now)
 
 
 def test_a_probe_without_a_result_times_out() -> None:
-    rests, now = make_ended()
-    rests.begin_request(ONE, now)
-    assert not rests.may_send(ONE, now + PROBE_TIMEOUT_S - 0.01)
-    assert rests.may_send(ONE, now + PROBE_TIMEOUT_S)
+    backoffs, now = make_ended()
+    backoffs.begin_request(ONE, now)
+    assert not backoffs.may_send(ONE, now + PROBE_TIMEOUT_S - 0.01)
+    assert backoffs.may_send(ONE, now + PROBE_TIMEOUT_S)
 
 
 def test_a_probe_may_start_another_backoff() -> None:
-    rests, now = make_ended()
-    probe = rests.begin_request(ONE, now)
+    backoffs, now = make_ended()
+    probe = backoffs.begin_request(ONE, now)
     assert probe is not None
-    assert rests.record(ONE, 3.0, now)
+    assert backoffs.record(ONE, 3.0, now)
     probe.end(now, answered=False)
-    assert not rests.may_send(ONE, now + 2.9)
+    assert not backoffs.may_send(ONE, now + 2.9)
 
 
 def test_unlisted_upstreams_are_dropped() -> None:
-    rests = Backoffs()
-    rests.record(ONE, 3.0, NOW)
-    rests.keep_only({ONE.id})
-    assert rests.count_active(NOW) == 1
-    rests.keep_only(set())
-    assert rests.count_active(NOW) == 0
+    backoffs = Backoffs()
+    backoffs.record(ONE, 3.0, NOW)
+    backoffs.keep_only({ONE.id})
+    assert backoffs.count_active(NOW) == 1
+    backoffs.keep_only(set())
+    assert backoffs.count_active(NOW) == 0
 
 
 @pytest.mark.parametrize("vms", [8, 74, 195, 300])
@@ -118,9 +118,9 @@
     for _ in range(100):
         ends = Counter[int]()
         for _ in range(vms):
-            rests = Backoffs()
-            rests.record(ONE, 3.0, NOW)
-            end = rests.get_end(ONE, NOW)
+            backoffs = Backoffs()
+            backoffs.record(ONE, 3.0, NOW)
+            end = backoffs.get_end(ONE, NOW)
             assert end is not None
             ends[int(100 * (end - NOW))] += 1
         busiest.append(max(ends.values()))
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -16,8 +16,8 @@
 
 
 def make_chooser() -> tuple[LeastCostChooser, UpstreamStatsRegistry]:
-    standings = UpstreamStatsRegistry()
-    return LeastCostChooser(standings, "a"), standings
+    registry = UpstreamStatsRegistry()
+    return LeastCostChooser(registry, "a"), registry
 
 
 def test_the_same_prompt_goes_to_the_same_engine_on_every_vm() -> None:
@@ -27,56 +27,56 @@
 
 
 def test_a_queue_outweighs_cache_affinity() -> None:
-    chooser, standings = make_chooser()
+    chooser, registry = make_chooser()
     engines = [make(f"u{number}", Phase.PREFILL) for number in range(4)]
-    home = chooser.choose_prefill(engines, NEED, set(), NOW)
-    assert home is not None
+    preferred = chooser.choose_prefill(engines, NEED, set(), NOW)
+    assert preferred is not None
     for _ in range(3):
-        standings.get(home.id).record_start(5000, NOW)
-    assert chooser.choose_prefill(engines, NEED, set(), NOW) != home
+        registry.get(preferred.id).record_start(5000, NOW)
+    assert chooser.choose_prefill(engines, NEED, set(), NOW) != preferred
 
 
 def test_the_decode_engine_is_in_the_hall_of_the_kv_cache_unless_it_is_busier() -> None:
-    chooser, standings = make_chooser()
+    chooser, registry = make_chooser()
     near, far = make("near", Phase.DECODE, "b"), make("far", Phase.DECODE, "a")
     handle = Handle("k", make("p", Phase.PREFILL, "b"), NOW)
     assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == near
     for _ in range(4):
-        standings.get(near.id).record_start(6000, NOW)
+        registry.get(near.id).record_start(6000, NOW)
     assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == far
 
 
 def test_failures_outweigh_load_until_they_expire() -> None:
-    chooser, standings = make_chooser()
+    chooser, registry = make_chooser()
     good, bad = make("good", Phase.PLAIN), make("bad", Phase.PLAIN)
-    standings.get(good.id).record_load(Load(6, 2, 6), NOW)
-    standings.get(bad.id).record_no_response(NOW)
+    registry.get(good.id).record_load(Load(6, 2, 6), NOW)
+    registry.get(bad.id).record_no_response(NOW)
     assert chooser.choose_plain([bad, good], set(), NOW) == good
     assert chooser.choose_plain([bad], set(), NOW) == bad
     assert chooser.choose_plain([bad, good], {good.id}, NOW) == bad
     assert chooser.choose_plain([bad], {bad.id}, NOW) is None
-    standings.get(bad.id).record_misdirected(NOW)
+    registry.get(bad.id).record_misdirected(NOW)
     assert chooser.choose_plain([bad], set(), NOW) is None
     assert chooser.choose_plain([bad], set(), NOW + 60) == bad
 
 
 def test_failure_rates_reported_by_peers_expire() -> None:
-    chooser, standings = make_chooser()
+    chooser, registry = make_chooser()
     reported, other = make("told", Phase.PLAIN), make("other", Phase.PLAIN)
-    standings.get(other.id).record_start(0, NOW)
-    standings.get(reported.id).apply_hint(0.5, NOW)
+    registry.get(other.id).record_start(0, NOW)
+    registry.get(reported.id).apply_hint(0.5, NOW)
     assert chooser.choose_plain([reported, other], set(), NOW) == other
     assert chooser.choose_plain([reported, other], set(), NOW + 40) == reported
-    assert standings.list_failing(0.1, NOW) == {}
+    assert registry.list_failing(0.1, NOW) == {}
 
 
 def test_a_choice_among_thousands_examines_a_sample() -> None:
-    chooser, standings = make_chooser()
+    chooser, registry = make_chooser()
     phases = (Phase.PREFILL, Phase.DECODE, Phase.DECODE)
     engines = [make(f"u{number}", phases[number % 3]) for number in range(6900)]
     assert chooser.choose_prefill(engines, NEED, set(), NOW) is not None
     assert chooser.choose_decode(engines, NEED, set(), NOW, handle=None, kv_tokens=KV) is not None
-    assert len(standings._stats) <= 2 * SAMPLE_SIZE
+    assert len(registry._stats) <= 2 * SAMPLE_SIZE
 
 
 def test_the_only_engine_of_a_phase_is_found_among_thousands() -> None:
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -61,13 +61,13 @@
 
 def count_prompts_until_far(engine: Engine, near: str, far: str) -> int:
     """Return the number of prompts queued at a near prefill engine when a far one is chosen."""
-    standings = UpstreamStatsRegistry()
-    chooser = LeastCostChooser(standings, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
+    registry = UpstreamStatsRegistry()
+    chooser = LeastCostChooser(registry, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make("near", Phase.PREFILL, near), make("far", Phase.PREFILL, far)]
     for number in range(10):
         if chooser.choose_prefill(engines, make_need(engine, "a"), set(), NOW) is engines[1]:
             return number
-        standings.get(engines[0].id).record_start(500, NOW)
+        registry.get(engines[0].id).record_start(500, NOW)
     return 10
 
 
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -26,27 +26,27 @@
     return 2.2 if hall[0] == "x" and BEGIN <= now < END else 1.0
 
 
-def is_gone(hall: str, now: float) -> bool:
+def is_unlisted(hall: str, now: float) -> bool:
     return hall[0] == "x" and BEGIN <= now < END
 
 
 def test_requests_stay_in_their_region_under_normal_load() -> None:
-    count = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate)
-    assert count.far < 0.01
-    assert count.missed == 0
+    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate)
+    assert outcome.far < 0.01
+    assert outcome.missed == 0
 
 
 def test_requests_leave_their_region_without_distance_costs() -> None:
-    count = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(
+    outcome = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(
         LENGTH, get_calm_rate
     )
-    assert count.far > 0.3
+    assert outcome.far > 0.3
 
 
 def test_a_surge_spills_and_is_served_in_time() -> None:
-    count = Simulation(CostSpillPolicy, 1).run(LENGTH, get_surge_rate)
-    assert count.missed < 0.005
-    assert 0.02 < count.far < 0.25
+    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_surge_rate)
+    assert outcome.missed < 0.005
+    assert 0.02 < outcome.far < 0.25
 
 
 @pytest.mark.parametrize(
@@ -60,29 +60,29 @@
 
 
 def test_a_region_without_engines_is_served_by_others_until_its_own_return() -> None:
-    count = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate, is_gone)
-    assert count.missed < 0.005
-    by_second = [count.far_by_second[second] for second in range(int(LENGTH))]
+    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate, is_unlisted)
+    assert outcome.missed < 0.005
+    by_second = [outcome.far_by_second[second] for second in range(int(LENGTH))]
     assert min(by_second[int(BEGIN) : int(END)]) > 30
     assert sum(by_second[int(END) :]) <= 6
 
 
-def draw(without: Without, runs: int = 200) -> Counter[Distance]:
+def sample_distances(without: Without, runs: int = 200) -> Counter[Distance]:
     engines = [
         Upstream(UpstreamId(f"{hall}{n}"), ServiceName("s"), Address("h", n), hall, False, Phase.DECODE, 16)
         for hall in REGIONS
         for n in range(10)
     ]
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "x1", without=without, places=PLACES)
-    drawn = [one for _ in range(runs) for one in chooser._sample(engines, Phase.DECODE, set(), 1.0, "x1")]
-    assert len(drawn) == MAX_CANDIDATES * runs
-    return Counter(PLACES.measure("x1", one.hall) for one in drawn)
+    sampled = [one for _ in range(runs) for one in chooser._sample(engines, Phase.DECODE, set(), 1.0, "x1")]
+    assert len(sampled) == MAX_CANDIDATES * runs
+    return Counter(PLACES.measure("x1", one.hall) for one in sampled)
 
 
 def test_most_candidates_are_near_and_some_are_far() -> None:
-    drawn = draw(ALL_IN)
-    total = sum(drawn.values())
-    assert drawn[Distance.SAME_HALL] + drawn[Distance.SAME_REGION] > 0.6 * total
-    assert drawn[Distance.OTHER_REGION] > 0.15 * total
-    anywhere = draw(frozenset({Mechanism.NEAR_DRAW}))
+    sampled = sample_distances(ALL_IN)
+    total = sum(sampled.values())
+    assert sampled[Distance.SAME_HALL] + sampled[Distance.SAME_REGION] > 0.6 * total
+    assert sampled[Distance.OTHER_REGION] > 0.15 * total
+    anywhere = sample_distances(frozenset({Mechanism.NEAR_DRAW}))
     assert anywhere[Distance.SAME_HALL] < 0.25 * total
