--- /dev/null
+++ b/src/beamhatch/relay/choosing/backoffs.py
@@ -0,0 +1,131 @@
+"""Track upstreams that have asked this VM to back off, and ramp requests up again afterwards.
+
+After a back-off, one request probes the upstream, and each answer allows more. An upstream asks one VM to back off and
+may have room for others, so back-offs are not shared with peers.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Collection
+
+    from beamhatch.relay.model import Life, Upstream, UpstreamId
+
+MAX_JITTER = 0.25
+"""Maximum random extension of a back-off, as a share of it, so that VMs do not all return at once."""
+
+INITIAL_PROBES = 1
+"""Requests that may be in flight after a back-off until the first one is answered."""
+
+RECOVERY_ANSWERS = 16
+"""Answers after which an upstream is used without limits again."""
+
+PROBE_TIMEOUT_S = 1.0
+"""Seconds after which a probe without a result no longer counts as in flight."""
+
+
+@dataclass(slots=True)
+class _Backoff:
+    until: float
+    """Monotonic seconds."""
+    answers: int = 0
+    """Requests that were answered after the end of the back-off, and not rejected."""
+    probes: deque[float] = field(default_factory=deque)
+    """Start of each probe in flight."""
+
+    def has_room(self, now: float) -> bool:
+        """Return whether one more probe may be sent."""
+        while self.probes and self.probes[0] <= now - PROBE_TIMEOUT_S:
+            self.probes.popleft()
+        return len(self.probes) < INITIAL_PROBES + self.answers
+
+
+@dataclass(slots=True)
+class BackoffProbe:
+    """Request to an upstream that has asked for a back-off; its result is recorded once."""
+
+    backoffs: Backoffs
+    life: Life
+    _ended: bool = False
+
+    def end(self, now: float, *, answered: bool) -> None:
+        """Record the result, unless one was recorded before."""
+        if not self._ended:
+            self._ended = True
+            self.backoffs.end_request(self.life, now, answered=answered)
+
+
+@dataclass(slots=True)
+class Backoffs:
+    """Back-offs that upstreams have asked this VM for, by the incarnation that asked."""
+
+    _backoffs: dict[Life, _Backoff] = field(default_factory=dict)
+    _ids: set[UpstreamId] = field(default_factory=set)
+    """Upstreams with a back-off, as a fast path for all others."""
+
+    def may_send_to(self, upstream: Upstream, now: float) -> bool:
+        """Return whether an upstream may be sent one more request; see ``may_send``."""
+        return upstream.id not in self._ids or self.may_send(upstream.life, now)
+
+    def record(self, incarnation: Life, seconds: float, now: float) -> bool:
+        """Record that an upstream asks for a back-off of some seconds; return whether none was active."""
+        until = now + seconds * random.uniform(1.0, 1.0 + MAX_JITTER)
+        known = self._backoffs.get(incarnation)
+        if known is not None and now < known.until:
+            known.until = max(known.until, until)
+            return False
+        self._backoffs[incarnation] = _Backoff(until)
+        self._ids.add(incarnation.id)
+        return True
+
+    def get_end(self, incarnation: Life, now: float) -> float | None:
+        """Return when an upstream's back-off ends, or None if none is active."""
+        backoff = self._backoffs.get(incarnation)
+        return backoff.until if backoff is not None and now < backoff.until else None
+
+    def may_send(self, life: Life, now: float) -> bool:
+        """Return whether an upstream may be sent one more request, without counting it."""
+        backoff = self._backoffs.get(life)
+        return backoff is None or (now >= backoff.until and backoff.has_room(now))
+
+    def is_active(self, incarnation: Life, now: float) -> bool:
+        """Return whether an upstream's back-off is active."""
+        return self.get_end(incarnation, now) is not None
+
+    def begin_request(self, incarnation: Life, now: float) -> BackoffProbe | None:
+        """Count a request that is sent; return its probe, or None if the upstream has asked for no back-off."""
+        backoff = self._backoffs.get(incarnation)
+        if backoff is None:
+            return None
+        backoff.probes.append(now)
+        return BackoffProbe(self, incarnation)
+
+    def end_request(self, incarnation: Life, now: float, *, answered: bool) -> None:
+        """Record the result of a probe.
+
+        :param answered: whether the upstream answered and did not reject the request
+        """
+        backoff = self._backoffs.get(incarnation)
+        if backoff is None or now < backoff.until:
+            return
+        if backoff.probes:
+            backoff.probes.popleft()
+        backoff.answers += answered
+        if backoff.answers >= RECOVERY_ANSWERS:
+            del self._backoffs[incarnation]
+
+    def count_active(self, now: float) -> int:
+        """Return the number of active back-offs."""
+        return sum(now < backoff.until for backoff in self._backoffs.values())
+
+    def keep_only(self, listed: Collection[UpstreamId]) -> None:
+        """Drop the back-offs of upstreams that are not listed."""
+        self._backoffs = {
+            incarnation: backoff for incarnation, backoff in self._backoffs.items() if incarnation.id in listed
+        }
+        self._ids = {incarnation.id for incarnation in self._backoffs}
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -1,7 +1,6 @@
-"""What distance costs, in seconds: ways there and back, callers' bytes, and KV caches that move between engines.
+"""Compute the cost of distance in seconds: round trips, bytes of callers, and KV cache transfers between engines.
 
-One formula for caches of any size and links of any speed, so that a cache of 819 MB a prompt keeps engines together
-which one of 92 MB does not.
+The cost of a transfer grows with the size of the cache, so large caches keep prefill and decode close together.
 """
 
 from __future__ import annotations
@@ -14,83 +13,79 @@
 if TYPE_CHECKING:
     from beamhatch.relay.model import Engine
 
-ROUND_TRIPS = {Distance.SAME_HALL: 0.0005, Distance.SAME_REGION: 0.001, Distance.OTHER_REGION: 0.025}
-"""Seconds there and back: usual for machines of one building, of one city, of cities some hundred kilometres apart."""
+ROUND_TRIP_S = {Distance.SAME_HALL: 0.0005, Distance.SAME_REGION: 0.001, Distance.OTHER_REGION: 0.025}
+"""Seconds of a network round trip."""
 
-MOVE_FACTORS = {Distance.SAME_HALL: 1.0, Distance.SAME_REGION: 2.0, Distance.OTHER_REGION: 10.0}
-"""How many times as long a KV cache is under way as it is within a hall; the platform's figures."""
+TRANSFER_FACTORS = {Distance.SAME_HALL: 1.0, Distance.SAME_REGION: 2.0, Distance.OTHER_REGION: 10.0}
+"""Transfer time of a KV cache relative to a transfer within a hall, as specified by the platform."""
 
-BYTE_PRICES = {Distance.SAME_HALL: 0.0, Distance.SAME_REGION: 1.0, Distance.OTHER_REGION: 3.0}
-"""How dear bytes are, in parts of what they cost between halls; the platform's figures for KV caches."""
+BYTE_COST_FACTORS = {Distance.SAME_HALL: 0.0, Distance.SAME_REGION: 1.0, Distance.OTHER_REGION: 3.0}
+"""Cost of a byte relative to one that crosses halls of a region, as specified by the platform for KV caches."""
 
-MOVED_BYTE_PRICE = 0.02e-9
-"""Seconds that a byte of a KV cache counts for between halls.
+KV_BYTE_COST_S = 0.02e-9
+"""Seconds per byte of a KV cache that crosses halls, in addition to the transfer time."""
 
-A cache of 0.8 GB then counts for 16 ms beside its time under way: about as much as one more stream at its engine.
-"""
-
-CALLER_BYTE_PRICE = 1.5e-6
-"""Seconds that a byte of a caller's request or answer counts for between halls.
+CALLER_BYTE_COST_S = 1.5e-6
+"""Seconds per byte of a caller's request or answer that crosses halls.
 
-A plain answer of 2 kB counts for 3 ms and a stream of 68 events for 15 ms. A KV cache's byte counts for a 75,000th of
-that, as caches move on links of their own.
+Far above the cost of a KV cache's byte, since caches have links of their own.
 """
 
 PLAIN_BYTES = 2_000
-"""Bytes of a plain request and its answer, heads included."""
+"""Bytes of a plain request and its answer, with headers."""
 
 EVENT_BYTES = 150
-"""Bytes of one event of a stream, with what its packet and chunk add."""
+"""Bytes of one event of a stream, with packet and chunk overhead."""
 
-UNTOLD_MOVE = 0.02
-"""Seconds for which a KV cache is under way within a hall where its bytes or its link are not told."""
+DEFAULT_TRANSFER_S = 0.02
+"""Transfer time of a KV cache within a hall if its size or the link rate is unknown."""
 
 
 @dataclass(slots=True)
-class Distances:
-    """What distance costs one VM."""
+class DistanceCosts:
+    """Costs of distance, as seen from one hall."""
 
     hall: str
     places: Places = field(default_factory=Places)
-    counts: bool = True
-    """False where distance is to cost nothing."""
+    enabled: bool = True
+    """False if distance costs nothing."""
 
     def measure(self, hall: str) -> Distance:
-        """Return how far a hall is from this VM's."""
+        """Return the distance of a hall from this VM's hall."""
         return self.places.measure(self.hall, hall)
 
-    def count_way(self, hall: str, caller_bytes: float) -> float:
-        """Return the seconds that an upstream's place costs, with a price on what crosses for the caller."""
-        if not self.counts:
+    def compute_request_cost(self, hall: str, caller_bytes: float) -> float:
+        """Return the cost of a request to a hall: the round trip, and the bytes of the caller that cross."""
+        if not self.enabled:
             return 0.0
         distance = self.measure(hall)
-        return ROUND_TRIPS[distance] + caller_bytes * CALLER_BYTE_PRICE * BYTE_PRICES[distance]
+        return ROUND_TRIP_S[distance] + caller_bytes * CALLER_BYTE_COST_S * BYTE_COST_FACTORS[distance]
 
-    def count_move(self, source: str, target: str, cache: CacheFacts) -> float:
-        """Return the seconds that it costs to move a KV cache between engines of two halls."""
-        if not self.counts:
+    def compute_transfer_cost(self, source: str, target: str, cache: CacheTransfer) -> float:
+        """Return the cost of a KV cache transfer between engines of two halls."""
+        if not self.enabled:
             return 0.0
         distance = self.places.measure(source, target)
-        return cache.move_time * MOVE_FACTORS[distance] + cache.size * MOVED_BYTE_PRICE * BYTE_PRICES[distance]
+        return cache.seconds * TRANSFER_FACTORS[distance] + cache.size * KV_BYTE_COST_S * BYTE_COST_FACTORS[distance]
 
 
 @dataclass(frozen=True, slots=True)
-class CacheFacts:
-    """What moving one prompt's KV cache takes."""
+class CacheTransfer:
+    """Size and transfer time of one prompt's KV cache."""
 
     size: float = 0.0
-    """Bytes; 0 where they are not told."""
-    move_time: float = UNTOLD_MOVE
-    """Seconds within a hall."""
+    """Bytes; 0 if unknown."""
+    seconds: float = DEFAULT_TRANSFER_S
+    """Transfer time within a hall."""
 
 
-UNTOLD_CACHE = CacheFacts()
-"""Of a prompt whose bytes are not told."""
+UNKNOWN_CACHE_TRANSFER = CacheTransfer()
+"""Transfer of a cache of unknown size."""
 
 
-def find_cache(engine: Engine, tokens: int) -> CacheFacts:
-    """Return what moving the KV cache of some tokens takes."""
+def compute_cache_transfer(engine: Engine, tokens: int) -> CacheTransfer:
+    """Return the size and transfer time of the KV cache of some tokens."""
     size = tokens * engine.kv_token_bytes
     if not size or not engine.link_rate:
-        return UNTOLD_CACHE
-    return CacheFacts(size, size / engine.link_rate)
+        return UNKNOWN_CACHE_TRANSFER
+    return CacheTransfer(size, size / engine.link_rate)
--- /dev/null
+++ b/src/beamhatch/relay/choosing/prefill_model.py
@@ -0,0 +1,196 @@
+"""Estimate how fast the engines of a service prefill prompts, from samples of this VM and its peers.
+
+The time of a prefill is modelled as a fixed overhead plus a time per token. All engines of a service share one model.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from statistics import linear_regression, pstdev
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from beamhatch.relay.model import ServiceName
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+DEFAULT_TOKENS_PER_S = 30_000.0
+"""Prefill rate assumed before the model is fitted."""
+
+DEFAULT_OVERHEAD_S = 0.05
+"""Overhead of a call assumed before the model is fitted: round trips and the engine's own."""
+
+DECODE_RATE_FACTOR = 0.375
+"""Prefill rate of a decode engine relative to a prefill engine, assumed before the model is fitted.
+
+Decode engines prefill in chunks between decode steps.
+"""
+
+MAX_SAMPLES = 24
+"""Samples that a model is fitted to."""
+
+MAX_UNSENT = 8
+"""Own samples kept until the next heartbeat to peers."""
+
+MIN_SAMPLES = 8
+"""Samples needed for the first fit."""
+
+FIT_INTERVAL_SAMPLES = 4
+"""Samples between two fits."""
+
+FIT_ITERATIONS = 4
+"""Iterations of least trimmed squares."""
+
+FIT_QUANTILE = 0.25
+"""Quantile of the samples that the line follows, since slower prefills had waited for unreported work."""
+
+MIN_TOKENS_STDEV = 200.0
+"""Standard deviation of the prompt lengths below which the time per token can't be fitted."""
+
+MIN_TOKENS_PER_S = 2_000.0
+"""Lower bound of a fitted rate."""
+
+MAX_TOKENS_PER_S = 1_000_000.0
+"""Upper bound of a fitted rate."""
+
+
+class PrefillSample(msgspec.Struct, array_like=True, frozen=True):
+    """One prefill, as VMs report it to each other."""
+
+    service: str
+    at_decode: bool
+    """True if a decode engine did it, between decode steps."""
+    tokens: int
+    seconds: float
+
+
+@dataclass(frozen=True, slots=True)
+class PrefillModel:
+    """Linear model of prefill time: seconds of overhead, and tokens a second."""
+
+    overhead: float = DEFAULT_OVERHEAD_S
+    rate: float = DEFAULT_TOKENS_PER_S
+
+    def predict(self, tokens: float) -> float:
+        """Return the seconds to prefill some tokens, those of a prompt and those queued before it."""
+        return self.overhead + tokens / self.rate
+
+
+@dataclass(slots=True)
+class PrefillEstimator:
+    """Estimator of one prefill model from recent samples."""
+
+    model: PrefillModel = PrefillModel()
+    fitted: bool = False
+    """True if the model was fitted to samples by this VM."""
+    enabled: bool = True
+    _samples: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _unsent: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=MAX_UNSENT))
+    """Own samples not yet sent to peers, as tokens and seconds."""
+    _unfitted: int = 0
+
+    def record_own(self, tokens: int, seconds: float) -> None:
+        """Record a prefill for this VM that had no known work queued before it, and keep it for peers."""
+        self._unsent.append((tokens, seconds))
+        self.record(tokens, seconds)
+
+    def record(self, tokens: int, seconds: float) -> None:
+        """Record a prefill for any VM, and fit the model if enough samples are new.
+
+        Samples of peers count as well, since a VM of a large fleet sees few prefills itself.
+        """
+        if not self.enabled:
+            return
+        self._samples.append((float(tokens), seconds))
+        self._unfitted += 1
+        if len(self._samples) >= MIN_SAMPLES and (not self.fitted or self._unfitted >= FIT_INTERVAL_SAMPLES):
+            self._unfitted = 0
+            self.model = fit_model(list(self._samples))
+            self.fitted = True
+
+    def pop_unsent(self) -> list[tuple[int, float]]:
+        """Remove and return the own samples not yet sent to peers, as tokens and seconds."""
+        unsent = list(self._unsent)
+        self._unsent.clear()
+        return unsent
+
+    def adopt(self, model: PrefillModel) -> None:
+        """Use the model of another VM, unless this one has fitted its own."""
+        if self.enabled and not self.fitted:
+            self.model = model
+
+
+def fit_model(samples: Sequence[tuple[float, float]]) -> PrefillModel:
+    """Fit a model to the half of the samples nearest to ``FIT_QUANTILE``, by least trimmed squares.
+
+    :param samples: tokens and seconds of each prefill
+    """
+    per_token = _get_quantile([(seconds - DEFAULT_OVERHEAD_S) / tokens for tokens, seconds in samples if tokens])
+    model = _make_model(DEFAULT_OVERHEAD_S, per_token)
+    for _ in range(FIT_ITERATIONS):
+        residuals = [seconds - model.predict(tokens) for tokens, seconds in samples]
+        level = _get_quantile(residuals)
+        ranked = sorted(zip(residuals, samples, strict=True), key=lambda pair: abs(pair[0] - level))
+        kept = [sample for _, sample in ranked[: max(MIN_SAMPLES // 2, len(ranked) // 2)]]
+        if pstdev(tokens for tokens, _ in kept) < MIN_TOKENS_STDEV:
+            break
+        fitted = linear_regression([tokens for tokens, _ in kept], [seconds for _, seconds in kept])
+        if fitted.slope <= 0:
+            break
+        model = _make_model(fitted.intercept, fitted.slope)
+    return model
+
+
+def _get_quantile(values: list[float]) -> float:
+    return sorted(values)[int(FIT_QUANTILE * len(values))]
+
+
+def _make_model(overhead: float, per_token: float) -> PrefillModel:
+    return PrefillModel(max(0.0, overhead), 1 / min(max(per_token, 1 / MAX_TOKENS_PER_S), 1 / MIN_TOKENS_PER_S))
+
+
+@dataclass(slots=True)
+class PrefillEstimators:
+    """Estimators for the prefill and decode engines of all services."""
+
+    enabled: bool = True
+    """False if samples are ignored and the defaults apply."""
+    _prefill: dict[ServiceName, PrefillEstimator] = field(default_factory=dict)
+    _decode: dict[ServiceName, PrefillEstimator] = field(default_factory=dict)
+
+    def get_prefill(self, service: ServiceName) -> PrefillEstimator:
+        """Return the estimator of a service's prefill engines."""
+        estimator = self._prefill.get(service)
+        if estimator is None:
+            estimator = self._prefill[service] = PrefillEstimator(enabled=self.enabled)
+        return estimator
+
+    def record(self, sample: PrefillSample) -> None:
+        """Record a sample of a peer."""
+        service = ServiceName(sample.service)
+        estimator = self.get_decode(service) if sample.at_decode else self.get_prefill(service)
+        estimator.record(sample.tokens, sample.seconds)
+
+    def pop_unsent(self) -> list[PrefillSample]:
+        """Remove and return this VM's samples not yet sent to peers."""
+        samples = []
+        for at_decode, estimators in ((False, self._prefill), (True, self._decode)):
+            for service, estimator in estimators.items():
+                samples += [PrefillSample(service, at_decode, *one) for one in estimator.pop_unsent()]
+        return samples
+
+    def get_decode(self, service: ServiceName) -> PrefillEstimator:
+        """Return the estimator of a service's decode engines.
+
+        Until its first fit, its model is derived from that of the prefill engines.
+        """
+        estimator = self._decode.get(service)
+        if estimator is None:
+            estimator = self._decode[service] = PrefillEstimator(enabled=self.enabled)
+        if not estimator.fitted:
+            model = self.get_prefill(service).model
+            estimator.model = PrefillModel(model.overhead, DECODE_RATE_FACTOR * model.rate)
+        return estimator
