--- a/benchmarks/peer_bytes.py
+++ b/benchmarks/peer_bytes.py
@@ -175,7 +175,7 @@
             ),
             "evacuation": self.time_news(
                 lambda: _ignore(store.put(f"op/evacuate/{hall}", {})),
-                lambda vm: vm.core.eligibility.evacuations.is_emptied(hall),
+                lambda vm: vm.core.eligibility.evacuations.is_evacuated(hall),
             ),
             "leaving": self.time_news(
                 lambda: platform.drain(leaving),
@@ -188,7 +188,9 @@
 
     def kill_watchers(self, count: int) -> None:
         """Cut off some of those that watch the store; nobody is told."""
-        watching = [name for name, vm in self.platform.vms.items() if vm._gossip is not None and vm._gossip.watches()]
+        watching = [
+            name for name, vm in self.platform.vms.items() if vm._gossip is not None and vm._gossip.should_watch_store()
+        ]
         for name in watching[:count]:
             self.network.cut(name)
             del self.platform.vms[name]
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -77,7 +77,7 @@
         :param cold: what upstreams of the service bear while they are cold; None where that is as much as ever
         :param owed: whether its caller was refused before
         """
-        if self.evacuations.is_emptied(upstream.hall):
+        if self.evacuations.is_evacuated(upstream.hall):
             return Obstacle.EMPTIED
         if self.listing.is_leaving(upstream):
             return Obstacle.LEAVING
@@ -98,11 +98,11 @@
         return now < self.find_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
-        return now < max(self.listing.latest_cold, self.evacuations.latest_return + cold.start_time)
+        return now < max(self.listing.latest_cold, self.evacuations.latest_end_at + cold.start_time)
 
     def find_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
         """Return until when an upstream is taken as cold, in monotonic seconds."""
-        returned = self.evacuations.find_return(upstream.hall)
+        returned = self.evacuations.get_end_time(upstream.hall)
         return max(self.listing.find_cold_until(upstream.id), returned + cold.start_time)
 
     def find_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
--- a/src/beamhatch/relay/choosing/peer_work.py
+++ b/src/beamhatch/relay/choosing/peer_work.py
@@ -9,13 +9,13 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.fleet.peer_words import PeerWords
+from beamhatch.relay.fleet.peer_values import PeerValues
 
 if TYPE_CHECKING:
     from beamhatch.relay.model import UpstreamId
 
 
-class PeerWork(PeerWords[Mapping[str, int]]):
+class PeerWork(PeerValues[Mapping[str, int]]):
     """The tokens that are to be read for each VM, by engine."""
 
     __slots__ = ()
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -18,7 +18,7 @@
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.engines.changing import ChangeNews, Changes
 from beamhatch.relay.engines.demand import Demand
-from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuations
+from beamhatch.relay.fleet.evacuations import MAX_UNPLACED_HALLS, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.limits.returns import PacedReturns
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
@@ -389,10 +389,10 @@
         evacuations = self.eligibility.evacuations
         now = self.clock.now()
         if whole:
-            changed = evacuations.take_whole(news, as_of, now)
+            changed = evacuations.apply_snapshot(news, as_of, now)
         else:
-            changed = [one for one in news if evacuations.take(one, now)]
-            evacuations.note_known(as_of)
+            changed = [one for one in news if evacuations.apply(one, now)]
+            evacuations.record_known_up_to(as_of)
         for one in changed:
             self._note_evacuation(one, source)
         if changed:
@@ -401,7 +401,7 @@
             self._ask_waiting()
 
     def _note_evacuation(self, news: Evacuation, source: str) -> None:
-        event = "emptied" if news.emptied else "taken back"
+        event = "emptied" if news.active else "taken back"
         self.journal.write(
             "EVACUATION",
             event,
@@ -409,10 +409,10 @@
             revision=news.revision,
             source=source,
             under_way=self.count_in(news.hall),
-            emptied=len(self.eligibility.evacuations.list_emptied()),
+            emptied=len(self.eligibility.evacuations.list_evacuated()),
         )
         strange = self._strange_halls
-        if not self.places.knows(news.hall) and news.hall not in strange and len(strange) < MOST_UNPLACED:
+        if not self.places.knows(news.hall) and news.hall not in strange and len(strange) < MAX_UNPLACED_HALLS:
             strange.add(news.hall)
             self.journal.write("EVACUATION", "unknown hall", hall=news.hall, source=source)
 
@@ -429,7 +429,7 @@
 
     def count_in_emptied(self) -> int:
         """Return how many requests are still under way at upstreams of emptied halls."""
-        return sum(self.count_in(hall) for hall in self.eligibility.evacuations.list_emptied())
+        return sum(self.count_in(hall) for hall in self.eligibility.evacuations.list_evacuated())
 
     def take_change(self, upstream: UpstreamId, news: ChangeNews, source: str) -> None:
         """Take in that an engine was ordered to play another part."""
@@ -482,19 +482,19 @@
         return DemandReport(
             prompt_rate=round(demand.count_prompt_rate(now)),
             wait_rate=round(demand.count_wait_rate(now), 2),
-            prompt=round(demand.prompt),
-            answer=round(demand.answer),
-            residence=round(demand.find_residence(now), 2),
-            read_rate=round(reading.pace.rate) if reading.learned else 0.0,
-            read_overhead=round(reading.pace.overhead, 3),
-            whole_rate=round(whole.pace.rate) if whole.learned else 0.0,
+            mean_prompt_tokens=round(demand.prompt),
+            mean_answer_tokens=round(demand.answer),
+            mean_residence_s=round(demand.find_residence(now), 2),
+            prefill_rate=round(reading.pace.rate) if reading.learned else 0.0,
+            prefill_overhead_s=round(reading.pace.overhead, 3),
+            decode_prefill_rate=round(whole.pace.rate) if whole.learned else 0.0,
         )
 
     def take_paces(self, reports: Mapping[str, DemandReport]) -> None:
         """Take over what another VM has found of the engines, where this one knows nothing yet."""
         for service, report in reports.items():
-            if report.read_rate:
-                self.paces.get_reading(ServiceName(service)).take(Pace(report.read_overhead, report.read_rate))
+            if report.prefill_rate:
+                self.paces.get_reading(ServiceName(service)).take(Pace(report.prefill_overhead_s, report.prefill_rate))
 
     def report_demands(self) -> dict[str, DemandReport]:
         """Return what this VM's streams ask of each service with engines."""
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -18,10 +18,10 @@
 from beamhatch.relay.core import Core, Terms
 from beamhatch.relay.engines.leadership import Leadership
 from beamhatch.relay.engines.ordering import Ordering
-from beamhatch.relay.fleet.departure_talk import DepartureTalk
+from beamhatch.relay.fleet.departure_gossip import DepartureGossip
 from beamhatch.relay.fleet.gossip import Gossip
 from beamhatch.relay.fleet.membership import Member, Membership
-from beamhatch.relay.fleet.watching import DirectivesWatcher, ListingWatcher, Watcher
+from beamhatch.relay.fleet.store_watcher import DirectivesWatcher, ListingWatcher, StoreWatcher
 from beamhatch.relay.limits.talk import LimitTalk
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Address, CallerLimits
@@ -141,40 +141,40 @@
         self._gossip = self._make_gossip(documents)
         self._watchers = self._make_watchers(store)
         if self._gossip is not None:
-            self._gossip.is_turned_away = self._is_turned_away
+            self._gossip.is_store_unreachable = self._is_turned_away
         keeping = QuarantineKeeping(self.core, store)
         self.core.quarantine_talk.on_hold = keeping.keep
         self.core.quarantine_talk.on_clear = keeping.end
         self._usage = self._make_usage()
         if self._gossip is not None and Mechanism.TOLD_DEPARTURES not in settings.without:
-            departures = DepartureTalk(clock, self.core.announcements)
+            departures = DepartureGossip(clock, self.core.announcements)
             departures.list_connections = self._gossip.list_connections
-            self.core.announcements.on_departure = departures.tell_soon
+            self.core.announcements.on_departure = departures.send_soon
             self._gossip.departures = departures
         limits = self.core.announcements.limits
         limits.shared = Mechanism.SHARED_LIMITS not in settings.without
         if self._gossip is not None:
             limits.own = self._gossip.membership.own.address
-            limits.find_share = self._gossip.find_share
+            limits.find_share = self._gossip.get_reachable_share
             self._gossip.limits = LimitTalk(clock, self.core.announcements)
             self._gossip.limits.list_connections = self._gossip.list_connections
-            self._gossip.limits.hands_on = self._gossip.adds_up
+            self._gossip.limits.hands_on = self._gossip.is_aggregator
         self.core.eligibility.gate = self._make_cold_gate()
         self.core.admission.may_be_behind = self._may_be_behind
         self.leadership: Leadership | None = None
         self._ordering: Ordering | None = None
         if self._gossip is not None:
-            self.leadership = Leadership(self.core, store, settings.vm, self._gossip.membership.count_ahead)
+            self.leadership = Leadership(self.core, store, settings.vm, self._gossip.membership.count_higher_ranked)
             self.leadership.tenure.turn_time = settings.turn_time
             self.leadership.on_regained = self._renew_watches
             self.leadership.on_quarantine = self.core.quarantine_talk.take_kept
             self.leadership.on_restored_quarantine = self.core.quarantine_talk.restore_kept
-            self._ordering = Ordering(self.core, self.leadership, settings.vm, self._gossip.find_pressure)
+            self._ordering = Ordering(self.core, self.leadership, settings.vm, self._gossip.compute_pressure)
         self._ports: list[Any] = []
         self._caller_port: Any = None
         self._stopping_since: float | None = None
         tally.gauges["open_requests"] = lambda: float(len(self.core.exchanges))
-        tally.gauges["emptied_halls"] = lambda: float(len(self.core.eligibility.evacuations.list_emptied()))
+        tally.gauges["emptied_halls"] = lambda: float(len(self.core.eligibility.evacuations.list_evacuated()))
         tally.gauges["requests_in_emptied_halls"] = lambda: float(self.core.count_in_emptied())
         tally.gauges["configuration_version"] = lambda: float(self.core.version)
         tally.gauges["known_vms"] = lambda: float(self.core.vms)
@@ -196,9 +196,9 @@
             self._ports.append(self._listen(settings.metrics_address, self._make_status_server("")))
         self.core.client.start()
         if self._gossip is not None:
-            self.core.on_change = self._gossip.tell_soon
-            self.core.on_fault = self._gossip.tell_soon
-            self.core.on_work = self._gossip.tell_work_soon
+            self.core.on_change = self._gossip.send_heartbeats_soon
+            self.core.on_fault = self._gossip.send_heartbeats_soon
+            self.core.on_work = self._gossip.send_backlog_soon
             self._gossip.start()
         for watcher in self._watchers:
             watcher.start()
@@ -213,7 +213,7 @@
 
     def _renew_watches(self) -> None:
         for watcher in self._watchers:
-            watcher.renew()
+            watcher.restart_watch()
 
     @property
     def caller_port(self) -> int:
@@ -313,7 +313,7 @@
             vms = KnownVms(settings.vm, lambda now: [], lambda: False)
         else:
             membership = self._gossip.membership
-            vms = KnownVms(membership.own.address, membership.list_remembered, lambda: membership.has_others)
+            vms = KnownVms(membership.own.address, membership.list_recent_addresses, lambda: membership.may_have_peers)
         return kind(vms, _make_cold_bound(settings), self.core.started, self.core.listing.find_cold_until)
 
     def _count_vms(self) -> int:
@@ -337,20 +337,20 @@
         if self._gossip is not None:
             if self._gossip.newest_version > self.core.version:
                 return True
-            hears_peers = self._gossip.hears_peers()
+            hears_peers = self._gossip.has_peers()
         return not hears_peers and not all(watcher.connected for watcher in self._watchers)
 
-    def _make_watchers(self, store: Store) -> list[Watcher]:
+    def _make_watchers(self, store: Store) -> list[StoreWatcher]:
         alone = self._gossip is None or Mechanism.FEW_WATCHERS in self.settings.without
-        is_due = _is_always_due if alone or self._gossip is None else self._gossip.watches
-        hears_peers = _hears_nobody if self._gossip is None else self._gossip.hears_peers
+        is_due = _is_always_due if alone or self._gossip is None else self._gossip.should_watch_store
+        hears_peers = _hears_nobody if self._gossip is None else self._gossip.has_peers
         first = self.settings.peer_address is None or str(self.settings.peer_address) in self.settings.seeds
         patience = 0.0 if first or not self.settings.seeds else START_PATIENCE
         kinds = (DirectivesWatcher, ListingWatcher)
         return [watcher(self.core, store, is_due, hears_peers, patience) for watcher in kinds]
 
     def _is_turned_away(self) -> bool:
-        return any(watcher.is_turned_away() for watcher in self._watchers)
+        return any(watcher.is_store_unreachable() for watcher in self._watchers)
 
     def _listen(self, address: Address, factory: Any) -> Any:
         return self.clock.reactor.listenTCP(address.port, factory, backlog=BACKLOG, interface=address.host)
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.engines.balancing import Pressure
 from beamhatch.relay.engines.throughput import EngineFigures
 from beamhatch.relay.fleet.gossip_message import DemandReport
-from beamhatch.relay.fleet.peer_words import PeerWords
+from beamhatch.relay.fleet.peer_values import PeerValues
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -18,7 +18,7 @@
     from beamhatch.relay.model import Engine, ServiceName
 
 
-class FleetDemand(PeerWords[Mapping[str, DemandReport]]):
+class FleetDemand(PeerValues[Mapping[str, DemandReport]]):
     """The newest report of each VM that this one has a connection to, by service."""
 
     __slots__ = ()
@@ -43,14 +43,14 @@
     if not total:
         weights, total = [1.0] * len(reports), float(len(reports))
     weighed = list(zip(weights, reports, strict=True))
-    read_rates = [report.read_rate for report in reports if report.read_rate]
+    read_rates = [report.prefill_rate for report in reports if report.prefill_rate]
     read_rate = median(read_rates) if read_rates else PRIOR_RATE
-    whole_rates = [report.whole_rate for report in reports if report.whole_rate]
+    whole_rates = [report.decode_prefill_rate for report in reports if report.decode_prefill_rate]
     return EngineFigures(
         kv_tokens=engine.kv_tokens,
-        prompt=sum(weight * report.prompt for weight, report in weighed) / total,
-        answer=sum(weight * report.answer for weight, report in weighed) / total,
-        residence=max(0.001, sum(weight * report.residence for weight, report in weighed) / total),
+        prompt=sum(weight * report.mean_prompt_tokens for weight, report in weighed) / total,
+        answer=sum(weight * report.mean_answer_tokens for weight, report in weighed) / total,
+        residence=max(0.001, sum(weight * report.mean_residence_s for weight, report in weighed) / total),
         read_rate=read_rate,
         whole_rate=median(whole_rates) if whole_rates else WHOLE_SHARE * read_rate,
     )
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -47,7 +47,7 @@
     """What was last written to the log on a service."""
 
     decision: tuple[object, ...]
-    at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
 
     def _look_at(self, service: Service, now: float) -> None:
         listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_silent(now))
-        lasting = self.core.eligibility.evacuations.list_outside(listed)
+        lasting = self.core.eligibility.evacuations.exclude_evacuated(listed)
         engines = [one for one in self.core.changes.foresee(lasting, now) if one.phase is not Phase.PLAIN]
         left = self.core.listing.count_left(service.name)
         if left > self._left.get(service.name, 0):
@@ -135,7 +135,7 @@
         """Write what a decision rests on: one line where it changed, and else some seconds apart."""
         told = _Told((weighed.prefills, weighed.decodes, weighed.phase, weighed.due), now)
         last = self._told.get(service.name)
-        repeats = last is not None and last.decision == told.decision and now - last.at < TELL_INTERVAL
+        repeats = last is not None and last.decision == told.decision and now - last.received_at < TELL_INTERVAL
         if repeats or not pressure.prompt_rate:
             return
         self._told[service.name] = told
@@ -167,7 +167,7 @@
 
     async def _order(self, change: PhaseChange, pressure: Pressure) -> None:
         upstream = change.upstream
-        if self.core.eligibility.evacuations.is_emptied(upstream.hall):
+        if self.core.eligibility.evacuations.is_evacuated(upstream.hall):
             return  # while the order was written down
         token = self._leadership.tenure.token
         phase = change.phase.value
--- a/src/beamhatch/relay/fleet/departure_talk.py
+++ b/src/beamhatch/relay/fleet/departure_gossip.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.fleet.gossip_message import MOST_TOLD_DEPARTURES, DepartureNews
+from beamhatch.relay.fleet.gossip_message import MAX_DEPARTURES, DepartureUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -17,17 +17,17 @@
     from beamhatch.relay.fleet.peer_connection import PeerConnection
     from beamhatch.relay.upstreams.announcements import Announcements
 
-FIRST_DELAY = 0.2
+FIRST_SEND_DELAY_S = 0.2
 """Seconds in which the store may tell of it before peers are told: it does so in 0.01 s where it answers.
 
 So on a day on which it does nothing is told at all.
 """
 
-HAND_ON_DELAY = 0.02
+FORWARD_DELAY_S = 0.02
 """Seconds in which what several peers tell is put into one message."""
 
 
-class DepartureTalk:
+class DepartureGossip:
     """What one VM says and hears of upstreams that leave."""
 
     def __init__(self, clock: Clock, announcements: Announcements) -> None:
@@ -37,35 +37,35 @@
         self.list_connections: Callable[[], Iterable[PeerConnection]] = list
         """Returns the connections to peers that are up."""
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Tell peers of what an upstream said to this VM, unless the store does before."""
-        self._tell_in(FIRST_DELAY)
+        self._schedule_send(FIRST_SEND_DELAY_S)
 
-    def tell_all(self, connection: PeerConnection) -> None:
+    def send_pending(self, connection: PeerConnection) -> None:
         """Tell a peer that was met what it may not know."""
-        told = connection.told.departures
-        news = [life for life in self._announcements.list_untold()[-MOST_TOLD_DEPARTURES:] if life not in told]
+        told = connection.sent.departures
+        news = [life for life in self._announcements.list_untold()[-MAX_DEPARTURES:] if life not in told]
         if news:
             told.update(news)
-            connection.tell(DepartureNews(news))
+            connection.send(DepartureUpdate(news))
 
-    def take(self, connection: PeerConnection, message: DepartureNews) -> None:
+    def handle_update(self, connection: PeerConnection, message: DepartureUpdate) -> None:
         """Take in what a peer tells, and hand on what is news."""
-        lives = message.lives[:MOST_TOLD_DEPARTURES]
-        connection.told.departures.update(lives)
+        lives = message.lives[:MAX_DEPARTURES]
+        connection.sent.departures.update(lives)
         news = [life for life in lives if self._announcements.take_departure(life, f"peer {connection.vm}")]
         if news:
-            self._tell_in(HAND_ON_DELAY)
+            self._schedule_send(FORWARD_DELAY_S)
 
-    def _tell_in(self, seconds: float) -> None:
+    def _schedule_send(self, seconds: float) -> None:
         due = self._clock.now() + seconds
         if due < self._due:
             self._due = due
-            self._clock.call_later(seconds, self._tell, due)
+            self._clock.call_later(seconds, self._send, due)
 
-    def _tell(self, due: float) -> None:
+    def _send(self, due: float) -> None:
         if due != self._due:
             return  # it was told before
         self._due = float("inf")
         for connection in self.list_connections():
-            self.tell_all(connection)
+            self.send_pending(connection)
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -18,7 +18,7 @@
 
     from beamhatch.relay.model import Upstream
 
-MOST_UNPLACED = 64
+MAX_UNPLACED_HALLS = 64
 """Halls that the settings don't place of which news are kept: their names are the store's, and may be anything."""
 
 NEVER = float("-inf")
@@ -29,7 +29,7 @@
 
     hall: str
     revision: int
-    emptied: bool
+    active: bool
     """False once the hall was taken back."""
 
 
@@ -45,78 +45,78 @@
 
     So a peer that is behind revives no evacuation that has ended, and ended ones need not be remembered.
     """
-    latest_return: float = NEVER
+    latest_end_at: float = NEVER
     """When a hall was last taken back, in monotonic seconds of this VM."""
-    lacks_room: bool = False
+    has_overflowed: bool = False
     """True where news of an emptied hall could not be kept: what is known is not all, and not told as such."""
     _known: dict[str, Evacuation] = field(default_factory=dict)
-    _returned_at: dict[str, float] = field(default_factory=dict)
+    _ended_at: dict[str, float] = field(default_factory=dict)
 
-    def take(self, news: Evacuation, now: float) -> bool:
+    def apply(self, news: Evacuation, now: float) -> bool:
         """Take in news of one hall; return whether they changed what is believed."""
         known = self._known.get(news.hall)
         if news.revision <= (self.as_of if known is None else known.revision):
             return False
         if known is None and not self._has_room(news.hall):
-            self.lacks_room = self.lacks_room or news.emptied
+            self.has_overflowed = self.has_overflowed or news.active
             return False
         self._known[news.hall] = news
-        was_emptied = known is not None and known.emptied
-        if was_emptied and not news.emptied:
-            self._note_return(news.hall, now)
-        return was_emptied is not news.emptied
+        was_emptied = known is not None and known.active
+        if was_emptied and not news.active:
+            self._record_end(news.hall, now)
+        return was_emptied is not news.active
 
-    def take_whole(self, emptied: Iterable[Evacuation], revision: int, now: float) -> list[Evacuation]:
+    def apply_snapshot(self, emptied: Iterable[Evacuation], revision: int, now: float) -> list[Evacuation]:
         """Take in all halls that are emptied as of a revision; others no longer are. Return the news."""
         listed = list(emptied)
         halls = {news.hall for news in listed}
         ended = [
             Evacuation(known.hall, revision, False)
             for known in self._known.values()
-            if known.emptied and known.hall not in halls and known.revision < revision
+            if known.active and known.hall not in halls and known.revision < revision
         ]
         self.complete = True
-        self.lacks_room = False
-        changed = [news for news in [*listed, *ended] if self.take(news, now)]
-        self.note_known(revision)
+        self.has_overflowed = False
+        changed = [news for news in [*listed, *ended] if self.apply(news, now)]
+        self.record_known_up_to(revision)
         return changed
 
-    def note_known(self, revision: int) -> None:
+    def record_known_up_to(self, revision: int) -> None:
         """Note that all news up to a revision were taken in; ended evacuations up to it are forgotten."""
         self.as_of = max(self.as_of, revision)
-        old = [one.hall for one in self._known.values() if not one.emptied and one.revision <= self.as_of]
+        old = [one.hall for one in self._known.values() if not one.active and one.revision <= self.as_of]
         for hall in old:
             del self._known[hall]
 
-    def is_emptied(self, hall: str) -> bool:
+    def is_evacuated(self, hall: str) -> bool:
         """Tell whether nothing new is to go to a hall."""
         known = self._known.get(hall)
-        return known is not None and known.emptied
+        return known is not None and known.active
 
-    def list_outside(self, upstreams: Iterable[Upstream]) -> list[Upstream]:
+    def exclude_evacuated(self, upstreams: Iterable[Upstream]) -> list[Upstream]:
         """Return those of some upstreams that are in no emptied hall."""
-        return [one for one in upstreams if not self.is_emptied(one.hall)]
+        return [one for one in upstreams if not self.is_evacuated(one.hall)]
 
-    def find_return(self, hall: str) -> float:
+    def get_end_time(self, hall: str) -> float:
         """Return when a hall was taken back, in monotonic seconds of this VM."""
-        return self._returned_at.get(hall, NEVER)
+        return self._ended_at.get(hall, NEVER)
 
-    def list_emptied(self) -> list[str]:
+    def list_evacuated(self) -> list[str]:
         """Return the halls that are emptied."""
-        return [known.hall for known in self._known.values() if known.emptied]
+        return [known.hall for known in self._known.values() if known.active]
 
-    def list_news(self) -> list[Evacuation]:
+    def list_updates(self) -> list[Evacuation]:
         """Return the newest news of each hall that is emptied, or whose end is newer than what is known as a whole."""
         return list(self._known.values())
 
     def _has_room(self, hall: str) -> bool:
         """Tell whether news of one more hall can be kept; those that the settings place always are."""
         placed = self.places.regions
-        return hall in placed or sum(one not in placed for one in self._known) < MOST_UNPLACED
-
-    def _note_return(self, hall: str, now: float) -> None:
-        self.latest_return = now
-        self._returned_at.pop(hall, None)
-        self._returned_at[hall] = now
-        while len(self._returned_at) > MOST_UNPLACED + len(self.places.regions):
-            del self._returned_at[next(iter(self._returned_at))]
+        return hall in placed or sum(one not in placed for one in self._known) < MAX_UNPLACED_HALLS
+
+    def _record_end(self, hall: str, now: float) -> None:
+        self.latest_end_at = now
+        self._ended_at.pop(hall, None)
+        self._ended_at[hall] = now
+        while len(self._ended_at) > MAX_UNPLACED_HALLS + len(self.places.regions):
+            del self._ended_at[next(iter(self._ended_at))]
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -14,25 +14,25 @@
 
 from beamhatch.relay.api import Document, ListingNews
 from beamhatch.relay.engines.fleet_demand import FleetDemand
-from beamhatch.relay.fleet.far_words import SIGN_OF_LIFE
 from beamhatch.relay.fleet.gossip_message import (
-    MOST_MENTIONED,
-    AskConfiguration,
-    AskListing,
-    Beat,
-    Configuration,
-    DepartureNews,
+    MAX_MENTIONS,
+    ConfigurationRequest,
+    DepartureUpdate,
+    Heartbeat,
     Hello,
-    LimitNews,
+    LimitUpdate,
     ListingPart,
+    ListingRequest,
     Message,
-    QuarantineNews,
+    PackedConfiguration,
+    PrefillBacklog,
+    QuarantineUpdate,
     Usage,
-    Work,
     pack_document,
     unpack_document,
 )
-from beamhatch.relay.fleet.peer_connection import Accept, Dial, PeerConnection, PeerTalk
+from beamhatch.relay.fleet.peer_connection import PeerClientFactory, PeerConnection, PeerHandler, PeerServerFactory
+from beamhatch.relay.fleet.peer_state import EMPTY_HEARTBEAT
 from beamhatch.relay.fleet.peer_traffic import PeerTraffic
 from beamhatch.relay.fleet.throttle import Throttle
 from beamhatch.relay.mechanism import Mechanism
@@ -45,66 +45,66 @@
     from beamhatch.relay.choosing.pace import Reading
     from beamhatch.relay.core import Core
     from beamhatch.relay.engines.balancing import Pressure
-    from beamhatch.relay.fleet.departure_talk import DepartureTalk
+    from beamhatch.relay.fleet.departure_gossip import DepartureGossip
     from beamhatch.relay.fleet.membership import Membership, Mention
     from beamhatch.relay.limits.talk import LimitTalk
     from beamhatch.relay.model import Service
     from beamhatch.relay.workspaces.usage_talk import UsageTalk
 
-BEAT_INTERVAL = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 """Seconds between two beats: a peer that misses three counts as silent."""
 
-LEAST_TELL_GAP = 0.03
+MIN_HEARTBEAT_INTERVAL_S = 0.03
 """Seconds between two beats to all peers, however much changes."""
 
-LEAST_WORK_GAP = 0.08
+MIN_BACKLOG_INTERVAL_S = 0.08
 """Seconds between two words on what engines have to read: less than one prompt takes."""
 
-SILENCE_LIMIT = 1.8
+PEER_TIMEOUT_S = 1.8
 """Seconds without a beat after which a connection is taken as dead, and made anew."""
 
-PATIENCE = 0.2
+STORE_GRACE_S = 0.2
 """Seconds for which a VM that watches the store waits for it to tell what a peer has already."""
 
-EARLY_DIALS = 0.15, 0.3
+EARLY_DIAL_DELAYS_S = 0.15, 0.3
 """Seconds behind the start at which peers that refused are dialled again: VMs that start together listen by then."""
 
-CONNECT_TIMEOUT = 0.5
+CONNECT_TIMEOUT_S = 0.5
 """Seconds for a connection to a peer: 100 round trips between halls."""
 
-FIRST_HELLO_PAUSE = 0.5
+MIN_HELLO_INTERVAL_S = 0.5
 """Seconds between the first two words on who is known; each pause is twice the last."""
 
-LONGEST_HELLO_PAUSE = 10.0
+MAX_HELLO_INTERVAL_S = 10.0
 """Seconds between two times that peers are told who is known; at the start it is told more often."""
 
-SETTLE_TIME = 1.0
+STARTUP_DELAY_S = 1.0
 """Seconds behind the start in which a VM does not yet know the others, and so watches nothing for them.
 
 Without it, each VM of a fleet that starts takes itself for a watcher: 60 VMs that started anew made 535 calls to the
 store in 3 s instead of 47 (counted on stand-ins).
 """
 
-FAR_MENTIONED = 8
+MAX_REPEATED_MENTIONS = 8
 """VMs that a peer in another hall is told of again each time, drawn at random, beside those that are new to it.
 
 All VMs of a hall tell several peers each in other halls every 10 s: of 24 VMs in each of three halls, each is mentioned
 to each other hall every 2 s, of which VMs need to hear every 60 s.
 """
 
-LEAST_FAULTS = 0.2
+MIN_FAULT_SHARE = 0.2
 """Share of faults from which on peers are told of an upstream."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Lack:
+class _Shortage:
     """A peer has something newer than what this VM has."""
 
-    own: int
+    own_version: int
     since: float
 
 
-class Gossip(PeerTalk):
+class Gossip(PeerHandler):
     """The connections to other VMs, and what is said on them."""
 
     def __init__(self, core: Core, documents: Documents, vm: str, membership: Membership) -> None:
@@ -114,35 +114,35 @@
         self.membership = membership
         core.quarantine_talk.list_connections = self.list_connections
         core.quarantine_talk.hall = membership.own.hall
-        core.quarantine_talk.hands_on = self.adds_up
+        core.quarantine_talk.hands_on = self.is_aggregator
         self._documents = documents
         self._vm = vm
         self._traffic = PeerTraffic(core.tally, membership.own.hall, core.places)
         self._connections: set[PeerConnection] = set()
-        self._dialled: dict[str, PeerConnection | None] = {}
+        self._dialled_addresses: dict[str, PeerConnection | None] = {}
         """Addresses that this VM dialled, with the connection once it is up."""
         self._fleet = FleetDemand()
-        self._adds_up = False
+        self._is_aggregator = False
         """Whether this VM adds up what its hall tells, as of the last regular beat: it takes 0.1 ms to find out."""
-        self._share = 1.0
+        self._reachable_share = 1.0
         """The part of all VMs that hear of each other and of this one; too dear to find out at each send."""
-        self._hello_at = 0.0
-        self._hello_pause = FIRST_HELLO_PAUSE
-        self._lacking: dict[str, _Lack] = {}
-        self._packed: tuple[int, Configuration] | None = None
+        self._last_hello_at = 0.0
+        self._hello_interval = MIN_HELLO_INTERVAL_S
+        self._shortages: dict[str, _Shortage] = {}
+        self._packed: tuple[int, PackedConfiguration] | None = None
         """The configuration as it is handed on, with its version."""
-        self._beats = Throttle(core.clock, LEAST_TELL_GAP, self._tell_all)
-        self._work = Throttle(core.clock, LEAST_WORK_GAP, self._tell_work)
-        self._told_work: dict[str, int] = {}
+        self._heartbeat_throttle = Throttle(core.clock, MIN_HEARTBEAT_INTERVAL_S, self._send_changes)
+        self._backlog_throttle = Throttle(core.clock, MIN_BACKLOG_INTERVAL_S, self._send_backlog)
+        self._sent_backlog: dict[str, int] = {}
         self._port: Any = None
         self._stopped = False
         self.newest_version = 0
         """The newest configuration that any peer told of."""
-        self.is_turned_away: Callable[[], bool] = lambda: False
+        self.is_store_unreachable: Callable[[], bool] = lambda: False
         """Tells whether the store does not answer this VM."""
         self.usage: UsageTalk | None = None
         """What is said of quotas; None where nothing is."""
-        self.departures: DepartureTalk | None = None
+        self.departures: DepartureGossip | None = None
         """What is said of upstreams that leave; None where nothing is."""
         self.limits: LimitTalk | None = None
         """What is said of limits that upstreams name; None where nothing is."""
@@ -150,9 +150,9 @@
     def start(self) -> None:
         """Listen, and begin to dial."""
         host, _, port = self.membership.own.address.rpartition(":")
-        self._port = self.clock.reactor.listenTCP(int(port), Accept(self), interface=host)
+        self._port = self.clock.reactor.listenTCP(int(port), PeerServerFactory(self), interface=host)
         self._tick()
-        for seconds in EARLY_DIALS:
+        for seconds in EARLY_DIAL_DELAYS_S:
             self.clock.call_later(seconds, self._dial_early)
 
     def _dial_early(self) -> None:
@@ -167,255 +167,259 @@
         for connection in list(self._connections):
             connection.transport.abortConnection()
 
-    def watches(self) -> bool:
+    def should_watch_store(self) -> bool:
         """Tell whether this VM is to watch the store: for its hall, or because it hears from nobody."""
-        if self.membership.has_others and self.clock.now() < self.core.started + SETTLE_TIME:
+        if self.membership.may_have_peers and self.clock.now() < self.core.started + STARTUP_DELAY_S:
             return False
-        return self.membership.is_watcher() or not self.hears_peers()
+        return self.membership.is_watcher() or not self.has_peers()
 
-    def adds_up(self) -> bool:
+    def is_aggregator(self) -> bool:
         """Tell whether this VM adds up what its hall tells, and hands on to others what is for all."""
-        return self._adds_up
+        return self._is_aggregator
 
     def list_connections(self) -> list[PeerConnection]:
         """Return the connections to VMs that have said who they are."""
         return [connection for connection in self._connections if connection.vm]
 
-    def hears_peers(self) -> bool:
+    def has_peers(self) -> bool:
         """Tell whether a connection to another VM is up, which tells this one what it has."""
         return any(connection.vm for connection in self._connections)
 
     # --- connections -------------------------------------------------------------------------------------------------
 
-    def add(self, connection: PeerConnection) -> None:
+    def add_connection(self, connection: PeerConnection) -> None:
         """Take in a connection that came up."""
         self._connections.add(connection)
-        if connection.dialled is not None:
-            self._dialled[connection.dialled] = connection
-            connection.hall = self.membership.find_hall(connection.dialled)
-            self.membership.note_reached(connection.dialled)
-        if connection.dialled is None:
-            connection.tell(Hello(self._vm, self.membership.own, []))  # who is known follows, once it said who it is
+        if connection.dialled_address is not None:
+            self._dialled_addresses[connection.dialled_address] = connection
+            connection.hall = self.membership.get_hall(connection.dialled_address)
+            self.membership.record_reachable(connection.dialled_address)
+        if connection.dialled_address is None:
+            connection.send(Hello(self._vm, self.membership.own, []))  # who is known follows, once it said who it is
         else:
-            self._tell_hello(connection)
-        self._tell_beat(connection, self._make_beat())
+            self._send_hello(connection)
+        self._send_heartbeat(connection, self._make_heartbeat())
 
-    def remove(self, connection: PeerConnection) -> None:
+    def remove_connection(self, connection: PeerConnection) -> None:
         """Drop a connection that ended."""
         self._connections.discard(connection)
         if self.usage is not None:
             self.usage.forget(connection)
-        if connection.dialled is not None:
-            self._dialled.pop(connection.dialled, None)
+        if connection.dialled_address is not None:
+            self._dialled_addresses.pop(connection.dialled_address, None)
         if connection.vm and not self._stopped:
             self.journal.write("PEER", "lost", vm=connection.vm, connections=len(self._connections))
 
-    def note_sent(self, connection: PeerConnection, message: Message, size: int) -> None:
+    def record_sent(self, connection: PeerConnection, message: Message, size: int) -> None:
         """Count a message that was sent."""
-        self._traffic.note_sent(message, size, connection.hall)
+        self._traffic.record_sent(message, size, connection.hall)
 
-    def note_unreached(self, address: str) -> None:
+    def record_unreachable(self, address: str) -> None:
         """Note that an address did not answer."""
-        self._dialled.pop(address, None)
-        self.membership.note_unreached(address, self.clock.now())
+        self._dialled_addresses.pop(address, None)
+        self.membership.record_unreachable(address, self.clock.now())
 
     def _tick(self) -> None:
         if self._stopped:
             return
         now = self.clock.now()
         self._drop_silent(now)
-        self.membership.forget_old(now)
-        self._fleet.forget_old(now)
-        self.core.work.forget_old(now)
+        self.membership.drop_expired(now)
+        self._fleet.drop_expired(now)
+        self.core.work.drop_expired(now)
         self.core.vms = self.membership.size
-        self.core.vms_lately = self.membership.count_lately(now)
+        self.core.vms_lately = self.membership.count_recent(now)
         self._dial(now)
-        self._adds_up = self.membership.is_watcher()
+        self._is_aggregator = self.membership.is_watcher()
         halls = {connection.hall for connection in self.list_connections()}
-        self._share = self.membership.find_share(halls, now)
-        self._say_hello(now)
-        self._beats.note_done()
-        self._tell_beats(regular=True)
-        self.clock.call_later(BEAT_INTERVAL, self._tick)
+        self._reachable_share = self.membership.compute_reachable_share(halls, now)
+        self._send_hellos(now)
+        self._heartbeat_throttle.record_call()
+        self._send_heartbeats(regular=True)
+        self.clock.call_later(HEARTBEAT_INTERVAL_S, self._tick)
 
     def _drop_silent(self, now: float) -> None:
-        for connection in [one for one in self._connections if now - one.heard_at > SILENCE_LIMIT]:
-            if connection.dialled is not None:
-                self.membership.note_unreached(connection.dialled, now)
+        for connection in [one for one in self._connections if now - one.last_received_at > PEER_TIMEOUT_S]:
+            if connection.dialled_address is not None:
+                self.membership.record_unreachable(connection.dialled_address, now)
             connection.transport.abortConnection()
 
     def _dial(self, now: float) -> None:
         targets = self.membership.list_targets(now)
         for address in [*targets, *self.membership.list_retries(now)]:
-            if address not in self._dialled:
-                self._dialled[address] = None
+            if address not in self._dialled_addresses:
+                self._dialled_addresses[address] = None
                 host, _, port = address.rpartition(":")
-                self.clock.reactor.connectTCP(host, int(port), Dial(self, address), timeout=CONNECT_TIMEOUT)
-        self._hang_up(targets)
+                self.clock.reactor.connectTCP(
+                    host, int(port), PeerClientFactory(self, address), timeout=CONNECT_TIMEOUT_S
+                )
+        self._close_unwanted(targets)
 
-    def _hang_up(self, targets: list[str]) -> None:
+    def _close_unwanted(self, targets: list[str]) -> None:
         """Close connections to addresses that are no longer wanted, once those that are wanted are up."""
-        if any(self._dialled.get(address) is None for address in targets):
+        if any(self._dialled_addresses.get(address) is None for address in targets):
             return
-        for address, connection in list(self._dialled.items()):
+        for address, connection in list(self._dialled_addresses.items()):
             if connection is not None and address not in targets:
                 connection.transport.loseConnection()
 
-    def _say_hello(self, now: float) -> None:
-        if now - self._hello_at < self._hello_pause:
+    def _send_hellos(self, now: float) -> None:
+        if now - self._last_hello_at < self._hello_interval:
             return
-        self._hello_at = now
-        self._hello_pause = min(LONGEST_HELLO_PAUSE, 2 * self._hello_pause)
+        self._last_hello_at = now
+        self._hello_interval = min(MAX_HELLO_INTERVAL_S, 2 * self._hello_interval)
         for connection in list(self._connections):
-            self._tell_hello(connection)
+            self._send_hello(connection)
 
-    def _tell_hello(self, connection: PeerConnection) -> None:
+    def _send_hello(self, connection: PeerConnection) -> None:
         """Tell a peer who is known; one in another hall, mainly who is new to it."""
-        known = self._list_news_for(connection) if self._is_far(connection) else self._list_known()
-        connection.tell(Hello(self._vm, self.membership.own, known))
+        known = (
+            self._select_mentions_for(connection) if self._is_in_other_hall(connection) else self._select_all_mentions()
+        )
+        connection.send(Hello(self._vm, self.membership.own, known))
 
-    def _list_known(self) -> list[Mention]:
-        return self.membership.list_mentions(MOST_MENTIONED, self.clock.now())
+    def _select_all_mentions(self) -> list[Mention]:
+        return self.membership.list_mentions(MAX_MENTIONS, self.clock.now())
 
-    def _list_news_for(self, connection: PeerConnection) -> list[Mention]:
-        again = FAR_MENTIONED if self._hello_pause == LONGEST_HELLO_PAUSE else 0
-        news = self.membership.list_news(connection.told.mentioned, MOST_MENTIONED, again, self.clock.now())
-        connection.told.note_mentioned(mention.member for mention in news)
+    def _select_mentions_for(self, connection: PeerConnection) -> list[Mention]:
+        again = MAX_REPEATED_MENTIONS if self._hello_interval == MAX_HELLO_INTERVAL_S else 0
+        news = self.membership.select_mentions(connection.sent.known_addresses, MAX_MENTIONS, again, self.clock.now())
+        connection.sent.record_known(mention.member for mention in news)
         return news
 
-    def _is_far(self, connection: PeerConnection) -> bool:
+    def _is_in_other_hall(self, connection: PeerConnection) -> bool:
         """Tell whether a peer is in another hall, or has not said yet where it is."""
         return connection.hall != self.membership.own.hall
 
-    def tell_soon(self) -> None:
+    def send_heartbeats_soon(self) -> None:
         """Tell all peers what this VM has, as it has just changed."""
-        self._beats.ask()
+        self._heartbeat_throttle.request()
 
-    def tell_work_soon(self) -> None:
+    def send_backlog_soon(self) -> None:
         """Tell all peers what engines have still to read for this VM, as it has changed."""
-        self._work.ask()
+        self._backlog_throttle.request()
 
-    def _tell_work(self) -> None:
+    def _send_backlog(self) -> None:
         reading = self.core.standings.list_reading()
-        if reading == self._told_work or self._stopped:
+        if reading == self._sent_backlog or self._stopped:
             return
-        self._told_work = reading
+        self._sent_backlog = reading
         for connection in list(self._connections):
-            if not self._is_far(connection):
-                connection.tell(Work(reading))
+            if not self._is_in_other_hall(connection):
+                connection.send(PrefillBacklog(reading))
                 continue
-            news = connection.told.pick_reading(self._list_reading_in(connection.hall, reading))
+            news = connection.sent.select_backlog(self._select_backlog_in(connection.hall, reading))
             if news is not None:
-                connection.tell(Work(news))
+                connection.send(PrefillBacklog(news))
 
-    def _tell_all(self) -> None:
+    def _send_changes(self) -> None:
         if not self._stopped:
-            self._beats.note_done()
-            self._tell_beats(regular=False)
+            self._heartbeat_throttle.record_call()
+            self._send_heartbeats(regular=False)
 
-    def _tell_beats(self, *, regular: bool) -> None:
+    def _send_heartbeats(self, *, regular: bool) -> None:
         """Tell all peers what this VM has; those in other halls, only what is news to them.
 
         :param regular: whether they are given a sign of life where there are no news
         """
-        beat = self._make_beat(self.core.paces.take_untold())
+        beat = self._make_heartbeat(self.core.paces.take_untold())
         for connection in list(self._connections):
-            self._tell_beat(connection, beat, regular=regular)
+            self._send_heartbeat(connection, beat, regular=regular)
 
-    def _tell_beat(self, connection: PeerConnection, beat: Beat, *, regular: bool = True) -> None:
-        if not self._is_far(connection):
-            connection.tell(beat)
+    def _send_heartbeat(self, connection: PeerConnection, beat: Heartbeat, *, regular: bool = True) -> None:
+        if not self._is_in_other_hall(connection):
+            connection.send(beat)
             return
-        here = msgspec.structs.replace(beat, reading=self._list_reading_in(connection.hall, beat.reading or {}))
-        news = connection.told.pick_news(here, self.clock.now())
+        here = msgspec.structs.replace(beat, reading=self._select_backlog_in(connection.hall, beat.reading or {}))
+        news = connection.sent.select_changes(here, self.clock.now())
         if not connection.hall:  # it may be of this hall
             news = msgspec.structs.replace(news, turned_away=beat.turned_away)
-        if regular or news != SIGN_OF_LIFE:
-            connection.tell(news)
+        if regular or news != EMPTY_HEARTBEAT:
+            connection.send(news)
 
-    def _list_reading_in(self, hall: str, reading: dict[str, int]) -> dict[str, int]:
+    def _select_backlog_in(self, hall: str, reading: dict[str, int]) -> dict[str, int]:
         """Return what the engines of a hall have to read for this VM: peers there mostly send to these."""
-        return {name: tokens for name, tokens in reading.items() if self._find_hall_of(name) == hall}
+        return {name: tokens for name, tokens in reading.items() if self._get_hall_of(name) == hall}
 
-    def _find_hall_of(self, upstream: str) -> str:
+    def _get_hall_of(self, upstream: str) -> str:
         found = self.core.listing.find(UpstreamId(upstream))
         return "" if found is None else found.hall
 
     # --- what is known of the others ---------------------------------------------------------------------------------
 
-    def find_pressure(self, service: Service) -> Pressure:
+    def compute_pressure(self, service: Service) -> Pressure:
         """Return what all VMs ask of a service, worked out from those that were heard of late."""
         assert service.engine is not None
         own = self.core.report_demand(service.name)
         now = self.clock.now()
         return self._fleet.find_pressure(service.name, service.engine, own, self.membership.size, now)
 
-    def find_share(self) -> float:
+    def get_reachable_share(self) -> float:
         """Return the part of all VMs that hear of each other and of this one, as of the last regular beat."""
-        return self._share
+        return self._reachable_share
 
     # --- messages ----------------------------------------------------------------------------------------------------
 
-    def take(self, connection: PeerConnection, message: Message) -> None:
+    def handle_message(self, connection: PeerConnection, message: Message) -> None:
         """Take in one message.
 
         :raises MessageError: where it can't be read
         """
         match message:
             case Hello():
-                self._take_hello(connection, message)
-            case Beat():
-                self._take_beat(connection, message)
-            case Work():
-                connection.heard.reading = message.reading
-                self._take_work(connection)
+                self._handle_hello(connection, message)
+            case Heartbeat():
+                self._handle_heartbeat(connection, message)
+            case PrefillBacklog():
+                connection.received.prefill_backlog = message.reading
+                self._apply_backlog(connection)
             case Usage():
                 if self.usage is not None:
                     self.usage.take(connection, message)
             case _:
-                self._take_upstream_news(connection, message)
+                self._handle_upstream_message(connection, message)
 
-    def _take_upstream_news(self, connection: PeerConnection, message: Message) -> None:
+    def _handle_upstream_message(self, connection: PeerConnection, message: Message) -> None:
         """Take in what is said of single upstreams, and of requests that end them."""
         match message:
-            case QuarantineNews():
+            case QuarantineUpdate():
                 self.core.quarantine_talk.take(connection, message)
-            case DepartureNews():
+            case DepartureUpdate():
                 if self.departures is not None:
-                    self.departures.take(connection, message)
-            case LimitNews():
+                    self.departures.handle_update(connection, message)
+            case LimitUpdate():
                 if self.limits is not None:
                     self.limits.take(connection, message)
             case _:
-                self._take_document(connection, message)
+                self._handle_store_message(connection, message)
 
-    def _take_document(self, connection: PeerConnection, message: Message) -> None:
+    def _handle_store_message(self, connection: PeerConnection, message: Message) -> None:
         """Take in what is said of the configuration and the listing themselves."""
         match message:
-            case AskConfiguration():
-                self._hand_configuration_on(connection)
-            case Configuration():
+            case ConfigurationRequest():
+                self._send_configuration(connection)
+            case PackedConfiguration():
                 raw = unpack_document(message)
                 table = self._documents.read_configuration(raw)
                 if table is not None:
                     self.core.take_document(Document(raw, table), f"peer {connection.vm}")
-            case AskListing():
+            case ListingRequest():
                 if self.core.listing.complete:
                     entries = self.core.listing.list_since(message.after, self.clock.now())
-                    connection.tell(ListingPart(message.after, self.core.listing.newest, entries))
+                    connection.send(ListingPart(message.after, self.core.listing.newest, entries))
             case ListingPart():
                 news = ListingNews(message.entries, message.revision)
                 self.core.take_listing(news, f"peer {connection.vm}", whole=message.after == 0)
 
-    def _hand_configuration_on(self, connection: PeerConnection) -> None:
+    def _send_configuration(self, connection: PeerConnection) -> None:
         document = self.core.document
         if document is None:
             return
         if self._packed is None or self._packed[0] != document.table.version:
             self._packed = (document.table.version, pack_document(document.raw))
-        connection.tell(self._packed[1])
+        connection.send(self._packed[1])
 
-    def _take_hello(self, connection: PeerConnection, message: Hello) -> None:
+    def _handle_hello(self, connection: PeerConnection, message: Hello) -> None:
         now = self.clock.now()
         is_new = not connection.vm
         if is_new:
@@ -423,84 +427,84 @@
         connection.vm = message.vm
         connection.hall = message.member.hall
         connection.address = message.member.address
-        connection.told.note_mentioned([message.member, *(mention.member for mention in message.known)])
-        self.membership.take(message.member, 0.0, now)
-        self.membership.note_reached(message.member.address)
-        for mention in message.known[:MOST_MENTIONED]:
-            self.membership.take(mention.member, mention.age, now)
+        connection.sent.record_known([message.member, *(mention.member for mention in message.known)])
+        self.membership.record_alive(message.member, 0.0, now)
+        self.membership.record_reachable(message.member.address)
+        for mention in message.known[:MAX_MENTIONS]:
+            self.membership.record_alive(mention.member, mention.age, now)
         self.core.vms = self.membership.size
         if is_new:
             self.core.quarantine_talk.tell_all(connection)
             if self.departures is not None:
-                self.departures.tell_all(connection)
+                self.departures.send_pending(connection)
             if self.limits is not None:
                 self.limits.tell_all(connection)
-        if is_new and connection.dialled is None:
-            self._tell_hello(connection)
+        if is_new and connection.dialled_address is None:
+            self._send_hello(connection)
 
-    def _take_beat(self, connection: PeerConnection, message: Beat) -> None:
+    def _handle_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
         now = self.clock.now()
-        heard = connection.heard
-        heard.take(message)
+        heard = connection.received
+        heard.apply(message)
         if connection.vm:
-            self._fleet.take(connection.vm, heard.demands, now)
+            self._fleet.record(connection.vm, heard.demands, now)
             self.core.take_paces(heard.demands)
             for reading in message.readings:
                 self.core.paces.note_told(reading)
         if connection.hall == self.membership.own.hall:
-            self.membership.note_watch(connection.address, turned_away=message.turned_away)
-        self._take_work(connection)
+            self.membership.record_store_access(connection.address, store_unreachable=message.turned_away)
+        self._apply_backlog(connection)
         faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
         for upstream, share in faulty.items():
             self.core.standings.get(UpstreamId(upstream)).note_hint(share, now)
-        self._take_changes(connection, message)
+        self._apply_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
-                connection.told.forget_evacuations()  # a peer that is behind may believe one that has ended
+                connection.sent.reset_evacuations()  # a peer that is behind may believe one that has ended
             source = f"peer {connection.vm}"
             self.core.take_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, whole=True)
         self.newest_version = max(self.newest_version, heard.version)
-        if self._lacks("configuration", self.core.version, heard.version):
-            connection.tell(AskConfiguration())
-        if self._lacks("listing", self.core.revision, heard.revision):
-            connection.tell(AskListing(self.core.revision))
+        if self._should_request("configuration", self.core.version, heard.version):
+            connection.send(ConfigurationRequest())
+        if self._should_request("listing", self.core.revision, heard.revision):
+            connection.send(ListingRequest(self.core.revision))
 
-    def _take_work(self, connection: PeerConnection) -> None:
+    def _apply_backlog(self, connection: PeerConnection) -> None:
         if connection.vm and Mechanism.PEER_WORK not in self.core.without:
-            self.core.work.take(connection.vm, connection.heard.reading, self.clock.now())
+            self.core.work.record(connection.vm, connection.received.prefill_backlog, self.clock.now())
 
-    def _take_changes(self, connection: PeerConnection, message: Beat) -> None:
+    def _apply_changes(self, connection: PeerConnection, message: Heartbeat) -> None:
         for upstream, news in message.changing.items():
             self.core.take_change(UpstreamId(upstream), news, f"peer {connection.vm}")
 
-    def _lacks(self, what: str, own: int, theirs: int) -> bool:
+    def _should_request(self, what: str, own: int, theirs: int) -> bool:
         """Tell whether to ask for something newer: at once, unless the store should tell it at any moment."""
         if theirs <= own:
             return False
         now = self.clock.now()
-        lacking = self._lacking.get(what)
-        if lacking is None or lacking.own != own:
-            self._lacking[what] = _Lack(own, now)
+        lacking = self._shortages.get(what)
+        if lacking is None or lacking.own_version != own:
+            self._shortages[what] = _Shortage(own, now)
             return own == 0 or not self.membership.is_watcher()
-        if now - lacking.since < PATIENCE:
+        if now - lacking.since < STORE_GRACE_S:
             return False
-        self._lacking[what] = _Lack(own, now)
+        self._shortages[what] = _Shortage(own, now)
         return True
 
-    def _make_beat(self, readings: Sequence[Reading] = ()) -> Beat:
+    def _make_heartbeat(self, readings: Sequence[Reading] = ()) -> Heartbeat:
         core = self.core
         now = core.clock.now()
         evacuations = core.eligibility.evacuations
-        return Beat(
+        return Heartbeat(
             core.version,
             core.revision,
             core.report_demands(),
-            core.standings.list_faulty(LEAST_FAULTS, now),
+            core.standings.list_faulty(MIN_FAULT_SHARE, now),
             core.changes.list_news(now),
             core.standings.list_reading(),
             list(readings),
-            evacuations.list_news() if evacuations.complete and not evacuations.lacks_room else None,
+            evacuations.list_updates() if evacuations.complete and not evacuations.has_overflowed else None,
             evacuations.as_of,
-            self.is_turned_away(),
-            self._adds_up,
+            self.is_store_unreachable(),
+            self._is_aggregator,
         )
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -17,22 +17,22 @@
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.usage import HallUsage, RatesByWorkspace
 
-MOST_BYTES = 4 * 1024 * 1024
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 """Bytes of one message at the most: a packed configuration of the size to design for has 0.2 MB."""
 
-MOST_DOCUMENT_BYTES = 16 * 1024 * 1024
+MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
 """Bytes of an unpacked configuration at the most: 20 times the size to design for."""
 
-MOST_MENTIONED = 64
+MAX_MENTIONS = 64
 """Other VMs in one message at the most."""
 
-MOST_TOLD_DEPARTURES = 256
+MAX_DEPARTURES = 256
 """Upstreams that leave which one message names at the most: 7 KB."""
 
-MOST_TOLD_LIMITS = 256
+MAX_LIMITS = 256
 """Limits, and counts of requests, that one message has at the most: 10 KB each."""
 
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 """The fastest: documents repeat themselves so much that more gains little."""
 
 
@@ -43,17 +43,17 @@
     """Prompt tokens a second."""
     wait_rate: float = 0.0
     """Requests a second that find decode memory full."""
-    prompt: float = 0.0
+    mean_prompt_tokens: float = 0.0
     """Tokens of a prompt in the mean."""
-    answer: float = 0.0
+    mean_answer_tokens: float = 0.0
     """Tokens of an answer in the mean."""
-    residence: float = 0.0
+    mean_residence_s: float = 0.0
     """Seconds for which a stream holds decode memory in the mean."""
-    read_rate: float = 0.0
+    prefill_rate: float = 0.0
     """Prompt tokens a second that a prefill engine was seen to read; 0 where too little was seen."""
-    read_overhead: float = 0.0
+    prefill_overhead_s: float = 0.0
     """Seconds that a call takes there beside the reading."""
-    whole_rate: float = 0.0
+    decode_prefill_rate: float = 0.0
     """Prompt tokens a second that a decode engine was seen to read; 0 where too little was seen."""
 
 
@@ -65,7 +65,7 @@
     known: list[Mention]
 
 
-class Beat(msgspec.Struct, tag="beat", frozen=True, omit_defaults=True):
+class Heartbeat(msgspec.Struct, tag="beat", frozen=True, omit_defaults=True):
     """What the sender has. What is left out is as it was told on this connection before."""
 
     version: int | None = None
@@ -92,7 +92,7 @@
     """Whether the sender adds up what its hall tells."""
 
 
-class Work(msgspec.Struct, tag="work", frozen=True):
+class PrefillBacklog(msgspec.Struct, tag="work", frozen=True):
     """A part of a beat that changes often."""
 
     reading: dict[str, int]
@@ -109,7 +109,7 @@
     """Halls whose sums the sender has from VMs there; None where that is as it was told before."""
 
 
-class QuarantineNews(msgspec.Struct, tag="quarantine", frozen=True):
+class QuarantineUpdate(msgspec.Struct, tag="quarantine", frozen=True):
     """What the sender knows, and the receiver may not, of requests that end upstreams."""
 
     ends: list[EndNews]
@@ -120,30 +120,30 @@
     """Requests whose quarantine the store keeps."""
 
 
-class DepartureNews(msgspec.Struct, tag="departures", frozen=True):
+class DepartureUpdate(msgspec.Struct, tag="departures", frozen=True):
     """Which upstreams said in an answer that they leave, and the store does not tell of yet."""
 
     lives: list[Life]
 
 
-class LimitNews(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
+class LimitUpdate(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
     """Which limits upstreams name, and what was sent to these."""
 
     words: list[LimitWord] = []
     spent: list[Spent] = []
 
 
-class AskConfiguration(msgspec.Struct, tag="ask_configuration", frozen=True):
+class ConfigurationRequest(msgspec.Struct, tag="ask_configuration", frozen=True):
     """The sender wants the receiver's configuration."""
 
 
-class Configuration(msgspec.Struct, tag="configuration", frozen=True):
+class PackedConfiguration(msgspec.Struct, tag="configuration", frozen=True):
     """A configuration as the operators wrote it, compressed."""
 
     packed: bytes
 
 
-class AskListing(msgspec.Struct, tag="ask_listing", frozen=True):
+class ListingRequest(msgspec.Struct, tag="ask_listing", frozen=True):
     """The sender wants the news behind a revision."""
 
     after: int
@@ -159,15 +159,15 @@
 
 Message = (
     Hello
-    | Beat
-    | Work
+    | Heartbeat
+    | PrefillBacklog
     | Usage
-    | QuarantineNews
-    | DepartureNews
-    | LimitNews
-    | AskConfiguration
-    | Configuration
-    | AskListing
+    | QuarantineUpdate
+    | DepartureUpdate
+    | LimitUpdate
+    | ConfigurationRequest
+    | PackedConfiguration
+    | ListingRequest
     | ListingPart
 )
 
@@ -195,19 +195,19 @@
         raise MessageError(str(problem)) from None
 
 
-def pack_document(raw: bytes) -> Configuration:
+def pack_document(raw: bytes) -> PackedConfiguration:
     """Return the message that hands a document on."""
-    return Configuration(zlib.compress(raw, COMPRESSION))
+    return PackedConfiguration(zlib.compress(raw, COMPRESSION_LEVEL))
 
 
-def unpack_document(message: Configuration) -> bytes:
+def unpack_document(message: PackedConfiguration) -> bytes:
     """Return the document that a message hands on.
 
     :raises MessageError: where it can't be unpacked, or is too long
     """
     unpacker = zlib.decompressobj()
     try:
-        raw = unpacker.decompress(message.packed, MOST_DOCUMENT_BYTES)
+        raw = unpacker.decompress(message.packed, MAX_DOCUMENT_BYTES)
     except zlib.error as problem:
         raise MessageError(str(problem)) from None
     if not unpacker.eof:
--- a/src/beamhatch/relay/fleet/membership.py
+++ b/src/beamhatch/relay/fleet/membership.py
@@ -20,42 +20,42 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-WATCHERS = 2
+WATCHERS_PER_HALL = 2
 """Members of each hall that watch the store."""
 
-STAND_INS = 2
+STANDBY_WATCHERS_PER_HALL = 2
 """Members of a hall that watch in place of its watchers where the store turns all of these away.
 
 No more than these, so that a store that is down for all is asked by twice as many at the most.
 """
 
-OTHERS = 2
+EXTRA_PEERS = 2
 """Members beside the watchers of its own hall that a VM keeps a connection to, in other halls where there are any."""
 
-FORGET_AFTER = 60.0
+MEMBER_TTL_S = 60.0
 """Seconds without a sign after which a VM is no longer counted."""
 
-REMEMBER_AFTER = 300.0
+ADDRESS_RETENTION_S = 300.0
 """Seconds without a sign for which it is remembered that there was a VM: longer than halls are cut off.
 
 Parts of a fleet that forget each other each take themselves for the whole of it.
 """
 
-QUICK_REDIALS = 0.2, 0.4
+QUICK_RETRY_DELAYS_S = 0.2, 0.4
 """Seconds before an address that did not answer is dialled again the first two times.
 
 VMs that start together refuse each other for a moment. With 2 s, 195 VMs that lost power together heard of nobody for
 0.5 s, and each read everything from the store.
 """
 
-FIRST_REDIAL_PAUSE = 2.0
+FIRST_RETRY_DELAY_S = 2.0
 """Seconds before it is dialled again from then on; each pause is twice the last."""
 
-LONGEST_REDIAL_PAUSE = 16.0
+MAX_RETRY_DELAY_S = 16.0
 """Seconds for which an address that did not answer is not dialled again."""
 
 
-HALL_SILENCE = 25.0
+HALL_TIMEOUT_S = 25.0
 """Seconds without a sign of any VM of a hall after which it is taken as out of touch with this one.
 
 VMs are told of each other every 10 s, and from hall to hall by one more VM.
@@ -68,7 +68,7 @@
     address: str
     """Where it listens for peers, ``HOST:PORT``."""
     hall: str
-    strength: float = 0.0
+    link_mbps: float = 0.0
     """Mbit/s of its link: the stronger members watch for the others."""
 
 
@@ -83,16 +83,16 @@
 @dataclass(frozen=True, slots=True)
 class _Known:
     member: Member
-    heard_at: float
+    last_seen_at: float
     """When anybody last heard from it."""
 
 
 @dataclass(slots=True)
-class _Unreached:
-    until: float
+class _Unreachable:
+    retry_at: float
     """When it may be dialled again."""
-    pause: float
-    tries: int = 1
+    delay: float
+    failures: int = 1
     """How often in a row it did not answer."""
 
 
@@ -104,11 +104,11 @@
     seeds: list[str] = field(default_factory=list)
     """Addresses from the settings; they may be out of date."""
     _known: dict[str, _Known] = field(default_factory=dict)
-    _unreached: dict[str, _Unreached] = field(default_factory=dict)
+    _unreachable: dict[str, _Unreachable] = field(default_factory=dict)
     """Addresses that did not answer when they were last dialled."""
-    _remembered: dict[str, float] = field(default_factory=dict)
+    _last_seen_at: dict[str, float] = field(default_factory=dict)
     """When anybody last heard from each address, also of VMs that are no longer counted."""
-    _turned_away: set[str] = field(default_factory=set)
+    _without_store: set[str] = field(default_factory=set)
     """Addresses of members that say that the store does not answer them."""
 
     @property
@@ -117,96 +117,96 @@
         return 1 + len(self._known)
 
     @property
-    def has_others(self) -> bool:
+    def may_have_peers(self) -> bool:
         """Tell whether there are VMs to learn from, or the settings name some."""
         return bool(self._known) or any(seed != self.own.address for seed in self.seeds)
 
-    def take(self, member: Member, age: float, now: float) -> None:
+    def record_alive(self, member: Member, age: float, now: float) -> None:
         """Take in that a VM was alive some seconds ago."""
-        if member.address == self.own.address or age > FORGET_AFTER:
+        if member.address == self.own.address or age > MEMBER_TTL_S:
             return
         before = self._known.get(member.address)
-        heard_at = now - age if before is None else max(now - age, before.heard_at)
+        heard_at = now - age if before is None else max(now - age, before.last_seen_at)
         self._known[member.address] = _Known(member, heard_at)
-        self._remembered[member.address] = max(heard_at, self._remembered.get(member.address, heard_at))
+        self._last_seen_at[member.address] = max(heard_at, self._last_seen_at.get(member.address, heard_at))
 
-    def find_hall(self, address: str) -> str:
+    def get_hall(self, address: str) -> str:
         """Return the hall of a VM, empty where it is not known."""
         known = self._known.get(address)
         return "" if known is None else known.member.hall
 
-    def note_reached(self, address: str) -> None:
+    def record_reachable(self, address: str) -> None:
         """Note that an address answered."""
-        self._unreached.pop(address, None)
+        self._unreachable.pop(address, None)
 
-    def note_unreached(self, address: str, now: float) -> None:
+    def record_unreachable(self, address: str, now: float) -> None:
         """Note that an address did not answer: it is taken as dead until it does."""
-        known = self._unreached.get(address)
-        tries = 1 if known is None else known.tries + 1
-        if known is None or tries <= len(QUICK_REDIALS):
-            pause = QUICK_REDIALS[tries - 1]
+        known = self._unreachable.get(address)
+        tries = 1 if known is None else known.failures + 1
+        if known is None or tries <= len(QUICK_RETRY_DELAYS_S):
+            pause = QUICK_RETRY_DELAYS_S[tries - 1]
         else:
-            pause = min(LONGEST_REDIAL_PAUSE, max(FIRST_REDIAL_PAUSE, 2 * known.pause))
-        self._unreached[address] = _Unreached(now + pause * random.uniform(0.7, 1.3), pause, tries)
+            pause = min(MAX_RETRY_DELAY_S, max(FIRST_RETRY_DELAY_S, 2 * known.delay))
+        self._unreachable[address] = _Unreachable(now + pause * random.uniform(0.7, 1.3), pause, tries)
 
-    def note_watch(self, address: str, *, turned_away: bool) -> None:
+    def record_store_access(self, address: str, *, store_unreachable: bool) -> None:
         """Note whether a member says that the store does not answer it."""
-        if turned_away:
-            self._turned_away.add(address)
+        if store_unreachable:
+            self._without_store.add(address)
         else:
-            self._turned_away.discard(address)
+            self._without_store.discard(address)
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop VMs that nobody has heard from for long."""
-        self._known = {address: one for address, one in self._known.items() if now - one.heard_at <= FORGET_AFTER}
-        self._remembered = {name: at for name, at in self._remembered.items() if now - at <= REMEMBER_AFTER}
+        self._known = {address: one for address, one in self._known.items() if now - one.last_seen_at <= MEMBER_TTL_S}
+        self._last_seen_at = {name: at for name, at in self._last_seen_at.items() if now - at <= ADDRESS_RETENTION_S}
         named = {*self._known, *self.seeds}
-        self._unreached = {address: one for address, one in self._unreached.items() if address in named}
-        self._turned_away &= self._known.keys()
+        self._unreachable = {address: one for address, one in self._unreachable.items() if address in named}
+        self._without_store &= self._known.keys()
 
-    def list_mentions(self, most: int, now: float) -> list[Mention]:
+    def list_mentions(self, limit: int, now: float) -> list[Mention]:
         """Return some of the VMs that this one knows of: those that watch in each hall, and others drawn at random."""
         known = list(self._known.values())
-        if len(known) > most:
-            watching = {member.address for member in self._list_watching()}
+        if len(known) > limit:
+            watching = {member.address for member in self._list_watchers()}
             others = [one for one in known if one.member.address not in watching]
-            known = [one for one in known if one.member.address in watching][:most]
-            known += random.sample(others, min(len(others), most - len(known)))
+            known = [one for one in known if one.member.address in watching][:limit]
+            known += random.sample(others, min(len(others), limit - len(known)))
         return [_make_mention(one, now) for one in known]
 
-    def list_news(self, told: set[str], most: int, again: int, now: float) -> list[Mention]:
+    def select_mentions(self, known_addresses: set[str], limit: int, max_repeated: int, now: float) -> list[Mention]:
         """Return the VMs that somebody was not told of, those that watch first, and some others drawn at random.
 
         :param most: of all at the most
         :param again: of the others at the most
         """
-        watching = {member.address for member in self._list_watching()}
-        new = [one for one in self._known.values() if one.member.address not in told]
+        watching = {member.address for member in self._list_watchers()}
+        new = [one for one in self._known.values() if one.member.address not in known_addresses]
         new.sort(key=lambda one: one.member.address not in watching)
-        old = [one for one in self._known.values() if one.member.address in told]
-        again = min(len(old), again, max(0, most - len(new)))
-        return [_make_mention(one, now) for one in [*new[:most], *random.sample(old, again)]]
+        old = [one for one in self._known.values() if one.member.address in known_addresses]
+        max_repeated = min(len(old), max_repeated, max(0, limit - len(new)))
+        return [_make_mention(one, now) for one in [*new[:limit], *random.sample(old, max_repeated)]]
 
-    def list_remembered(self, now: float) -> list[str]:
+    def list_recent_addresses(self, now: float) -> list[str]:
         """Return the addresses of all other VMs that were there of late, whether they are in touch or not."""
-        return [address for address, heard_at in self._remembered.items() if now - heard_at <= REMEMBER_AFTER]
+        return [address for address, heard_at in self._last_seen_at.items() if now - heard_at <= ADDRESS_RETENTION_S]
 
-    def count_lately(self, now: float) -> int:
+    def count_recent(self, now: float) -> int:
         """Return how many VMs there were of late, this one among them: those that are out of touch still count."""
-        return 1 + len(self.list_remembered(now))
+        return 1 + len(self.list_recent_addresses(now))
 
-    def find_share(self, halls: Collection[str], now: float) -> float:
+    def compute_reachable_share(self, connected_halls: Collection[str], now: float) -> float:
         """Return the part of all VMs that hear of each other, this one among them.
 
         :param halls: those of the VMs that this one has a connection to
         """
-        vms = self.count_lately(now)
+        vms = self.count_recent(now)
         if vms == 1:
             return 1.0
-        if not halls:
+        if not connected_halls:
             return 1 / vms
         silent = self._list_silent_halls(now)
-        if all(hall == self.own.hall for hall in halls):  # another hall, if there is any, is out of reach
+        if all(hall == self.own.hall for hall in connected_halls):  # another hall, if there is any, is out of reach
             silent |= {one.member.hall for one in self._known.values()} - {self.own.hall}
         lost = sum(one.member.hall in silent for one in self._known.values())
         forgotten = vms - 1 - len(self._known)
@@ -216,8 +216,8 @@
         """Return the halls of which no VM was heard of lately."""
         newest: defaultdict[str, float] = defaultdict(lambda: -math.inf)
         for one in self._known.values():
-            newest[one.member.hall] = max(newest[one.member.hall], one.heard_at)
-        return {hall for hall, at in newest.items() if hall != self.own.hall and now - at > HALL_SILENCE}
+            newest[one.member.hall] = max(newest[one.member.hall], one.last_seen_at)
+        return {hall for hall, at in newest.items() if hall != self.own.hall and now - at > HALL_TIMEOUT_S}
 
     # --- duties ------------------------------------------------------------------------------------------------------
 
@@ -227,44 +227,46 @@
         Where the store turned just the watchers away, nobody else asked it, and no VM of 24 learned of anything
         within 5 s (paused clock).
         """
-        ahead = [one for one in self._list_members() if one.hall == self.own.hall and self._goes_ahead(one)]
-        if len(ahead) < WATCHERS:
+        ahead = [one for one in self._list_members() if one.hall == self.own.hall and self._ranks_higher(one)]
+        if len(ahead) < WATCHERS_PER_HALL:
             return True
-        first = sorted(ahead, key=_rank)[:WATCHERS]
-        return len(ahead) < WATCHERS + STAND_INS and all(one.address in self._turned_away for one in first)
+        first = sorted(ahead, key=_rank)[:WATCHERS_PER_HALL]
+        return len(ahead) < WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL and all(
+            one.address in self._without_store for one in first
+        )
 
-    def _list_watching(self) -> list[Member]:
+    def _list_watchers(self) -> list[Member]:
         """Return the members that watch, of all halls: whom a VM that has just started needs to know first."""
         by_hall: defaultdict[str, list[Member]] = defaultdict(list)
         for member in self._list_members():
-            if member.address not in self._unreached:
+            if member.address not in self._unreachable:
                 by_hall[member.hall].append(member)
-        return [member for members in by_hall.values() for member in sorted(members, key=_rank)[:WATCHERS]]
+        return [member for members in by_hall.values() for member in sorted(members, key=_rank)[:WATCHERS_PER_HALL]]
 
-    def count_ahead(self) -> int:
+    def count_higher_ranked(self) -> int:
         """Return how many VMs go before this one where only some are to do a thing."""
-        return sum(self._goes_ahead(one) for one in self._list_members())
+        return sum(self._ranks_higher(one) for one in self._list_members())
 
     def _list_members(self) -> list[Member]:
         return [one.member for one in self._known.values()]
 
-    def _goes_ahead(self, member: Member) -> bool:
-        return member.address not in self._unreached and _rank(member) < _rank(self.own)
+    def _ranks_higher(self, member: Member) -> bool:
+        return member.address not in self._unreachable and _rank(member) < _rank(self.own)
 
     # --- connections -------------------------------------------------------------------------------------------------
 
     def list_targets(self, now: float) -> list[str]:
         """Return the addresses to which this VM keeps connections, the most important first."""
         here = [one for one in self._list_members() if one.hall == self.own.hall]
-        alive = [one for one in here if one.address not in self._unreached]
-        targets = [one.address for one in sorted(alive, key=_rank)[:WATCHERS]]
+        alive = [one for one in here if one.address not in self._unreachable]
+        targets = [one.address for one in sorted(alive, key=_rank)[:WATCHERS_PER_HALL]]
         elsewhere = [one for one in self._list_members() if one.hall != self.own.hall]
         others = [one.address for one in elsewhere or here if one.address not in targets]
         free = [address for address in others if self._may_dial(address, now)]
         free.sort(key=lambda address: hash_fraction(f"{self.own.address}/{address}"))
         first = self._list_counterparts(now)
-        targets += [*first, *(address for address in free if address not in first)][:OTHERS]
-        return targets + self._list_strange_seeds(now)
+        targets += [*first, *(address for address in free if address not in first)][:EXTRA_PEERS]
+        return targets + self._list_unknown_seeds(now)
 
     def _list_counterparts(self, now: float) -> list[str]:
         """Return whom this VM, where it watches, prefers in other halls: those that watch there, of its own rank.
@@ -276,11 +278,13 @@
         for member in self._list_members():
             if member.hall == self.own.hall or self._may_dial(member.address, now):
                 by_hall[member.hall].append(member)
-        place = sum(self._goes_ahead(member) for member in by_hall.pop(self.own.hall, []))
-        if place >= WATCHERS or not by_hall:
+        place = sum(self._ranks_higher(member) for member in by_hall.pop(self.own.hall, []))
+        if place >= WATCHERS_PER_HALL or not by_hall:
             return []
         following = sorted(by_hall, key=lambda hall: (hall < self.own.hall, hall))
-        halls = [following[(place * OTHERS + step) % len(following)] for step in range(min(OTHERS, len(following)))]
+        halls = [
+            following[(place * EXTRA_PEERS + step) % len(following)] for step in range(min(EXTRA_PEERS, len(following)))
+        ]
         ranked = [sorted(by_hall[hall], key=_rank) for hall in halls]
         return [members[min(place, len(members) - 1)].address for members in ranked]
 
@@ -288,11 +292,11 @@
         """Return members of the own hall that did not answer, and may be dialled again."""
         return [
             address
-            for address, one in self._unreached.items()
-            if now >= one.until and address in self._known and self._known[address].member.hall == self.own.hall
+            for address, one in self._unreachable.items()
+            if now >= one.retry_at and address in self._known and self._known[address].member.hall == self.own.hall
         ]
 
-    def _list_strange_seeds(self, now: float) -> list[str]:
+    def _list_unknown_seeds(self, now: float) -> list[str]:
         """Return addresses of the settings that are no known member's: this VM may be one of several islands."""
         return [
             seed
@@ -301,14 +305,14 @@
         ]
 
     def _may_dial(self, address: str, now: float) -> bool:
-        unreached = self._unreached.get(address)
-        return unreached is None or now >= unreached.until
+        unreached = self._unreachable.get(address)
+        return unreached is None or now >= unreached.retry_at
 
 
 def _make_mention(known: _Known, now: float) -> Mention:
-    return Mention(known.member, round(max(0.0, now - known.heard_at), 1))
+    return Mention(known.member, round(max(0.0, now - known.last_seen_at), 1))
 
 
 def _rank(member: Member) -> tuple[float, float, str]:
     """Return what members are ordered by, the same on every VM."""
-    return -member.strength, hash_fraction(member.address), member.address
+    return -member.link_mbps, hash_fraction(member.address), member.address
--- a/src/beamhatch/relay/fleet/peer_traffic.py
+++ b/src/beamhatch/relay/fleet/peer_traffic.py
@@ -9,10 +9,10 @@
     from beamhatch.relay.fleet.gossip_message import Message
     from beamhatch.relay.places import Places
 
-LENGTH_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 """Bytes of the length ahead of each message."""
 
-UNKNOWN_PLACE = "unknown"
+UNKNOWN_DISTANCE = "unknown"
 """Label of the distance to a VM that has not said yet where it is."""
 
 
@@ -28,13 +28,13 @@
         self._hall = hall
         self._places = places
 
-    def note_sent(self, message: Message, size: int, hall: str) -> None:
+    def record_sent(self, message: Message, size: int, hall: str) -> None:
         """Count a message.
 
         :param size: bytes of the encoded message
         :param hall: the receiver's hall, empty where it is not known
         """
-        distance = self._places.measure(self._hall, hall).name.lower() if hall else UNKNOWN_PLACE
+        distance = self._places.measure(self._hall, hall).name.lower() if hall else UNKNOWN_DISTANCE
         label = f"{type(message).__struct_config__.tag} {distance}"
-        self._tally.add("peer_bytes_total", label, size + LENGTH_BYTES)
+        self._tally.add("peer_bytes_total", label, size + LENGTH_PREFIX_BYTES)
         self._tally.count("peer_messages_total", label)
--- a/src/beamhatch/relay/fleet/peer_words.py
+++ b/src/beamhatch/relay/fleet/peer_values.py
@@ -10,30 +10,30 @@
 
 Value = TypeVar("Value")
 
-TOLD_LIFE = 1.8
+VALUE_TTL_S = 1.8
 """Seconds for which what a peer told is believed: three of the beats that carry it, as changes are told at once."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Told(Generic[Value]):
+class _Received(Generic[Value]):
     value: Value
-    at: float
+    received_at: float
 
 
 @dataclass(slots=True)
-class PeerWords(Generic[Value]):
+class PeerValues(Generic[Value]):
     """The newest value that each VM told."""
 
-    _by_vm: dict[str, _Told[Value]] = field(default_factory=dict)
+    _by_vm: dict[str, _Received[Value]] = field(default_factory=dict)
 
-    def take(self, vm: str, value: Value, now: float) -> None:
+    def record(self, vm: str, value: Value, now: float) -> None:
         """Take in what a VM told."""
-        self._by_vm[vm] = _Told(value, now)
+        self._by_vm[vm] = _Received(value, now)
 
     def list_values(self, now: float) -> Iterator[Value]:
         """Return what is believed."""
-        return (told.value for told in self._by_vm.values() if now - told.at < TOLD_LIFE)
+        return (told.value for told in self._by_vm.values() if now - told.received_at < VALUE_TTL_S)
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop what is no longer believed."""
-        self._by_vm = {vm: told for vm, told in self._by_vm.items() if now - told.at < TOLD_LIFE}
+        self._by_vm = {vm: told for vm, told in self._by_vm.items() if now - told.received_at < VALUE_TTL_S}
--- a/src/beamhatch/relay/fleet/watching.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -18,34 +18,39 @@
     from beamhatch.relay.api import Store
     from beamhatch.relay.core import Core
 
-WATCH_WAIT = 20.0
+WATCH_TIMEOUT_S = 20.0
 """Seconds for which a watch waits; peers tell of changes that a dead watch misses."""
 
-DUTY_INTERVAL = 0.25
+IDLE_INTERVAL_S = 0.25
 """Seconds between two looks of a VM that does not watch, whether it has to."""
 
-START_INTERVAL = 0.02
+STARTUP_POLL_INTERVAL_S = 0.02
 """Seconds between two looks whether a peer has told what is needed."""
 
-FIRST_PAUSE = 0.15
+MIN_RETRY_DELAY_S = 0.15
 """Seconds before a lost watch is made anew; each pause is twice the last."""
 
-TURNED_AWAY_TIME = 0.5
+UNREACHABLE_AFTER_S = 0.5
 """Seconds without an answer after which others are told: two tries, as a single watch may be cut at any moment."""
 
-LONGEST_PAUSE = 1.0
+MAX_RETRY_DELAY_S = 1.0
 """Seconds between two tries at the most: so often a store that is down is asked."""
 
 
-class Watcher(ABC):
+class StoreWatcher(ABC):
     """Keeps one thing; ``name`` stands in the log."""
 
     name = ""
-    settle_time = 0.0
+    settle_delay_s = 0.0
     """Seconds behind news before the next watch: what changes meanwhile comes with one call."""
 
     def __init__(
-        self, core: Core, store: Store, is_due: Callable[[], bool], hears_peers: Callable[[], bool], patience: float
+        self,
+        core: Core,
+        store: Store,
+        should_watch: Callable[[], bool],
+        has_peers: Callable[[], bool],
+        peer_timeout: float,
     ) -> None:
         """Make one.
 
@@ -55,21 +60,21 @@
         """
         self.core = core
         self.store = store
-        self._is_due = is_due
-        self._hears_peers = hears_peers
-        self._patience = patience
+        self._should_watch = should_watch
+        self._has_peers = has_peers
+        self._peer_timeout = peer_timeout
         self._running: defer.Deferred[None] | None = None
         self._waiting: defer.Deferred[int | StoreLost | HistoryGone] | None = None
         self._renewing = False
         self.connected = True
         """False once the store has given no answer, until it does."""
         self._lost_at = 0.0
-        self._pause = FIRST_PAUSE
+        self._retry_delay = MIN_RETRY_DELAY_S
 
     def start(self) -> None:
         """Begin."""
         self._running = defer.ensureDeferred(self._run())
-        self._running.addErrback(self._take_end)
+        self._running.addErrback(self._handle_exit)
 
     def stop(self) -> None:
         """End."""
@@ -77,18 +82,18 @@
         if running is not None:
             running.cancel()
 
-    def renew(self) -> None:
+    def restart_watch(self) -> None:
         """Ask anew: the store had been away, and may have lost the answer that is waited for."""
         if self._waiting is not None and not self._waiting.called:
             self._renewing = True
             self._waiting.cancel()
 
-    def is_turned_away(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Tell whether the store has not answered for so long that others should ask it."""
-        return not self.connected and self.core.clock.now() - self._lost_at > TURNED_AWAY_TIME
+        return not self.connected and self.core.clock.now() - self._lost_at > UNREACHABLE_AFTER_S
 
     @abstractmethod
-    def is_known(self) -> bool:
+    def has_data(self) -> bool:
         """Tell whether this VM has the thing from anybody."""
 
     @abstractmethod
@@ -103,22 +108,22 @@
         await self._await_peers()
         has_read = False
         while True:
-            if not self._is_due() and (has_read or self.is_known() or self._hears_peers()):
-                await sleep(self.core.clock, DUTY_INTERVAL * random.uniform(0.7, 1.3))
+            if not self._should_watch() and (has_read or self.has_data() or self._has_peers()):
+                await sleep(self.core.clock, IDLE_INTERVAL_S * random.uniform(0.7, 1.3))
                 continue
             at = await self.read()
             if isinstance(at, StoreLost):
-                await self._wait_again(at)
+                await self._wait_before_retry(at)
                 continue
             has_read = True
-            self._note_connected(at)
+            self._record_connected(at)
             await self._follow(at)
 
     async def _await_peers(self) -> None:
         """Give the peers a moment to tell what they have."""
-        end = self.core.clock.now() + self._patience
-        while not self.is_known() and self.core.clock.now() < end:
-            await sleep(self.core.clock, START_INTERVAL)
+        end = self.core.clock.now() + self._peer_timeout
+        while not self.has_data() and self.core.clock.now() < end:
+            await sleep(self.core.clock, STARTUP_POLL_INTERVAL_S)
 
     async def _follow(self, at: int) -> None:
         """Watch from a revision on, until the watch is lost, what it needs is, or others watch.
@@ -126,7 +131,7 @@
         Behind a lost watch everything is read again: a read is answered or lost within seconds, while another watch
         might be swallowed by a store that is still silent, and be missed only when its long time is over.
         """
-        while self._is_due():
+        while self._should_watch():
             news = await self._watch_once(at)
             if news is None:
                 continue
@@ -134,11 +139,11 @@
                 self.core.journal.write("STORE", "history gone", watch=self.name, after=at)
                 return
             if isinstance(news, StoreLost):
-                await self._wait_again(news)
+                await self._wait_before_retry(news)
                 return
-            self._note_connected(news)
+            self._record_connected(news)
             if news > at:
-                await sleep(self.core.clock, self.settle_time)
+                await sleep(self.core.clock, self.settle_delay_s)
             at = news
 
     async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
@@ -152,33 +157,33 @@
             self._renewing = False
             return None
 
-    async def _wait_again(self, lost: StoreLost) -> None:
+    async def _wait_before_retry(self, lost: StoreLost) -> None:
         if self.connected:
             self.connected = False
             self._lost_at = self.core.clock.now()
             self.core.journal.write("STORE", "lost", watch=self.name, detail=lost.detail)
         self.core.tally.count("store_failures_total", self.name)
-        await sleep(self.core.clock, self._pause * random.uniform(0.5, 1.0))
-        self._pause = min(LONGEST_PAUSE, self._pause * 2)
+        await sleep(self.core.clock, self._retry_delay * random.uniform(0.5, 1.0))
+        self._retry_delay = min(MAX_RETRY_DELAY_S, self._retry_delay * 2)
 
-    def _note_connected(self, at: int) -> None:
-        self._pause = FIRST_PAUSE
+    def _record_connected(self, at: int) -> None:
+        self._retry_delay = MIN_RETRY_DELAY_S
         if not self.connected:
             self.connected = True
             self.core.journal.write("STORE", "regained", watch=self.name, revision=at)
 
-    def _take_end(self, failure: Any) -> None:
+    def _handle_exit(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
             self.core.journal.write("STORE", "watcher failed", watch=self.name, error=failure.getTraceback())
-            self.core.clock.call_later(LONGEST_PAUSE, self.start)
+            self.core.clock.call_later(MAX_RETRY_DELAY_S, self.start)
 
 
-class DirectivesWatcher(Watcher):
+class DirectivesWatcher(StoreWatcher):
     """Keeps what the operators wrote: the configuration, and which halls are emptied."""
 
     name = "directives"
 
-    def is_known(self) -> bool:
+    def has_data(self) -> bool:
         """Tell whether there is a configuration, and which halls are emptied is known."""
         return self.core.table is not None and self.core.eligibility.evacuations.complete
 
@@ -187,18 +192,18 @@
         news = await self.store.read_directives(self.core.eligibility.evacuations.as_of)
         if isinstance(news, StoreLost):
             return news
-        self._take(news, whole=news.settled or not self.core.eligibility.evacuations.complete)
+        self._apply(news, whole=news.settled or not self.core.eligibility.evacuations.complete)
         return news.at
 
     async def watch(self, after: int) -> int | StoreLost | HistoryGone:
         """Wait for changes."""
-        news = await self.store.watch_directives(after, WATCH_WAIT)
+        news = await self.store.watch_directives(after, WATCH_TIMEOUT_S)
         if not isinstance(news, DirectiveNews):
             return news
-        self._take(news, whole=False)
+        self._apply(news, whole=False)
         return news.at
 
-    def _take(self, news: DirectiveNews, *, whole: bool) -> None:
+    def _apply(self, news: DirectiveNews, *, whole: bool) -> None:
         if news.document is not None:
             self.core.take_document(news.document, "store")
         # an unsettled list ends nothing: peers may know of evacuations that the operators still have to write again
@@ -206,13 +211,13 @@
         self.core.take_evacuations(news.evacuations, "store", as_of=as_of, whole=whole)
 
 
-class ListingWatcher(Watcher):
+class ListingWatcher(StoreWatcher):
     """Keeps the list of upstreams."""
 
     name = "listing"
-    settle_time = 0.2
+    settle_delay_s = 0.2
 
-    def is_known(self) -> bool:
+    def has_data(self) -> bool:
         """Tell whether there is a whole list."""
         return self.core.listing.complete
 
@@ -228,7 +233,7 @@
 
     async def watch(self, after: int) -> int | StoreLost | HistoryGone:
         """Wait for changes of the list."""
-        news = await self.store.watch_listing(after, WATCH_WAIT)
+        news = await self.store.watch_listing(after, WATCH_TIMEOUT_S)
         if isinstance(news, ListingNews):
             self.core.take_listing(news, "store", whole=False)
             return news.at
--- a/src/beamhatch/relay/fleet/throttle.py
+++ b/src/beamhatch/relay/fleet/throttle.py
@@ -13,25 +13,25 @@
 class Throttle:
     """Calls a function once for all that is asked for within a gap."""
 
-    def __init__(self, clock: Clock, gap: float, function: Callable[[], None]) -> None:
+    def __init__(self, clock: Clock, min_interval: float, function: Callable[[], None]) -> None:
         """Make one.
 
         :param gap: seconds between two calls at the least
         """
         self._clock = clock
-        self._gap = gap
+        self._min_interval = min_interval
         self._function = function
         self._pending = False
         self._called_at = float("-inf")
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Have the function called as soon as the gap allows, unless it is about to be."""
         if not self._pending:
             self._pending = True
-            wait = self._called_at + self._gap - self._clock.now()
+            wait = self._called_at + self._min_interval - self._clock.now()
             self._clock.call_later(max(0.0, wait), self._call)
 
-    def note_done(self) -> None:
+    def record_call(self) -> None:
         """Note that what the function does was done just now, by others."""
         self._called_at = self._clock.now()
 
--- a/src/beamhatch/relay/limits/talk.py
+++ b/src/beamhatch/relay/limits/talk.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from beamhatch.relay.fleet.gossip_message import MOST_TOLD_LIMITS, LimitNews
+from beamhatch.relay.fleet.gossip_message import MAX_LIMITS, LimitUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -63,17 +63,17 @@
 
     def tell_all(self, connection: PeerConnection) -> None:
         """Tell a peer that was met all limits that are known."""
-        words = self._limits.list_words(self._clock.now())[-MOST_TOLD_LIMITS:]
+        words = self._limits.list_words(self._clock.now())[-MAX_LIMITS:]
         if words:
-            connection.tell(LimitNews(words))
+            connection.send(LimitUpdate(words))
 
-    def take(self, connection: PeerConnection, message: LimitNews) -> None:
+    def take(self, connection: PeerConnection, message: LimitUpdate) -> None:
         """Take in what a peer tells, and hand on what is news."""
         now = self._clock.now()
         source = f"peer {connection.vm}"
-        told = message.words[:MOST_TOLD_LIMITS]
+        told = message.words[:MAX_LIMITS]
         words = [word for word in told if self._announcements.take_limit_word(word, source)]
-        taken = (self._limits.take_spent(one, now) for one in message.spent[:MOST_TOLD_LIMITS])
+        taken = (self._limits.take_spent(one, now) for one in message.spent[:MAX_LIMITS])
         spent = [one for one in taken if one is not None]
         if not self.hands_on():
             spent = []
@@ -91,8 +91,8 @@
             others = [one for one in heard if one.source is not connection]
             here = [*words, *(word for one in others for word in one.words)]
             sent = [*spent, *(count for one in others for count in one.spent)]
-            if not connection.adds_up:
+            if not connection.is_aggregator:
                 sent = [count for count in sent if self._limits.has_part(count.life, connection.address)]
-            for start in range(0, max(len(here), len(sent)), MOST_TOLD_LIMITS):
-                part = slice(start, start + MOST_TOLD_LIMITS)
-                connection.tell(LimitNews(here[part], sent[part]))
+            for start in range(0, max(len(here), len(sent)), MAX_LIMITS):
+                part = slice(start, start + MAX_LIMITS)
+                connection.send(LimitUpdate(here[part], sent[part]))
--- a/src/beamhatch/relay/quarantine/talk.py
+++ b/src/beamhatch/relay/quarantine/talk.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from beamhatch.relay.fleet.gossip_message import QuarantineNews
+from beamhatch.relay.fleet.gossip_message import QuarantineUpdate
 from beamhatch.relay.fleet.throttle import Throttle
 from beamhatch.relay.quarantine.detection import LEAST_RUN, EndDetection
 from beamhatch.relay.quarantine.ends import SAME_END, EndNews
@@ -167,7 +167,7 @@
 
     # --- what peers tell ---------------------------------------------------------------------------------------------
 
-    def take(self, connection: PeerConnection, message: QuarantineNews) -> None:
+    def take(self, connection: PeerConnection, message: QuarantineUpdate) -> None:
         """Take in what a peer tells."""
         for cleared in message.cleared:
             self._take_clear(cleared, connection)
@@ -182,7 +182,7 @@
         ends = [end.tell(now) for end in list(self.quarantine.ends)[-MOST_TOLD_ENDS:]]
         holds = self.quarantine.list_told(now)
         if ends or holds:
-            connection.tell(QuarantineNews(ends, [], holds))
+            connection.send(QuarantineUpdate(ends, [], holds))
 
     def _take_end(self, news: EndNews, source: PeerConnection | None) -> None:
         now = self._clock.now()
@@ -246,7 +246,7 @@
 
     def _say(self, item: Item, source: PeerConnection | None) -> None:
         self._untold.append(_Untold(item, source, self._clock.now()))
-        self._words.ask()
+        self._words.request()
 
     def _tell(self) -> None:
         untold, self._untold = self._untold, []
@@ -259,7 +259,7 @@
                 if one.source is not connection and (hands_on or self._is_owed(connection, one.source))
             ]
             if items:
-                connection.tell(_make_message(items))
+                connection.send(_make_message(items))
 
     def _is_owed(self, connection: PeerConnection, source: PeerConnection | None) -> bool:
         """Tell whether this VM tells a peer something although others hand on: its own, and from afar to the near.
@@ -275,8 +275,8 @@
     return msgspec.structs.replace(aged, left=item.left - seconds) if isinstance(item, HoldNews) else aged
 
 
-def _make_message(items: list[Item]) -> QuarantineNews:
-    return QuarantineNews(
+def _make_message(items: list[Item]) -> QuarantineUpdate:
+    return QuarantineUpdate(
         _join_ends(item for item in items if isinstance(item, EndNews)),
         [item for item in items if isinstance(item, ClearNews)],
         [item for item in items if isinstance(item, HoldNews)],
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -608,7 +608,7 @@
         eligibility = self.core.eligibility
         now = self.core.clock.now()
         resting = eligibility.rests.is_resting(upstream.life, now)
-        if resting or eligibility.evacuations.is_emptied(upstream.hall):
+        if resting or eligibility.evacuations.is_evacuated(upstream.hall):
             return
         if not eligibility.limits.may_be_sent(upstream, now):
             return
--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from beamhatch.relay.fleet.peer_words import PeerWords
+from beamhatch.relay.fleet.peer_values import PeerValues
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 if TYPE_CHECKING:
@@ -157,7 +157,7 @@
     vm: str
     hall: str
     own: OwnUsage = field(default_factory=OwnUsage)
-    members: PeerWords[RatesByWorkspace] = field(default_factory=PeerWords)
+    members: PeerValues[RatesByWorkspace] = field(default_factory=PeerValues)
     """What the other VMs of the hall tell of their own callers."""
     _halls: dict[tuple[str, str], KnownUsage] = field(default_factory=dict)
     """The newest sum of each hall and teller."""
@@ -209,5 +209,5 @@
 
     def forget_old(self, now: float) -> None:
         """Drop what is no longer believed."""
-        self.members.forget_old(now)
+        self.members.drop_expired(now)
         self._halls = {key: usage for key, usage in self._halls.items() if now - usage.made_at < SUM_LIFE}
--- a/src/beamhatch/relay/workspaces/usage_talk.py
+++ b/src/beamhatch/relay/workspaces/usage_talk.py
@@ -114,7 +114,7 @@
             return
         now = self.core.clock.now()
         if message.own is not None and connection.hall == self.news.hall:
-            self.news.members.take(connection.vm, message.own, now)
+            self.news.members.record(connection.vm, message.own, now)
         peer = self._find_peer(connection)
         has_surged = False
         if message.direct is not None:
@@ -216,8 +216,8 @@
         connections = {connection.vm: connection for connection in self._list_connections()}.values()
         if not adds_up:
             return [connection for connection in connections if connection.hall == self.news.hall]
-        joined = {connection.hall for connection in connections if connection.adds_up} - {self.news.hall}
-        return [connection for connection in connections if connection.adds_up or connection.hall not in joined]
+        joined = {connection.hall for connection in connections if connection.is_aggregator} - {self.news.hall}
+        return [connection for connection in connections if connection.is_aggregator or connection.hall not in joined]
 
     def _list_direct(self, now: float) -> frozenset[str]:
         """Return the other halls whose sums this VM has from VMs there: peers in third halls need not tell it.
@@ -254,14 +254,14 @@
             known = (peer.direct | {connection.hall}) - {self.news.hall}
             news = [usage for usage in news if usage.hall not in known]
         of_hall = is_near and (own or self._told_own)
-        tells_direct = connection.adds_up and direct != peer.told_direct
+        tells_direct = connection.is_aggregator and direct != peer.told_direct
         if not news and not of_hall and not tells_direct:
             return
         peer.known.update({usage.hall: usage for usage in news})
         if tells_direct:
             peer.told_direct = direct
         sums = [usage.make_message(now) for usage in news]
-        connection.tell(Usage(own if of_hall else None, sums, sorted(direct) if tells_direct else None))
+        connection.send(Usage(own if of_hall else None, sums, sorted(direct) if tells_direct else None))
 
     def _list_near(self, sums: RatesByWorkspace, vms: int, now: float) -> RatesByWorkspace:
         """Return the sums that are worth telling: of quotas that are near, partly spent, or told of by another hall."""
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -253,7 +253,7 @@
     assert count_calls(platform, "hall-a") == before
     platform.take_back("hall-a")
     platform.network.run(NEWS_TIME)
-    assert not platform.vms["vm2"].core.eligibility.evacuations.list_emptied()
+    assert not platform.vms["vm2"].core.eligibility.evacuations.list_evacuated()
 
 
 @pytest.mark.parametrize("emptied", [True, False])
@@ -271,8 +271,8 @@
     platform.network.run(3.0)
     platform.network.heal("vm2")
     known = platform.vms["vm2"].core.eligibility.evacuations
-    platform.network.run_until(lambda: known.is_emptied("hall-a") is emptied, 25.0)
-    assert platform.vms["vm1"].core.eligibility.evacuations.is_emptied("hall-a") is emptied
+    platform.network.run_until(lambda: known.is_evacuated("hall-a") is emptied, 25.0)
+    assert platform.vms["vm1"].core.eligibility.evacuations.is_evacuated("hall-a") is emptied
 
 
 def test_a_peer_that_is_behind_revives_no_evacuation_that_has_ended() -> None:
@@ -285,7 +285,7 @@
     platform.door.break_connections()
     platform.take_back("hall-a")
     platform.network.run(1.0)
-    assert platform.vms["behind"].core.eligibility.evacuations.is_emptied("hall-a")
+    assert platform.vms["behind"].core.eligibility.evacuations.is_evacuated("hall-a")
     gossip = platform.vms["vm1"]._gossip
     assert gossip is not None
     gossip.membership.seeds = ["behind:8002"]
@@ -293,7 +293,7 @@
     platform.network.run(3.0)
     assert [line["event"] for line in list_lines(platform, "EVACUATION")] == ["emptied", "taken back"]
     for vm in platform.vms.values():
-        assert not vm.core.eligibility.evacuations.list_emptied()
+        assert not vm.core.eligibility.evacuations.list_evacuated()
 
 
 def test_both_ends_of_lost_history_are_read_anew() -> None:
@@ -308,7 +308,7 @@
     platform.store.forget_history()
     platform.store.fault = StoreFault.NONE
     known = platform.vms["vm1"].core.eligibility.evacuations
-    platform.network.run_until(lambda: known.list_emptied() == ["hall-b"], 5.0)
+    platform.network.run_until(lambda: known.list_evacuated() == ["hall-b"], 5.0)
 
 
 def test_a_hall_that_the_settings_do_not_place_is_told_of_once_and_obeyed() -> None:
@@ -335,7 +335,7 @@
     platform.empty("")
     platform.empty("x" * 150)
     platform.network.run(NEWS_TIME)
-    assert not platform.vms["vm1"].core.eligibility.evacuations.list_news()
+    assert not platform.vms["vm1"].core.eligibility.evacuations.list_updates()
 
 
 def test_a_vm_that_starts_while_the_store_is_down_knows_emptied_halls_before_it_is_ready() -> None:
@@ -466,7 +466,7 @@
 
 
 def count_emptied(platform: Platform) -> int:
-    return sum(vm.core.eligibility.evacuations.is_emptied("hall-b") for vm in platform.vms.values())
+    return sum(vm.core.eligibility.evacuations.is_evacuated("hall-b") for vm in platform.vms.values())
 
 
 @pytest.mark.parametrize("vms", [24, 74])
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -149,7 +149,7 @@
     platform.configure(2, [*ROUTES, make_route("/new/", "safe", PLAIN)])
     platform.network.run(0.5)
     assert platform.vms[left].core.version == 2
-    assert platform.vms[left]._gossip.hears_peers()  # type: ignore[union-attr]
+    assert platform.vms[left]._gossip.has_peers()  # type: ignore[union-attr]
 
 
 def test_faults_changes_and_demand_cross_halls_at_once() -> None:
@@ -190,7 +190,10 @@
 def test_news_are_known_at_once_though_watchers_have_just_died(dead: int) -> None:
     platform = make_fleet(36)
     kill(
-        platform, [name for name, vm in platform.vms.items() if vm._gossip is not None and vm._gossip.watches()][:dead]
+        platform,
+        [name for name, vm in platform.vms.items() if vm._gossip is not None and vm._gossip.should_watch_store()][
+            :dead
+        ],
     )
     platform.configure(2, [*ROUTES, make_route("/new/", "safe", PLAIN)])
     platform.store.put(f"op/evacuate/{HALLS[0]}", {})
@@ -198,7 +201,7 @@
     platform.network.run(0.5)
     assert know_version(platform, 2)
     for vm in platform.vms.values():
-        assert vm.core.eligibility.evacuations.is_emptied(HALLS[0])
+        assert vm.core.eligibility.evacuations.is_evacuated(HALLS[0])
         assert all(one.id != "plain-5" for one in vm.core.list_usable(ServiceName(PLAIN)))
 
 
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("dead", [1, 2, 4])
 def test_a_configuration_is_in_force_soon_though_watchers_have_just_died(dead: int) -> None:
     platform = make_fleet(18)
-    watchers = [name for name, vm in platform.vms.items() if vm._gossip is not None and vm._gossip.watches()]
+    watchers = [name for name, vm in platform.vms.items() if vm._gossip is not None and vm._gossip.should_watch_store()]
     assert len(watchers) == 6
     for name in watchers[:dead]:
         platform.network.cut(name)
@@ -83,7 +83,9 @@
 
 def test_others_watch_where_all_watchers_are_gone() -> None:
     platform = make_fleet(12)
-    for name in [name for name, vm in platform.vms.items() if vm._gossip is not None and vm._gossip.watches()]:
+    for name in [
+        name for name, vm in platform.vms.items() if vm._gossip is not None and vm._gossip.should_watch_store()
+    ]:
         platform.network.cut(name)
         del platform.vms[name]
     platform.configure(2, [*ROUTES, NEW_ROUTE])
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -133,7 +133,7 @@
 
 def test_vms_that_hear_nothing_from_the_store_learn_of_a_withdrawal_from_peers() -> None:
     platform = make_keyed_platform(6)
-    watching = [vm for vm in platform.vms.values() if vm._gossip is not None and vm._gossip.watches()]
+    watching = [vm for vm in platform.vms.values() if vm._gossip is not None and vm._gossip.should_watch_store()]
     assert len(watching) == 2
     for watcher in watching[0]._watchers:
         watcher.stop()
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -48,9 +48,9 @@
 def test_an_emptied_hall_gets_nothing_until_it_is_taken_back() -> None:
     upstreams = [make_upstream("a"), make_upstream("b")]
     eligibility = make_eligibility(*upstreams)
-    eligibility.evacuations.take(Evacuation("a", 2, True), 10.0)
+    eligibility.evacuations.apply(Evacuation("a", 2, True), 10.0)
     assert eligibility.list_eligible(upstreams, None, None, 10.0) == upstreams[1:]
-    eligibility.evacuations.take(Evacuation("a", 3, False), 11.0)
+    eligibility.evacuations.apply(Evacuation("a", 3, False), 11.0)
     assert eligibility.list_eligible(upstreams, None, None, 11.0) == upstreams
 
 
@@ -75,8 +75,8 @@
 def test_the_upstreams_of_a_hall_that_was_taken_back_are_taken_as_cold() -> None:
     upstreams = [make_upstream("a")]
     eligibility = make_eligibility(*upstreams)
-    eligibility.evacuations.take(Evacuation("a", 2, True), 10.0)
-    eligibility.evacuations.take(Evacuation("a", 3, False), 20.0)
+    eligibility.evacuations.apply(Evacuation("a", 2, True), 10.0)
+    eligibility.evacuations.apply(Evacuation("a", 3, False), 20.0)
     assert not eligibility.list_eligible(upstreams, None, COLD, 22.9)
     assert eligibility.list_eligible(upstreams, None, COLD, 23.1) == upstreams
 
--- a/tests/relay/choosing/test_lack.py
+++ b/tests/relay/choosing/test_lack.py
@@ -43,7 +43,7 @@
     assert lack is not None
     assert (lack.obstacle, lack.wait) == (Obstacle.LEAVING, LEAVING_WAIT)
     for hall in "ab":
-        eligibility.evacuations.take(Evacuation(hall, 2, True), NOW)
+        eligibility.evacuations.apply(Evacuation(hall, 2, True), NOW)
     lack = find_lack(eligibility, upstreams, None, None, NOW)
     assert lack is not None
     assert (lack.obstacle, lack.wait) == (Obstacle.EMPTIED, EMPTIED_WAIT)
--- a/tests/relay/fleet/test_membership.py
+++ b/tests/relay/fleet/test_membership.py
@@ -7,11 +7,11 @@
 import pytest
 
 from beamhatch.relay.fleet.membership import (
-    FORGET_AFTER,
-    OTHERS,
-    REMEMBER_AFTER,
-    STAND_INS,
-    WATCHERS,
+    ADDRESS_RETENTION_S,
+    EXTRA_PEERS,
+    MEMBER_TTL_S,
+    STANDBY_WATCHERS_PER_HALL,
+    WATCHERS_PER_HALL,
     Member,
     Membership,
 )
@@ -26,25 +26,25 @@
 def join(own: Member, fleet: list[Member], now: float = 0.0) -> Membership:
     membership = Membership(own)
     for member in fleet:
-        membership.take(member, 0.0, now)
+        membership.record_alive(member, 0.0, now)
     return membership
 
 
 def find_first(members: list[Member]) -> Member:
     """Return the member that goes before all others."""
-    return next(one for one in members if join(one, members).count_ahead() == 0)
+    return next(one for one in members if join(one, members).count_higher_ranked() == 0)
 
 
 def test_members_agree_on_a_few_watchers_in_each_hall() -> None:
     fleet = make_fleet(60)
     watchers = [one for one in fleet if join(one, fleet).is_watcher()]
-    assert len(watchers) == WATCHERS * len(HALLS)
+    assert len(watchers) == WATCHERS_PER_HALL * len(HALLS)
     assert {one.hall for one in watchers} == set(HALLS)
 
 
 def test_the_stronger_members_watch() -> None:
     fleet = make_fleet(30)
-    strong = [Member(f"10.1.{number}:1", "a", 200.0) for number in range(WATCHERS)]
+    strong = [Member(f"10.1.{number}:1", "a", 200.0) for number in range(WATCHERS_PER_HALL)]
     assert all(join(one, [*fleet, *strong]).is_watcher() for one in strong)
     assert not any(join(one, [*fleet, *strong]).is_watcher() for one in fleet if one.hall == "a")
 
@@ -59,10 +59,10 @@
     others = [one for one in fleet if one.hall == "a" and one not in watchers]
     memberships = [join(one, fleet) for one in others]
     for membership in memberships:
-        membership.note_unreached(watchers[0].address, 0.0)
+        membership.record_unreachable(watchers[0].address, 0.0)
     assert sum(membership.is_watcher() for membership in memberships) == 1
     for membership in memberships:
-        membership.note_reached(watchers[0].address)
+        membership.record_reachable(watchers[0].address)
     assert not any(membership.is_watcher() for membership in memberships)
 
 
@@ -70,7 +70,7 @@
 def test_a_vm_keeps_few_connections_and_all_are_joined(size: int) -> None:
     fleet = make_fleet(size)
     targets = {one.address: join(one, fleet).list_targets(0.0) for one in fleet}
-    assert max(len(found) for found in targets.values()) <= WATCHERS + OTHERS
+    assert max(len(found) for found in targets.values()) <= WATCHERS_PER_HALL + EXTRA_PEERS
     joined = {fleet[0].address}
     while True:
         more = {far for near in joined for far in targets[near]} | {
@@ -88,7 +88,7 @@
         membership = join(one, make_fleet(90))
         for far in make_fleet(90):
             if far.hall != "a":
-                membership.note_unreached(far.address, 0.0)
+                membership.record_unreachable(far.address, 0.0)
         targets = membership.list_targets(0.1)
         assert targets
         assert all(address in {near.address for near in fleet} for address in targets)
@@ -101,18 +101,18 @@
     while now < 60.0:
         if membership.list_retries(now) or "y:1" in membership.list_targets(now):
             dials += 1
-            membership.note_unreached("y:1", now)
+            membership.record_unreachable("y:1", now)
         now += 0.5
-        membership.take(Member("y:1", "a"), 0.0, now)
+        membership.record_alive(Member("y:1", "a"), 0.0, now)
     assert 4 <= dials <= 9
 
 
 def test_an_address_that_refused_for_a_moment_is_dialled_again_at_once() -> None:
     random.seed(1)
     membership = join(Member("x:1", "a"), [Member("y:1", "a")])
-    membership.note_unreached("y:1", 0.0)
+    membership.record_unreachable("y:1", 0.0)
     assert "y:1" in membership.list_retries(0.3)
-    membership.note_unreached("y:1", 0.3)
+    membership.record_unreachable("y:1", 0.3)
     assert "y:1" not in membership.list_retries(0.5)
     assert "y:1" in membership.list_retries(0.9)
 
@@ -130,23 +130,23 @@
     fleet = make_fleet(6)
     memberships = [join(one, fleet) for one in fleet[1:]]
     now = 0.0
-    while now < FORGET_AFTER + 5:
+    while now < MEMBER_TTL_S + 5:
         now += 5.0
         for near in memberships:
-            near.forget_old(now)
+            near.drop_expired(now)
             for far in memberships:
-                far.take(near.own, 0.0, now)
+                far.record_alive(near.own, 0.0, now)
                 for mention in near.list_mentions(64, now):
-                    far.take(mention.member, mention.age, now)
+                    far.record_alive(mention.member, mention.age, now)
     assert all(membership.size == 5 for membership in memberships)
 
 
 def test_seeds_are_dialled_until_they_are_known_members() -> None:
     membership = Membership(Member("x:1", "a"), ["x:1", "s:1", "t:1"])
     assert membership.list_targets(0.0) == ["s:1", "t:1"]
-    membership.take(Member("s:1", "b"), 0.0, 0.0)
+    membership.record_alive(Member("s:1", "b"), 0.0, 0.0)
     assert membership.list_targets(0.0) == ["s:1", "t:1"]
-    membership.note_unreached("t:1", 0.0)
+    membership.record_unreachable("t:1", 0.0)
     assert membership.list_targets(0.1) == ["s:1"]
     assert "t:1" in membership.list_targets(30.0)
 
@@ -154,30 +154,30 @@
 def test_vms_that_are_no_longer_counted_are_remembered_for_some_time() -> None:
     fleet = make_fleet(6)
     membership = join(fleet[0], fleet)
-    membership.take(fleet[1], 0.0, 100.0)
-    membership.forget_old(100.0)
+    membership.record_alive(fleet[1], 0.0, 100.0)
+    membership.drop_expired(100.0)
     assert membership.size == 2
-    assert len(membership.list_remembered(100.0)) == 5
-    membership.forget_old(REMEMBER_AFTER + 50.0)
-    assert membership.list_remembered(REMEMBER_AFTER + 50.0) == [fleet[1].address]
+    assert len(membership.list_recent_addresses(100.0)) == 5
+    membership.drop_expired(ADDRESS_RETENTION_S + 50.0)
+    assert membership.list_recent_addresses(ADDRESS_RETENTION_S + 50.0) == [fleet[1].address]
 
 
 def test_two_members_stand_in_for_watchers_that_are_all_turned_away_and_no_more() -> None:
     fleet = [Member(f"v{number}:1", "a") for number in range(8)]
     memberships = [join(one, fleet) for one in fleet]
     first = [one.own.address for one in memberships if one.is_watcher()]
-    assert len(first) == WATCHERS
+    assert len(first) == WATCHERS_PER_HALL
 
     def say(addresses: list[str], *, turned_away: bool) -> int:
         for membership in memberships:
             for address in addresses:
-                membership.note_watch(address, turned_away=turned_away)
+                membership.record_store_access(address, store_unreachable=turned_away)
         return sum(membership.is_watcher() for membership in memberships)
 
-    assert say(first[:1], turned_away=True) == WATCHERS
-    assert say(first, turned_away=True) == WATCHERS + STAND_INS
-    assert say([one.address for one in fleet], turned_away=True) == WATCHERS + STAND_INS
-    assert say(first[1:], turned_away=False) == WATCHERS
+    assert say(first[:1], turned_away=True) == WATCHERS_PER_HALL
+    assert say(first, turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
+    assert say([one.address for one in fleet], turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
+    assert say(first[1:], turned_away=False) == WATCHERS_PER_HALL
 
 
 @pytest.mark.parametrize("halls", [2, 3, 4, 5, 6])
@@ -200,7 +200,7 @@
     memberships = {one.address: join(one, fleet) for one in fleet if one not in first}
     for membership in memberships.values():
         for gone in first:
-            membership.note_unreached(gone.address, 0.0)
+            membership.record_unreachable(gone.address, 0.0)
     watching = {address: one for address, one in memberships.items() if one.is_watcher()}
     joined = {next(iter(watching.values())).own.hall}
     links = [
@@ -220,7 +220,7 @@
     membership = join(own, fleet)
     far = {one.address: one for one in fleet if one.hall != own.hall}
     before = [address for address in membership.list_targets(0.0) if address in far]
-    membership.note_unreached(before[0], 0.0)
+    membership.record_unreachable(before[0], 0.0)
     after = [address for address in membership.list_targets(0.1) if address in far]
     assert before[0] not in after
     assert {far[address].hall for address in after} == {far[address].hall for address in before}
@@ -231,49 +231,49 @@
     fleet = make_fleet(50)
     membership = join(fleet[0], fleet)
     told: set[str] = set()
-    first = membership.list_news(told, 64, 8, 0.0)
+    first = membership.select_mentions(told, 64, 8, 0.0)
     assert len(first) == 49
     told.update(mention.member.address for mention in first)
-    assert len(membership.list_news(told, 64, 8, 0.0)) == 8
-    membership.take(Member("late:1", "a"), 0.0, 1.0)
-    assert membership.list_news(told, 64, 8, 1.0)[0].member.address == "late:1"
+    assert len(membership.select_mentions(told, 64, 8, 0.0)) == 8
+    membership.record_alive(Member("late:1", "a"), 0.0, 1.0)
+    assert membership.select_mentions(told, 64, 8, 1.0)[0].member.address == "late:1"
 
 
 def make_hall_fleet() -> Membership:
     """Return what one of six VMs in three halls knows."""
     membership = Membership(Member("a1:1", "a"))
     for address, hall in (("a2:1", "a"), ("b1:1", "b"), ("b2:1", "b"), ("c1:1", "c"), ("c2:1", "c")):
-        membership.take(Member(address, hall), 0.0, 100.0)
+        membership.record_alive(Member(address, hall), 0.0, 100.0)
     return membership
 
 
 def test_a_vm_that_hears_all_halls_takes_part_for_all() -> None:
-    assert make_hall_fleet().find_share({"a", "b"}, 101.0) == 1.0
-    assert Membership(Member("a1:1", "a")).find_share(set(), 101.0) == 1.0
+    assert make_hall_fleet().compute_reachable_share({"a", "b"}, 101.0) == 1.0
+    assert Membership(Member("a1:1", "a")).compute_reachable_share(set(), 101.0) == 1.0
 
 
 def test_one_that_hears_its_own_hall_alone_takes_its_hall_s_part() -> None:
-    assert make_hall_fleet().find_share({"a"}, 101.0) == 2 / 6
+    assert make_hall_fleet().compute_reachable_share({"a"}, 101.0) == 2 / 6
 
 
 def test_one_that_hears_nobody_takes_its_own_part() -> None:
-    assert make_hall_fleet().find_share(set(), 101.0) == 1 / 6
+    assert make_hall_fleet().compute_reachable_share(set(), 101.0) == 1 / 6
 
 
 def test_the_others_leave_a_hall_its_part_that_they_miss_for_long() -> None:
     membership = make_hall_fleet()
     for address, hall in (("a2:1", "a"), ("b1:1", "b"), ("b2:1", "b")):
-        membership.take(Member(address, hall), 0.0, 120.0)
-    assert membership.find_share({"a", "b"}, 124.0) == 1.0
-    assert membership.find_share({"a", "b"}, 126.0) == 4 / 6
+        membership.record_alive(Member(address, hall), 0.0, 120.0)
+    assert membership.compute_reachable_share({"a", "b"}, 124.0) == 1.0
+    assert membership.compute_reachable_share({"a", "b"}, 126.0) == 4 / 6
 
 
 def test_the_part_of_those_that_are_forgotten_is_left_to_them_for_some_time() -> None:
     membership = make_hall_fleet()
-    membership.take(Member("a2:1", "a"), 0.0, 170.0)
-    membership.forget_old(170.0)
+    membership.record_alive(Member("a2:1", "a"), 0.0, 170.0)
+    membership.drop_expired(170.0)
     assert membership.size == 2
-    assert membership.find_share({"a"}, 170.0) == 2 / 6
-    membership.take(Member("a2:1", "a"), 0.0, 450.0)
-    membership.forget_old(450.0)
-    assert membership.find_share({"a"}, 450.0) == 1.0
+    assert membership.compute_reachable_share({"a"}, 170.0) == 2 / 6
+    membership.record_alive(Member("a2:1", "a"), 0.0, 450.0)
+    membership.drop_expired(450.0)
+    assert membership.compute_reachable_share({"a"}, 450.0) == 1.0
--- a/tests/relay/fleet/test_peer_traffic.py
+++ b/tests/relay/fleet/test_peer_traffic.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from beamhatch.observe.tally import Tally
-from beamhatch.relay.fleet.gossip_message import AskConfiguration, Work
-from beamhatch.relay.fleet.peer_traffic import LENGTH_BYTES, PeerTraffic
+from beamhatch.relay.fleet.gossip_message import ConfigurationRequest, PrefillBacklog
+from beamhatch.relay.fleet.peer_traffic import LENGTH_PREFIX_BYTES, PeerTraffic
 from beamhatch.relay.places import Places, RegionName
 from tests.support.platform import Platform
 
@@ -14,17 +14,17 @@
 def test_bytes_are_counted_by_kind_and_distance() -> None:
     tally = Tally()
     traffic = PeerTraffic(tally, "a", PLACES)
-    traffic.note_sent(Work({}), 10, "a")
-    traffic.note_sent(Work({}), 20, "b")
-    traffic.note_sent(Work({}), 30, "b")
-    traffic.note_sent(AskConfiguration(), 40, "c")
-    traffic.note_sent(AskConfiguration(), 50, "")
+    traffic.record_sent(PrefillBacklog({}), 10, "a")
+    traffic.record_sent(PrefillBacklog({}), 20, "b")
+    traffic.record_sent(PrefillBacklog({}), 30, "b")
+    traffic.record_sent(ConfigurationRequest(), 40, "c")
+    traffic.record_sent(ConfigurationRequest(), 50, "")
     found = {label: value for (name, label), value in tally.counts.items() if name == "peer_bytes_total"}
     assert found == {
-        "work same_hall": 10 + LENGTH_BYTES,
-        "work same_region": 50 + 2 * LENGTH_BYTES,
-        "ask_configuration other_region": 40 + LENGTH_BYTES,
-        "ask_configuration unknown": 50 + LENGTH_BYTES,
+        "work same_hall": 10 + LENGTH_PREFIX_BYTES,
+        "work same_region": 50 + 2 * LENGTH_PREFIX_BYTES,
+        "ask_configuration other_region": 40 + LENGTH_PREFIX_BYTES,
+        "ask_configuration unknown": 50 + LENGTH_PREFIX_BYTES,
     }
     assert tally.counts["peer_messages_total", "work same_region"] == 2
 
--- a/tests/relay/fleet/test_throttle.py
+++ b/tests/relay/fleet/test_throttle.py
@@ -19,7 +19,7 @@
 
 def test_what_is_asked_for_first_is_done_at_once() -> None:
     network, throttle, calls = make_throttle()
-    throttle.ask()
+    throttle.request()
     network.run(0.01)
     assert len(calls) == 1
 
@@ -27,7 +27,7 @@
 def test_what_is_asked_for_often_is_done_once_a_gap() -> None:
     network, throttle, calls = make_throttle()
     for _ in range(100):
-        throttle.ask()
+        throttle.request()
         network.run(0.01)
     network.run(GAP)
     assert 9 <= len(calls) <= 11
@@ -37,8 +37,8 @@
 def test_what_others_did_just_now_is_not_done_again_before_a_gap() -> None:
     network, throttle, calls = make_throttle()
     started = network.seconds()
-    throttle.note_done()
-    throttle.ask()
+    throttle.record_call()
+    throttle.request()
     network.run(0.5)
     assert len(calls) == 1
     assert calls[0] - started >= GAP - 1e-6
--- a/tests/relay/workspaces/test_usage_talk.py
+++ b/tests/relay/workspaces/test_usage_talk.py
@@ -25,10 +25,10 @@
 
     vm: str
     hall: str
-    adds_up: bool = True
+    is_aggregator: bool = True
     told: list[Usage] = field(default_factory=list)
 
-    def tell(self, message: Usage) -> None:
+    def send(self, message: Usage) -> None:
         self.told.append(message)
 
     def list_halls(self) -> set[str]:
@@ -63,7 +63,7 @@
 
 
 def test_sums_go_to_those_that_add_up_in_other_halls_and_to_all_of_the_own() -> None:
-    near, far, other = Peer("n", "a", adds_up=False), Peer("b1", "b"), Peer("b2", "b", adds_up=False)
+    near, far, other = Peer("n", "a", is_aggregator=False), Peer("b1", "b"), Peer("b2", "b", is_aggregator=False)
     talker = Talker(near, far, other)
     talker.wait()
     assert near.list_halls() == {"a"}
@@ -72,7 +72,7 @@
 
 
 def test_a_hall_where_nobody_adds_up_is_told_by_all_connections() -> None:
-    far, one, two = Peer("b1", "b"), Peer("c1", "c", adds_up=False), Peer("c2", "c", adds_up=False)
+    far, one, two = Peer("b1", "b"), Peer("c1", "c", is_aggregator=False), Peer("c2", "c", is_aggregator=False)
     talker = Talker(far, one, two)
     talker.wait()
     assert one.list_halls() == two.list_halls() == {"a"}
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -61,7 +61,7 @@
         return self.there.hall
 
     @property
-    def adds_up(self) -> bool:
+    def is_aggregator(self) -> bool:
         return self.there.adds_up
 
     @property
@@ -71,7 +71,7 @@
             return self.here.adds_up and self.there.adds_up and self.here.place == self.there.place
         return self.hall != self.here.hall or self.here.adds_up or self.there.adds_up
 
-    def tell(self, message: Usage) -> None:
+    def send(self, message: Usage) -> None:
         assert self.other is not None
         self.fleet.sent += 1
         self.fleet.clock.callLater(DELAY, self._arrive, self.other, self.here.life, self.there.life, message)
