--- a/src/beamhatch/relay/fleet/__init__.py
+++ b/src/beamhatch/relay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The other VMs: who is there, what is told, and who reads from the store."""
+"""Fleet membership, gossip between VMs, and watching the store."""
--- a/src/beamhatch/relay/fleet/departure_gossip.py
+++ b/src/beamhatch/relay/fleet/departure_gossip.py
@@ -1,7 +1,7 @@
-"""Tell peers which upstreams said in an answer that they leave.
+"""Exchange departures that upstreams announced in their responses.
 
-Each life is told once on a connection, and by who hears of it on all its own, so VMs that the store does not answer, or
-that are met behind a cut or a restart, know what any VM heard. What the store tells itself is not told.
+Each departure is sent once per connection and forwarded by its receivers, so that it reaches VMs that cannot read it
+from the store. Departures that the store lists itself are not sent.
 """
 
 from __future__ import annotations
@@ -18,43 +18,40 @@
     from beamhatch.relay.upstreams.announcements import Announcements
 
 FIRST_SEND_DELAY_S = 0.2
-"""Seconds in which the store may tell of it before peers are told: it does so in 0.01 s where it answers.
-
-So on a day on which it does nothing is told at all.
-"""
+"""Seconds from an upstream's announcement until peers are sent it, unless the store lists it before."""
 
 FORWARD_DELAY_S = 0.02
-"""Seconds in which what several peers tell is put into one message."""
+"""Seconds for which departures received from peers are collected before they are forwarded."""
 
 
 class DepartureGossip:
-    """What one VM says and hears of upstreams that leave."""
+    """One VM's exchange of departures with its peers."""
 
     def __init__(self, clock: Clock, announcements: Announcements) -> None:
         self._clock = clock
         self._announcements = announcements
         self._due = float("inf")
         self.list_connections: Callable[[], Iterable[PeerConnection]] = list
-        """Returns the connections to peers that are up."""
+        """Returns the established connections to peers."""
 
     def send_soon(self) -> None:
-        """Tell peers of what an upstream said to this VM, unless the store does before."""
+        """Schedule sending a departure that an upstream announced to this VM."""
         self._schedule_send(FIRST_SEND_DELAY_S)
 
     def send_pending(self, connection: PeerConnection) -> None:
-        """Tell a peer that was met what it may not know."""
-        told = connection.sent.departures
-        news = [life for life in self._announcements.list_untold()[-MAX_DEPARTURES:] if life not in told]
-        if news:
-            told.update(news)
-            connection.send(DepartureUpdate(news))
+        """Send a peer the departures that were neither sent to it nor received from it."""
+        sent = connection.sent.departures
+        pending = [life for life in self._announcements.list_untold()[-MAX_DEPARTURES:] if life not in sent]
+        if pending:
+            sent.update(pending)
+            connection.send(DepartureUpdate(pending))
 
     def handle_update(self, connection: PeerConnection, message: DepartureUpdate) -> None:
-        """Take in what a peer tells, and hand on what is news."""
+        """Apply a peer's departures and schedule forwarding the new ones."""
         lives = message.lives[:MAX_DEPARTURES]
         connection.sent.departures.update(lives)
-        news = [life for life in lives if self._announcements.take_departure(life, f"peer {connection.vm}")]
-        if news:
+        new = [life for life in lives if self._announcements.take_departure(life, f"peer {connection.vm}")]
+        if new:
             self._schedule_send(FORWARD_DELAY_S)
 
     def _schedule_send(self, seconds: float) -> None:
@@ -65,7 +62,7 @@
 
     def _send(self, due: float) -> None:
         if due != self._due:
-            return  # it was told before
+            return  # an earlier send replaced this one
         self._due = float("inf")
         for connection in self.list_connections():
             self.send_pending(connection)
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -1,7 +1,7 @@
-"""The evacuations aggregate: which halls the operators have emptied, as told by the store and by peers.
+"""The halls that the operators have evacuated, as reported by the store and by peers.
 
-Each evacuation carries the store's revision at which it began or ended. Whoever tells it, the higher revision wins, so
-the order in which news arrive does not matter, and no belief goes back.
+Each report carries the store's revision at which the evacuation began or ended. The highest revision wins, so reports
+may arrive in any order and from any source.
 """
 
 from __future__ import annotations
@@ -19,57 +19,58 @@
     from beamhatch.relay.model import Upstream
 
 MAX_UNPLACED_HALLS = 64
-"""Halls that the settings don't place of which news are kept: their names are the store's, and may be anything."""
+"""Maximum number of evacuations kept for halls that are not in the settings, whose names are unchecked."""
 
 NEVER = float("-inf")
 
 
 class Evacuation(msgspec.Struct, frozen=True, array_like=True):
-    """The newest news of one hall."""
+    """The start or end of a hall's evacuation."""
 
     hall: str
     revision: int
     active: bool
-    """False once the hall was taken back."""
+    """False if the evacuation has ended."""
 
 
 @dataclass(slots=True)
 class Evacuations:
-    """All halls of which there are news."""
+    """The evacuations that this VM knows of."""
 
     places: Places = field(default_factory=Places)
     complete: bool = False
-    """True once the whole of what the store has was taken in, read by this VM or by a peer."""
+    """True once a full snapshot of the store's evacuations was applied, read by this VM or by a peer."""
     as_of: int = 0
-    """The revision up to which all evacuations are known: a hall that is not known as emptied was not by then.
+    """The revision up to which all evacuations are known.
 
-    So a peer that is behind revives no evacuation that has ended, and ended ones need not be remembered.
+    Unknown halls were not evacuated at this revision, so ended evacuations up to it need not be kept, and reports from
+    an outdated peer do not restart them.
     """
     latest_end_at: float = NEVER
-    """When a hall was last taken back, in monotonic seconds of this VM."""
+    """When an evacuation last ended, in monotonic seconds of this VM."""
     has_overflowed: bool = False
-    """True where news of an emptied hall could not be kept: what is known is not all, and not told as such."""
+    """True if an evacuation was discarded for lack of room, so that the known ones are incomplete."""
     _known: dict[str, Evacuation] = field(default_factory=dict)
     _ended_at: dict[str, float] = field(default_factory=dict)
 
-    def apply(self, news: Evacuation, now: float) -> bool:
-        """Take in news of one hall; return whether they changed what is believed."""
-        known = self._known.get(news.hall)
-        if news.revision <= (self.as_of if known is None else known.revision):
+    def apply(self, update: Evacuation, now: float) -> bool:
+        """Apply a report on one hall; return whether the hall's state changed."""
+        known = self._known.get(update.hall)
+        if update.revision <= (self.as_of if known is None else known.revision):
             return False
-        if known is None and not self._has_room(news.hall):
-            self.has_overflowed = self.has_overflowed or news.active
+        if known is None and not self._has_room(update.hall):
+            self.has_overflowed = self.has_overflowed or update.active
             return False
-        self._known[news.hall] = news
-        was_emptied = known is not None and known.active
-        if was_emptied and not news.active:
-            self._record_end(news.hall, now)
-        return was_emptied is not news.active
-
-    def apply_snapshot(self, emptied: Iterable[Evacuation], revision: int, now: float) -> list[Evacuation]:
-        """Take in all halls that are emptied as of a revision; others no longer are. Return the news."""
-        listed = list(emptied)
-        halls = {news.hall for news in listed}
+        self._known[update.hall] = update
+        was_active = known is not None and known.active
+        if was_active and not update.active:
+            self._record_end(update.hall, now)
+        return was_active is not update.active
+
+    def apply_snapshot(self, evacuated: Iterable[Evacuation], revision: int, now: float) -> list[Evacuation]:
+        """Apply the full list of evacuated halls as of a revision, which ends all others; return the changes."""
+        listed = list(evacuated)
+        halls = {update.hall for update in listed}
         ended = [
             Evacuation(known.hall, revision, False)
             for known in self._known.values()
@@ -77,40 +78,40 @@
         ]
         self.complete = True
         self.has_overflowed = False
-        changed = [news for news in [*listed, *ended] if self.apply(news, now)]
+        changed = [update for update in [*listed, *ended] if self.apply(update, now)]
         self.record_known_up_to(revision)
         return changed
 
     def record_known_up_to(self, revision: int) -> None:
-        """Note that all news up to a revision were taken in; ended evacuations up to it are forgotten."""
+        """Record that all reports up to a revision were applied, and drop evacuations that ended by then."""
         self.as_of = max(self.as_of, revision)
         old = [one.hall for one in self._known.values() if not one.active and one.revision <= self.as_of]
         for hall in old:
             del self._known[hall]
 
     def is_evacuated(self, hall: str) -> bool:
-        """Tell whether nothing new is to go to a hall."""
+        """Return whether a hall is evacuated, so that no new requests may be sent to it."""
         known = self._known.get(hall)
         return known is not None and known.active
 
     def exclude_evacuated(self, upstreams: Iterable[Upstream]) -> list[Upstream]:
-        """Return those of some upstreams that are in no emptied hall."""
+        """Return the given upstreams without those in evacuated halls."""
         return [one for one in upstreams if not self.is_evacuated(one.hall)]
 
     def get_end_time(self, hall: str) -> float:
-        """Return when a hall was taken back, in monotonic seconds of this VM."""
+        """Return when a hall's evacuation last ended, in monotonic seconds of this VM, or ``NEVER``."""
         return self._ended_at.get(hall, NEVER)
 
     def list_evacuated(self) -> list[str]:
-        """Return the halls that are emptied."""
+        """Return the evacuated halls."""
         return [known.hall for known in self._known.values() if known.active]
 
     def list_updates(self) -> list[Evacuation]:
-        """Return the newest news of each hall that is emptied, or whose end is newer than what is known as a whole."""
+        """Return the evacuations in progress and those that ended after the revision ``as_of``."""
         return list(self._known.values())
 
     def _has_room(self, hall: str) -> bool:
-        """Tell whether news of one more hall can be kept; those that the settings place always are."""
+        """Return whether a report on one more hall can be kept; there is always room for halls in the settings."""
         placed = self.places.regions
         return hall in placed or sum(one not in placed for one in self._known) < MAX_UNPLACED_HALLS
 
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -1,8 +1,7 @@
-"""Talk with a few other VMs, so that those which do not read from the store learn what the others know.
+"""Exchange state with a bounded number of peers, so that VMs which do not read from the store receive it too.
 
-Each VM keeps connections to a bounded number of peers, tells them twice a second which configuration and which listing
-it has, and asks for what it lacks. What is told was read from the store by somebody, and only ever replaces something
-older.
+Each VM sends the versions of its configuration and listing in heartbeats and requests newer ones from its peers. Older
+state never replaces newer state.
 """
 
 from __future__ import annotations
@@ -52,60 +51,55 @@
     from beamhatch.relay.workspaces.usage_talk import UsageTalk
 
 HEARTBEAT_INTERVAL_S = 0.5
-"""Seconds between two beats: a peer that misses three counts as silent."""
+"""Seconds between two regular heartbeats."""
 
 MIN_HEARTBEAT_INTERVAL_S = 0.03
-"""Seconds between two beats to all peers, however much changes."""
+"""Minimum seconds between a heartbeat and the next one that is sent early because of a change."""
 
 MIN_BACKLOG_INTERVAL_S = 0.08
-"""Seconds between two words on what engines have to read: less than one prompt takes."""
+"""Minimum seconds between two messages on the prefill backlog."""
 
 PEER_TIMEOUT_S = 1.8
-"""Seconds without a beat after which a connection is taken as dead, and made anew."""
+"""Seconds without a message after which a connection is closed."""
 
 STORE_GRACE_S = 0.2
-"""Seconds for which a VM that watches the store waits for it to tell what a peer has already."""
+"""Seconds for which a store watcher waits for the store to send what a peer already has."""
 
 EARLY_DIAL_DELAYS_S = 0.15, 0.3
-"""Seconds behind the start at which peers that refused are dialled again: VMs that start together listen by then."""
+"""Seconds after the start at which peers are dialled again: those that started at the same time listen by then."""
 
 CONNECT_TIMEOUT_S = 0.5
-"""Seconds for a connection to a peer: 100 round trips between halls."""
+"""Seconds within which a connection to a peer must be established."""
 
 MIN_HELLO_INTERVAL_S = 0.5
-"""Seconds between the first two words on who is known; each pause is twice the last."""
+"""Seconds before the first periodic hello; the interval doubles each time."""
 
 MAX_HELLO_INTERVAL_S = 10.0
-"""Seconds between two times that peers are told who is known; at the start it is told more often."""
+"""Upper bound of the interval between two hellos."""
 
 STARTUP_DELAY_S = 1.0
-"""Seconds behind the start in which a VM does not yet know the others, and so watches nothing for them.
+"""Seconds after the start in which a VM that may have peers does not watch the store.
 
-Without it, each VM of a fleet that starts takes itself for a watcher: 60 VMs that started anew made 535 calls to the
-store in 3 s instead of 47 (counted on stand-ins).
+It does not know the other members yet, so each VM of a starting fleet would consider itself a watcher.
 """
 
 MAX_REPEATED_MENTIONS = 8
-"""VMs that a peer in another hall is told of again each time, drawn at random, beside those that are new to it.
-
-All VMs of a hall tell several peers each in other halls every 10 s: of 24 VMs in each of three halls, each is mentioned
-to each other hall every 2 s, of which VMs need to hear every 60 s.
-"""
+"""VMs drawn at random that a hello to another hall mentions again, in addition to those that are new to the peer."""
 
 MIN_FAULT_SHARE = 0.2
-"""Share of faults from which on peers are told of an upstream."""
+"""Minimum share of failed requests for an upstream to be reported to peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Shortage:
-    """A peer has something newer than what this VM has."""
+    """The time at which a peer was found to have a newer version than this VM."""
 
     own_version: int
     since: float
 
 
 class Gossip(PeerHandler):
-    """The connections to other VMs, and what is said on them."""
+    """The connections to other VMs, and the handling of their messages."""
 
     def __init__(self, core: Core, documents: Documents, vm: str, membership: Membership) -> None:
         self.core = core
@@ -120,35 +114,35 @@
         self._traffic = PeerTraffic(core.tally, membership.own.hall, core.places)
         self._connections: set[PeerConnection] = set()
         self._dialled_addresses: dict[str, PeerConnection | None] = {}
-        """Addresses that this VM dialled, with the connection once it is up."""
+        """Addresses that this VM dialled, with the connection once it is established."""
         self._fleet = FleetDemand()
         self._is_aggregator = False
-        """Whether this VM adds up what its hall tells, as of the last regular beat: it takes 0.1 ms to find out."""
+        """Whether this VM aggregates the reports of its hall; cached at each regular heartbeat."""
         self._reachable_share = 1.0
-        """The part of all VMs that hear of each other and of this one; too dear to find out at each send."""
+        """Share of all VMs that are in contact with this one; cached at each regular heartbeat."""
         self._last_hello_at = 0.0
         self._hello_interval = MIN_HELLO_INTERVAL_S
         self._shortages: dict[str, _Shortage] = {}
         self._packed: tuple[int, PackedConfiguration] | None = None
-        """The configuration as it is handed on, with its version."""
+        """Version and compressed form of the configuration that was last sent."""
         self._heartbeat_throttle = Throttle(core.clock, MIN_HEARTBEAT_INTERVAL_S, self._send_changes)
         self._backlog_throttle = Throttle(core.clock, MIN_BACKLOG_INTERVAL_S, self._send_backlog)
         self._sent_backlog: dict[str, int] = {}
         self._port: Any = None
         self._stopped = False
         self.newest_version = 0
-        """The newest configuration that any peer told of."""
+        """The newest configuration version that any peer has announced."""
         self.is_store_unreachable: Callable[[], bool] = lambda: False
-        """Tells whether the store does not answer this VM."""
+        """Returns whether the store does not answer this VM."""
         self.usage: UsageTalk | None = None
-        """What is said of quotas; None where nothing is."""
+        """Exchange of quota usage; None if disabled."""
         self.departures: DepartureGossip | None = None
-        """What is said of upstreams that leave; None where nothing is."""
+        """Exchange of upstreams' departures; None if disabled."""
         self.limits: LimitTalk | None = None
-        """What is said of limits that upstreams name; None where nothing is."""
+        """Exchange of rate limits that upstreams announce; None if disabled."""
 
     def start(self) -> None:
-        """Listen, and begin to dial."""
+        """Listen for peers and start to dial them."""
         host, _, port = self.membership.own.address.rpartition(":")
         self._port = self.clock.reactor.listenTCP(int(port), PeerServerFactory(self), interface=host)
         self._tick()
@@ -168,40 +162,40 @@
             connection.transport.abortConnection()
 
     def should_watch_store(self) -> bool:
-        """Tell whether this VM is to watch the store: for its hall, or because it hears from nobody."""
+        """Return whether this VM should watch the store: on behalf of its hall, or because it has no peers."""
         if self.membership.may_have_peers and self.clock.now() < self.core.started + STARTUP_DELAY_S:
             return False
         return self.membership.is_watcher() or not self.has_peers()
 
     def is_aggregator(self) -> bool:
-        """Tell whether this VM adds up what its hall tells, and hands on to others what is for all."""
+        """Return whether this VM aggregates the reports of its hall and forwards updates to other peers."""
         return self._is_aggregator
 
     def list_connections(self) -> list[PeerConnection]:
-        """Return the connections to VMs that have said who they are."""
+        """Return the connections on which the peer has identified itself."""
         return [connection for connection in self._connections if connection.vm]
 
     def has_peers(self) -> bool:
-        """Tell whether a connection to another VM is up, which tells this one what it has."""
+        """Return whether any connected peer has identified itself."""
         return any(connection.vm for connection in self._connections)
 
     # --- connections -------------------------------------------------------------------------------------------------
 
     def add_connection(self, connection: PeerConnection) -> None:
-        """Take in a connection that came up."""
+        """Register an established connection and send the first messages on it."""
         self._connections.add(connection)
         if connection.dialled_address is not None:
             self._dialled_addresses[connection.dialled_address] = connection
             connection.hall = self.membership.get_hall(connection.dialled_address)
             self.membership.record_reachable(connection.dialled_address)
         if connection.dialled_address is None:
-            connection.send(Hello(self._vm, self.membership.own, []))  # who is known follows, once it said who it is
+            connection.send(Hello(self._vm, self.membership.own, []))  # the members follow once its hall is known
         else:
             self._send_hello(connection)
         self._send_heartbeat(connection, self._make_heartbeat())
 
     def remove_connection(self, connection: PeerConnection) -> None:
-        """Drop a connection that ended."""
+        """Forget a closed connection."""
         self._connections.discard(connection)
         if self.usage is not None:
             self.usage.forget(connection)
@@ -211,11 +205,11 @@
             self.journal.write("PEER", "lost", vm=connection.vm, connections=len(self._connections))
 
     def record_sent(self, connection: PeerConnection, message: Message, size: int) -> None:
-        """Count a message that was sent."""
+        """Count a sent message in the traffic metrics."""
         self._traffic.record_sent(message, size, connection.hall)
 
     def record_unreachable(self, address: str) -> None:
-        """Note that an address did not answer."""
+        """Record a failed connection attempt."""
         self._dialled_addresses.pop(address, None)
         self.membership.record_unreachable(address, self.clock.now())
 
@@ -256,7 +250,7 @@
         self._close_unwanted(targets)
 
     def _close_unwanted(self, targets: list[str]) -> None:
-        """Close connections to addresses that are no longer wanted, once those that are wanted are up."""
+        """Close connections to addresses that are no longer targets, once all targets are connected."""
         if any(self._dialled_addresses.get(address) is None for address in targets):
             return
         for address, connection in list(self._dialled_addresses.items()):
@@ -272,7 +266,7 @@
             self._send_hello(connection)
 
     def _send_hello(self, connection: PeerConnection) -> None:
-        """Tell a peer who is known; one in another hall, mainly who is new to it."""
+        """Send the known members; to a peer in another hall, mainly those that it was not sent yet."""
         known = (
             self._select_mentions_for(connection) if self._is_in_other_hall(connection) else self._select_all_mentions()
         )
@@ -283,34 +277,36 @@
 
     def _select_mentions_for(self, connection: PeerConnection) -> list[Mention]:
         again = MAX_REPEATED_MENTIONS if self._hello_interval == MAX_HELLO_INTERVAL_S else 0
-        news = self.membership.select_mentions(connection.sent.known_addresses, MAX_MENTIONS, again, self.clock.now())
-        connection.sent.record_known(mention.member for mention in news)
-        return news
+        mentions = self.membership.select_mentions(
+            connection.sent.known_addresses, MAX_MENTIONS, again, self.clock.now()
+        )
+        connection.sent.record_known(mention.member for mention in mentions)
+        return mentions
 
     def _is_in_other_hall(self, connection: PeerConnection) -> bool:
-        """Tell whether a peer is in another hall, or has not said yet where it is."""
+        """Return whether a peer is in another hall or its hall is not known yet."""
         return connection.hall != self.membership.own.hall
 
     def send_heartbeats_soon(self) -> None:
-        """Tell all peers what this VM has, as it has just changed."""
+        """Schedule a heartbeat to all peers after a change of this VM's state."""
         self._heartbeat_throttle.request()
 
     def send_backlog_soon(self) -> None:
-        """Tell all peers what engines have still to read for this VM, as it has changed."""
+        """Schedule a message to all peers after a change of this VM's prefill backlog."""
         self._backlog_throttle.request()
 
     def _send_backlog(self) -> None:
-        reading = self.core.standings.list_reading()
-        if reading == self._sent_backlog or self._stopped:
+        backlog = self.core.standings.list_reading()
+        if backlog == self._sent_backlog or self._stopped:
             return
-        self._sent_backlog = reading
+        self._sent_backlog = backlog
         for connection in list(self._connections):
             if not self._is_in_other_hall(connection):
-                connection.send(PrefillBacklog(reading))
+                connection.send(PrefillBacklog(backlog))
                 continue
-            news = connection.sent.select_backlog(self._select_backlog_in(connection.hall, reading))
-            if news is not None:
-                connection.send(PrefillBacklog(news))
+            changes = connection.sent.select_backlog(self._select_backlog_in(connection.hall, backlog))
+            if changes is not None:
+                connection.send(PrefillBacklog(changes))
 
     def _send_changes(self) -> None:
         if not self._stopped:
@@ -318,52 +314,54 @@
             self._send_heartbeats(regular=False)
 
     def _send_heartbeats(self, *, regular: bool) -> None:
-        """Tell all peers what this VM has; those in other halls, only what is news to them.
+        """Send a heartbeat to all peers; to those in other halls, only what changed.
 
-        :param regular: whether they are given a sign of life where there are no news
+        :param regular: whether peers in other halls are sent an empty heartbeat if nothing changed
         """
-        beat = self._make_heartbeat(self.core.paces.take_untold())
+        heartbeat = self._make_heartbeat(self.core.paces.take_untold())
         for connection in list(self._connections):
-            self._send_heartbeat(connection, beat, regular=regular)
+            self._send_heartbeat(connection, heartbeat, regular=regular)
 
-    def _send_heartbeat(self, connection: PeerConnection, beat: Heartbeat, *, regular: bool = True) -> None:
+    def _send_heartbeat(self, connection: PeerConnection, heartbeat: Heartbeat, *, regular: bool = True) -> None:
         if not self._is_in_other_hall(connection):
-            connection.send(beat)
+            connection.send(heartbeat)
             return
-        here = msgspec.structs.replace(beat, reading=self._select_backlog_in(connection.hall, beat.reading or {}))
-        news = connection.sent.select_changes(here, self.clock.now())
-        if not connection.hall:  # it may be of this hall
-            news = msgspec.structs.replace(news, turned_away=beat.turned_away)
-        if regular or news != EMPTY_HEARTBEAT:
-            connection.send(news)
+        adapted = msgspec.structs.replace(
+            heartbeat, reading=self._select_backlog_in(connection.hall, heartbeat.reading or {})
+        )
+        changes = connection.sent.select_changes(adapted, self.clock.now())
+        if not connection.hall:  # the peer may be in this hall, where this field matters
+            changes = msgspec.structs.replace(changes, turned_away=heartbeat.turned_away)
+        if regular or changes != EMPTY_HEARTBEAT:
+            connection.send(changes)
 
     def _select_backlog_in(self, hall: str, reading: dict[str, int]) -> dict[str, int]:
-        """Return what the engines of a hall have to read for this VM: peers there mostly send to these."""
+        """Return the part of the prefill backlog that is on the engines of a hall."""
         return {name: tokens for name, tokens in reading.items() if self._get_hall_of(name) == hall}
 
     def _get_hall_of(self, upstream: str) -> str:
         found = self.core.listing.find(UpstreamId(upstream))
         return "" if found is None else found.hall
 
-    # --- what is known of the others ---------------------------------------------------------------------------------
+    # --- fleet-wide figures ------------------------------------------------------------------------------------------
 
     def compute_pressure(self, service: Service) -> Pressure:
-        """Return what all VMs ask of a service, worked out from those that were heard of late."""
+        """Return the estimated demand of all VMs for a service, extrapolated from recent reports."""
         assert service.engine is not None
         own = self.core.report_demand(service.name)
         now = self.clock.now()
         return self._fleet.find_pressure(service.name, service.engine, own, self.membership.size, now)
 
     def get_reachable_share(self) -> float:
-        """Return the part of all VMs that hear of each other and of this one, as of the last regular beat."""
+        """Return the share of all VMs that are in contact with this one, as of the last regular heartbeat."""
         return self._reachable_share
 
     # --- messages ----------------------------------------------------------------------------------------------------
 
     def handle_message(self, connection: PeerConnection, message: Message) -> None:
-        """Take in one message.
+        """Apply a message from a peer or answer it.
 
-        :raises MessageError: where it can't be read
+        :raises MessageError: if a configuration cannot be unpacked
         """
         match message:
             case Hello():
@@ -380,7 +378,7 @@
                 self._handle_upstream_message(connection, message)
 
     def _handle_upstream_message(self, connection: PeerConnection, message: Message) -> None:
-        """Take in what is said of single upstreams, and of requests that end them."""
+        """Handle messages on single upstreams and on requests that crash them; pass on any other."""
         match message:
             case QuarantineUpdate():
                 self.core.quarantine_talk.take(connection, message)
@@ -394,7 +392,7 @@
                 self._handle_store_message(connection, message)
 
     def _handle_store_message(self, connection: PeerConnection, message: Message) -> None:
-        """Take in what is said of the configuration and the listing themselves."""
+        """Handle messages that carry or request the configuration or the listing."""
         match message:
             case ConfigurationRequest():
                 self._send_configuration(connection)
@@ -408,8 +406,8 @@
                     entries = self.core.listing.list_since(message.after, self.clock.now())
                     connection.send(ListingPart(message.after, self.core.listing.newest, entries))
             case ListingPart():
-                news = ListingNews(message.entries, message.revision)
-                self.core.take_listing(news, f"peer {connection.vm}", whole=message.after == 0)
+                update = ListingNews(message.entries, message.revision)
+                self.core.take_listing(update, f"peer {connection.vm}", whole=message.after == 0)
 
     def _send_configuration(self, connection: PeerConnection) -> None:
         document = self.core.document
@@ -444,11 +442,11 @@
 
     def _handle_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
         now = self.clock.now()
-        heard = connection.received
-        heard.apply(message)
+        received = connection.received
+        received.apply(message)
         if connection.vm:
-            self._fleet.record(connection.vm, heard.demands, now)
-            self.core.take_paces(heard.demands)
+            self._fleet.record(connection.vm, received.demands, now)
+            self.core.take_paces(received.demands)
             for reading in message.readings:
                 self.core.paces.note_told(reading)
         if connection.hall == self.membership.own.hall:
@@ -460,13 +458,13 @@
         self._apply_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
-                connection.sent.reset_evacuations()  # a peer that is behind may believe one that has ended
+                connection.sent.reset_evacuations()  # an outdated peer may still hold an evacuation that has ended
             source = f"peer {connection.vm}"
             self.core.take_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, whole=True)
-        self.newest_version = max(self.newest_version, heard.version)
-        if self._should_request("configuration", self.core.version, heard.version):
+        self.newest_version = max(self.newest_version, received.version)
+        if self._should_request("configuration", self.core.version, received.version):
             connection.send(ConfigurationRequest())
-        if self._should_request("listing", self.core.revision, heard.revision):
+        if self._should_request("listing", self.core.revision, received.revision):
             connection.send(ListingRequest(self.core.revision))
 
     def _apply_backlog(self, connection: PeerConnection) -> None:
@@ -474,11 +472,11 @@
             self.core.work.record(connection.vm, connection.received.prefill_backlog, self.clock.now())
 
     def _apply_changes(self, connection: PeerConnection, message: Heartbeat) -> None:
-        for upstream, news in message.changing.items():
-            self.core.take_change(UpstreamId(upstream), news, f"peer {connection.vm}")
+        for upstream, change in message.changing.items():
+            self.core.take_change(UpstreamId(upstream), change, f"peer {connection.vm}")
 
     def _should_request(self, what: str, own: int, theirs: int) -> bool:
-        """Tell whether to ask for something newer: at once, unless the store should tell it at any moment."""
+        """Return whether to request a newer version now; a watcher first waits for the store to send it."""
         if theirs <= own:
             return False
         now = self.clock.now()
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -1,4 +1,4 @@
-"""What the VMs tell each other. On the wire: a length of four bytes, then msgpack."""
+"""Messages between VMs. Each is encoded as msgpack behind a length prefix of four bytes."""
 
 from __future__ import annotations
 
@@ -18,47 +18,47 @@
 from beamhatch.relay.workspaces.usage import HallUsage, RatesByWorkspace
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
-"""Bytes of one message at the most: a packed configuration of the size to design for has 0.2 MB."""
+"""Maximum size of an encoded message."""
 
 MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
-"""Bytes of an unpacked configuration at the most: 20 times the size to design for."""
+"""Maximum size of a decompressed configuration."""
 
 MAX_MENTIONS = 64
-"""Other VMs in one message at the most."""
+"""Maximum number of members mentioned in one message."""
 
 MAX_DEPARTURES = 256
-"""Upstreams that leave which one message names at the most: 7 KB."""
+"""Maximum number of departures in one message."""
 
 MAX_LIMITS = 256
-"""Limits, and counts of requests, that one message has at the most: 10 KB each."""
+"""Maximum number of limits, and of request counts, in one message."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest: documents repeat themselves so much that more gains little."""
+"""The fastest zlib level; documents are repetitive enough to compress well with it."""
 
 
 class DemandReport(msgspec.Struct, array_like=True, frozen=True):
-    """What one VM's streams ask of a service with engines."""
+    """One VM's demand for a service with engines, and the engine speeds that it observed."""
 
     prompt_rate: float = 0.0
-    """Prompt tokens a second."""
+    """Prompt tokens per second."""
     wait_rate: float = 0.0
-    """Requests a second that find decode memory full."""
+    """Requests per second that find decode memory full."""
     mean_prompt_tokens: float = 0.0
-    """Tokens of a prompt in the mean."""
+    """Mean tokens per prompt."""
     mean_answer_tokens: float = 0.0
-    """Tokens of an answer in the mean."""
+    """Mean tokens per answer."""
     mean_residence_s: float = 0.0
-    """Seconds for which a stream holds decode memory in the mean."""
+    """Mean seconds for which a stream holds decode memory."""
     prefill_rate: float = 0.0
-    """Prompt tokens a second that a prefill engine was seen to read; 0 where too little was seen."""
+    """Prompt tokens per second that a prefill engine processes; 0 if not known."""
     prefill_overhead_s: float = 0.0
-    """Seconds that a call takes there beside the reading."""
+    """Seconds that a prefill call takes in addition to processing the prompt."""
     decode_prefill_rate: float = 0.0
-    """Prompt tokens a second that a decode engine was seen to read; 0 where too little was seen."""
+    """Prompt tokens per second that a decode engine processes; 0 if not known."""
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """First message on a connection, both ways, and again every few seconds."""
+    """The first message on a connection in each direction, repeated periodically."""
 
     vm: str
     member: Member
@@ -66,91 +66,91 @@
 
 
 class Heartbeat(msgspec.Struct, tag="beat", frozen=True, omit_defaults=True):
-    """What the sender has. What is left out is as it was told on this connection before."""
+    """The sender's state. Omitted fields are unchanged since the last heartbeat on the connection."""
 
     version: int | None = None
-    """Of the configuration in force; 0 where none is."""
+    """Version of the configuration in force; 0 if there is none."""
     revision: int | None = None
-    """Of the newest entry of its listing; 0 where it has no whole listing."""
+    """Revision of the newest entry of the sender's listing; 0 if its listing is incomplete."""
     demands: dict[str, DemandReport] = {}
-    """By service."""
+    """Demand by service."""
     faulty: dict[str, float] = {}
-    """Upstreams that failed the sender's requests of late, with the share that they failed."""
+    """Share of the sender's recent requests that failed, by upstream."""
     changing: dict[str, ChangeNews] = {}
-    """Engines that were ordered to play another part."""
+    """Engines that were ordered to change their phase."""
     reading: dict[str, int] | None = None
-    """Tokens of the sender's prompts that engines have still to read; to another hall, that hall's engines only."""
+    """Prompt tokens of the sender that are yet to be processed, by engine; to another hall, only for its engines."""
     readings: list[Reading] = []
-    """Prompts that engines read for the sender since its last beat."""
+    """Prompts that engines processed for the sender since its last heartbeat."""
     evacuations: list[Evacuation] | None = None
-    """Which halls are emptied, or were; None where the sender does not know."""
+    """Evacuations that are in progress or have ended; None if the sender's list is incomplete."""
     evacuations_as_of: int = 0
-    """The revision up to which it knows them all."""
+    """The revision up to which the sender knows all evacuations."""
     turned_away: bool = False
-    """True where the store has not answered the sender's watches for some time."""
+    """Whether the sender considers the store unreachable."""
     adds_up: bool | None = None
-    """Whether the sender adds up what its hall tells."""
+    """Whether the sender aggregates the reports of its hall."""
 
 
 class PrefillBacklog(msgspec.Struct, tag="work", frozen=True):
-    """A part of a beat that changes often."""
+    """The prefill backlog alone, which changes more often than the rest of a heartbeat."""
 
     reading: dict[str, int]
 
 
 class Usage(msgspec.Struct, tag="usage", frozen=True, omit_defaults=True):
-    """How fast workspaces use their quotas."""
+    """The rates at which workspaces use their quotas."""
 
     own: RatesByWorkspace | None = None
-    """By the sender's own callers; None where the receiver has no use for it."""
+    """Usage by the sender's own callers; None if the receiver does not need it."""
     halls: list[HallUsage] = []
-    """The newest sums that the sender knows and the receiver may not."""
+    """Sums per hall that the receiver may not have."""
     direct: list[str] | None = None
-    """Halls whose sums the sender has from VMs there; None where that is as it was told before."""
+    """Halls whose sums the sender receives from VMs there; None if unchanged."""
 
 
 class QuarantineUpdate(msgspec.Struct, tag="quarantine", frozen=True):
-    """What the sender knows, and the receiver may not, of requests that end upstreams."""
+    """What the receiver may not know of requests that crash upstreams."""
 
     ends: list[EndNews]
-    """Ends of upstreams, with runs that broke there."""
+    """Crashes of upstreams, with the runs that were interrupted."""
     cleared: list[ClearNews]
-    """Requests that came to a good end."""
+    """Requests that completed without a crash."""
     holds: list[HoldNews]
-    """Requests whose quarantine the store keeps."""
+    """Requests in quarantine that is stored."""
 
 
 class DepartureUpdate(msgspec.Struct, tag="departures", frozen=True):
-    """Which upstreams said in an answer that they leave, and the store does not tell of yet."""
+    """Upstreams that announced their departure in a response and are not yet listed as departing by the store."""
 
     lives: list[Life]
 
 
 class LimitUpdate(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
-    """Which limits upstreams name, and what was sent to these."""
+    """Rate limits that upstreams announced, and counts of the requests sent to them."""
 
     words: list[LimitWord] = []
     spent: list[Spent] = []
 
 
 class ConfigurationRequest(msgspec.Struct, tag="ask_configuration", frozen=True):
-    """The sender wants the receiver's configuration."""
+    """A request for the receiver's configuration."""
 
 
 class PackedConfiguration(msgspec.Struct, tag="configuration", frozen=True):
-    """A configuration as the operators wrote it, compressed."""
+    """A configuration as the operators wrote it, compressed with zlib."""
 
     packed: bytes
 
 
 class ListingRequest(msgspec.Struct, tag="ask_listing", frozen=True):
-    """The sender wants the news behind a revision."""
+    """A request for the listing entries that changed after a revision."""
 
     after: int
 
 
 class ListingPart(msgspec.Struct, tag="listing", frozen=True):
-    """News of upstreams; whole where ``after`` is 0."""
+    """Listing entries that changed after a revision; the whole listing if ``after`` is 0."""
 
     after: int
     revision: int
@@ -176,18 +176,18 @@
 
 
 class MessageError(ValueError):
-    """A message that can't be read."""
+    """A message that cannot be decoded."""
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Encode a message as msgpack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message in some bytes.
+    """Decode a message.
 
-    :raises MessageError: where it is none
+    :raises MessageError: if the data is not a valid message
     """
     try:
         return _decoder.decode(data)
@@ -196,14 +196,14 @@
 
 
 def pack_document(raw: bytes) -> PackedConfiguration:
-    """Return the message that hands a document on."""
+    """Compress a document into a message."""
     return PackedConfiguration(zlib.compress(raw, COMPRESSION_LEVEL))
 
 
 def unpack_document(message: PackedConfiguration) -> bytes:
-    """Return the document that a message hands on.
+    """Decompress the document in a message.
 
-    :raises MessageError: where it can't be unpacked, or is too long
+    :raises MessageError: if it cannot be decompressed, or is too long
     """
     unpacker = zlib.decompressobj()
     try:
--- a/src/beamhatch/relay/fleet/membership.py
+++ b/src/beamhatch/relay/fleet/membership.py
@@ -1,8 +1,7 @@
-"""Which VMs there are: who is thought to be alive, whom this VM keeps a connection to, and who reads from the store.
+"""Fleet membership: which VMs are alive, which peers this VM connects to, and which VMs watch the store.
 
-Members tell each other whom they know, and how long ago each was last heard of. A few members of each hall, the same by
-every member's reckoning, watch the store; the others keep a connection to them, and learn from them. So what a VM costs
-the store and its peers does not grow with the fleet.
+Members send each other the members that they know, with the time since each was last seen. All members rank the VMs of
+a hall alike; the highest-ranked ones watch the store, and the others connect to them.
 """
 
 from __future__ import annotations
@@ -21,108 +20,107 @@
     from collections.abc import Collection
 
 WATCHERS_PER_HALL = 2
-"""Members of each hall that watch the store."""
+"""Number of members of each hall that watch the store."""
 
 STANDBY_WATCHERS_PER_HALL = 2
-"""Members of a hall that watch in place of its watchers where the store turns all of these away.
+"""Number of further members of a hall that watch if none of its watchers can reach the store.
 
-No more than these, so that a store that is down for all is asked by twice as many at the most.
+The number is bounded to limit the load on a store that is unreachable for all.
 """
 
 EXTRA_PEERS = 2
-"""Members beside the watchers of its own hall that a VM keeps a connection to, in other halls where there are any."""
+"""Number of peers that a VM connects to besides its hall's watchers, in other halls if there are any."""
 
 MEMBER_TTL_S = 60.0
-"""Seconds without a sign after which a VM is no longer counted."""
+"""Seconds after which a VM that was not seen is no longer a member."""
 
 ADDRESS_RETENTION_S = 300.0
-"""Seconds without a sign for which it is remembered that there was a VM: longer than halls are cut off.
+"""Seconds for which the address of a VM that was not seen is kept.
 
-Parts of a fleet that forget each other each take themselves for the whole of it.
+It must outlast a network partition, or each part of the fleet would consider itself the whole.
 """
 
 QUICK_RETRY_DELAYS_S = 0.2, 0.4
-"""Seconds before an address that did not answer is dialled again the first two times.
+"""Seconds before the first retries of an address that did not answer.
 
-VMs that start together refuse each other for a moment. With 2 s, 195 VMs that lost power together heard of nobody for
-0.5 s, and each read everything from the store.
+They are short because VMs that start at the same time refuse each other's first connections.
 """
 
 FIRST_RETRY_DELAY_S = 2.0
-"""Seconds before it is dialled again from then on; each pause is twice the last."""
+"""Seconds before the retry that follows the quick ones; the delay doubles with each failure."""
 
 MAX_RETRY_DELAY_S = 16.0
-"""Seconds for which an address that did not answer is not dialled again."""
+"""Upper bound of the delay before a retry, without jitter."""
 
 
 HALL_TIMEOUT_S = 25.0
-"""Seconds without a sign of any VM of a hall after which it is taken as out of touch with this one.
+"""Seconds after which a hall none of whose VMs was seen counts as out of contact.
 
-VMs are told of each other every 10 s, and from hall to hall by one more VM.
+It spans two hello intervals, as news of a hall may pass through another VM.
 """
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One VM, as the VMs tell each other of it."""
+    """A VM, as described in messages between VMs."""
 
     address: str
-    """Where it listens for peers, ``HOST:PORT``."""
+    """Where the VM listens for peers, ``HOST:PORT``."""
     hall: str
     link_mbps: float = 0.0
-    """Mbit/s of its link: the stronger members watch for the others."""
+    """Speed of the VM's network link in Mbit/s; faster members rank higher."""
 
 
 class Mention(msgspec.Struct, frozen=True, array_like=True):
-    """A VM that another one knows of."""
+    """A member that the sender of a message knows."""
 
     member: Member
     age: float
-    """Seconds since somebody last heard from it."""
+    """Seconds since any VM last heard from it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Known:
     member: Member
     last_seen_at: float
-    """When anybody last heard from it."""
+    """When any VM last heard from it."""
 
 
 @dataclass(slots=True)
 class _Unreachable:
     retry_at: float
-    """When it may be dialled again."""
+    """When the address may be dialled again."""
     delay: float
     failures: int = 1
-    """How often in a row it did not answer."""
+    """Consecutive failed attempts."""
 
 
 @dataclass(slots=True)
 class Membership:
-    """The VMs that one VM knows of."""
+    """The members of the fleet that one VM knows."""
 
     own: Member
     seeds: list[str] = field(default_factory=list)
-    """Addresses from the settings; they may be out of date."""
+    """Peer addresses from the settings, which may be outdated."""
     _known: dict[str, _Known] = field(default_factory=dict)
     _unreachable: dict[str, _Unreachable] = field(default_factory=dict)
-    """Addresses that did not answer when they were last dialled."""
+    """Addresses whose last connection failed."""
     _last_seen_at: dict[str, float] = field(default_factory=dict)
-    """When anybody last heard from each address, also of VMs that are no longer counted."""
+    """When any VM last heard from each address, including those that are no longer members."""
     _without_store: set[str] = field(default_factory=set)
-    """Addresses of members that say that the store does not answer them."""
+    """Addresses of members that reported the store as unreachable."""
 
     @property
     def size(self) -> int:
-        """Return how many VMs there are, this one among them."""
+        """Return the number of members, including this VM."""
         return 1 + len(self._known)
 
     @property
     def may_have_peers(self) -> bool:
-        """Tell whether there are VMs to learn from, or the settings name some."""
+        """Return whether any other member or seed is known."""
         return bool(self._known) or any(seed != self.own.address for seed in self.seeds)
 
     def record_alive(self, member: Member, age: float, now: float) -> None:
-        """Take in that a VM was alive some seconds ago."""
+        """Record that a VM was alive ``age`` seconds ago."""
         if member.address == self.own.address or age > MEMBER_TTL_S:
             return
         before = self._known.get(member.address)
@@ -131,16 +129,16 @@
         self._last_seen_at[member.address] = max(heard_at, self._last_seen_at.get(member.address, heard_at))
 
     def get_hall(self, address: str) -> str:
-        """Return the hall of a VM, empty where it is not known."""
+        """Return the hall of a member, or an empty string if it is unknown."""
         known = self._known.get(address)
         return "" if known is None else known.member.hall
 
     def record_reachable(self, address: str) -> None:
-        """Note that an address answered."""
+        """Record that an address answered."""
         self._unreachable.pop(address, None)
 
     def record_unreachable(self, address: str, now: float) -> None:
-        """Note that an address did not answer: it is taken as dead until it does."""
+        """Record that an address did not answer; it counts as dead until it does."""
         known = self._unreachable.get(address)
         tries = 1 if known is None else known.failures + 1
         if known is None or tries <= len(QUICK_RETRY_DELAYS_S):
@@ -150,14 +148,14 @@
         self._unreachable[address] = _Unreachable(now + pause * random.uniform(0.7, 1.3), pause, tries)
 
     def record_store_access(self, address: str, *, store_unreachable: bool) -> None:
-        """Note whether a member says that the store does not answer it."""
+        """Record whether a member can reach the store."""
         if store_unreachable:
             self._without_store.add(address)
         else:
             self._without_store.discard(address)
 
     def drop_expired(self, now: float) -> None:
-        """Drop VMs that nobody has heard from for long."""
+        """Remove members and addresses that were not seen recently."""
         self._known = {address: one for address, one in self._known.items() if now - one.last_seen_at <= MEMBER_TTL_S}
         self._last_seen_at = {name: at for name, at in self._last_seen_at.items() if now - at <= ADDRESS_RETENTION_S}
         named = {*self._known, *self.seeds}
@@ -165,7 +163,7 @@
         self._without_store &= self._known.keys()
 
     def list_mentions(self, limit: int, now: float) -> list[Mention]:
-        """Return some of the VMs that this one knows of: those that watch in each hall, and others drawn at random."""
+        """Return at most ``limit`` members: each hall's watchers first, the others drawn at random."""
         known = list(self._known.values())
         if len(known) > limit:
             watching = {member.address for member in self._list_watchers()}
@@ -175,10 +173,11 @@
         return [_make_mention(one, now) for one in known]
 
     def select_mentions(self, known_addresses: set[str], limit: int, max_repeated: int, now: float) -> list[Mention]:
-        """Return the VMs that somebody was not told of, those that watch first, and some others drawn at random.
+        """Return the members that a peer does not know, watchers first, and some known ones drawn at random.
 
-        :param most: of all at the most
-        :param again: of the others at the most
+        :param known_addresses: members that the peer knows
+        :param limit: maximum number of members
+        :param max_repeated: maximum number of those that the peer knows
         """
         watching = {member.address for member in self._list_watchers()}
         new = [one for one in self._known.values() if one.member.address not in known_addresses]
@@ -188,17 +187,17 @@
         return [_make_mention(one, now) for one in [*new[:limit], *random.sample(old, max_repeated)]]
 
     def list_recent_addresses(self, now: float) -> list[str]:
-        """Return the addresses of all other VMs that were there of late, whether they are in touch or not."""
+        """Return the addresses of other VMs seen within the retention period, including those out of contact."""
         return [address for address, heard_at in self._last_seen_at.items() if now - heard_at <= ADDRESS_RETENTION_S]
 
     def count_recent(self, now: float) -> int:
-        """Return how many VMs there were of late, this one among them: those that are out of touch still count."""
+        """Return the number of VMs seen within the retention period, including this one and those out of contact."""
         return 1 + len(self.list_recent_addresses(now))
 
     def compute_reachable_share(self, connected_halls: Collection[str], now: float) -> float:
-        """Return the part of all VMs that hear of each other, this one among them.
+        """Return the share of all recent VMs that are in contact with this one, itself included.
 
-        :param halls: those of the VMs that this one has a connection to
+        :param connected_halls: halls of the VMs that this one has a connection to
         """
         vms = self.count_recent(now)
         if vms == 1:
@@ -206,27 +205,23 @@
         if not connected_halls:
             return 1 / vms
         silent = self._list_silent_halls(now)
-        if all(hall == self.own.hall for hall in connected_halls):  # another hall, if there is any, is out of reach
+        if all(hall == self.own.hall for hall in connected_halls):  # no other hall can be reached
             silent |= {one.member.hall for one in self._known.values()} - {self.own.hall}
         lost = sum(one.member.hall in silent for one in self._known.values())
         forgotten = vms - 1 - len(self._known)
         return (vms - lost - forgotten) / vms
 
     def _list_silent_halls(self, now: float) -> set[str]:
-        """Return the halls of which no VM was heard of lately."""
+        """Return the other halls none of whose VMs was seen recently."""
         newest: defaultdict[str, float] = defaultdict(lambda: -math.inf)
         for one in self._known.values():
             newest[one.member.hall] = max(newest[one.member.hall], one.last_seen_at)
         return {hall for hall, at in newest.items() if hall != self.own.hall and now - at > HALL_TIMEOUT_S}
 
-    # --- duties ------------------------------------------------------------------------------------------------------
+    # --- ranks -------------------------------------------------------------------------------------------------------
 
     def is_watcher(self) -> bool:
-        """Tell whether this VM is one of those that watch the store for its hall, or stands in for them.
-
-        Where the store turned just the watchers away, nobody else asked it, and no VM of 24 learned of anything
-        within 5 s (paused clock).
-        """
+        """Return whether this VM watches the store for its hall, as one of its watchers or as a standby."""
         ahead = [one for one in self._list_members() if one.hall == self.own.hall and self._ranks_higher(one)]
         if len(ahead) < WATCHERS_PER_HALL:
             return True
@@ -236,7 +231,7 @@
         )
 
     def _list_watchers(self) -> list[Member]:
-        """Return the members that watch, of all halls: whom a VM that has just started needs to know first."""
+        """Return the watchers of all halls among the other members."""
         by_hall: defaultdict[str, list[Member]] = defaultdict(list)
         for member in self._list_members():
             if member.address not in self._unreachable:
@@ -244,7 +239,7 @@
         return [member for members in by_hall.values() for member in sorted(members, key=_rank)[:WATCHERS_PER_HALL]]
 
     def count_higher_ranked(self) -> int:
-        """Return how many VMs go before this one where only some are to do a thing."""
+        """Return the number of members of the fleet that rank higher than this VM and are not known to be dead."""
         return sum(self._ranks_higher(one) for one in self._list_members())
 
     def _list_members(self) -> list[Member]:
@@ -256,7 +251,7 @@
     # --- connections -------------------------------------------------------------------------------------------------
 
     def list_targets(self, now: float) -> list[str]:
-        """Return the addresses to which this VM keeps connections, the most important first."""
+        """Return the addresses that this VM should be connected to, in order of priority."""
         here = [one for one in self._list_members() if one.hall == self.own.hall]
         alive = [one for one in here if one.address not in self._unreachable]
         targets = [one.address for one in sorted(alive, key=_rank)[:WATCHERS_PER_HALL]]
@@ -269,27 +264,27 @@
         return targets + self._list_unknown_seeds(now)
 
     def _list_counterparts(self, now: float) -> list[str]:
-        """Return whom this VM, where it watches, prefers in other halls: those that watch there, of its own rank.
+        """Return the members of other halls that a watcher prefers to connect to: the watchers of the same rank there.
 
-        Each rank takes the halls that follow its own in another order, so that halls are joined directly, up to five
-        of them: what is added up in one hall reaches those that add up in another one without a VM between them.
+        Watchers of different ranks choose different halls, so that up to five halls are all connected directly and
+        aggregates of one hall reach the aggregators of another without an intermediate VM.
         """
         by_hall: defaultdict[str, list[Member]] = defaultdict(list)
         for member in self._list_members():
             if member.hall == self.own.hall or self._may_dial(member.address, now):
                 by_hall[member.hall].append(member)
-        place = sum(self._ranks_higher(member) for member in by_hall.pop(self.own.hall, []))
-        if place >= WATCHERS_PER_HALL or not by_hall:
+        rank = sum(self._ranks_higher(member) for member in by_hall.pop(self.own.hall, []))
+        if rank >= WATCHERS_PER_HALL or not by_hall:
             return []
         following = sorted(by_hall, key=lambda hall: (hall < self.own.hall, hall))
         halls = [
-            following[(place * EXTRA_PEERS + step) % len(following)] for step in range(min(EXTRA_PEERS, len(following)))
+            following[(rank * EXTRA_PEERS + step) % len(following)] for step in range(min(EXTRA_PEERS, len(following)))
         ]
         ranked = [sorted(by_hall[hall], key=_rank) for hall in halls]
-        return [members[min(place, len(members) - 1)].address for members in ranked]
+        return [members[min(rank, len(members) - 1)].address for members in ranked]
 
     def list_retries(self, now: float) -> list[str]:
-        """Return members of the own hall that did not answer, and may be dialled again."""
+        """Return the members of this VM's hall that did not answer and may be dialled again."""
         return [
             address
             for address, one in self._unreachable.items()
@@ -297,7 +292,7 @@
         ]
 
     def _list_unknown_seeds(self, now: float) -> list[str]:
-        """Return addresses of the settings that are no known member's: this VM may be one of several islands."""
+        """Return seeds to dial that are not members, in case the fleet has split into parts that ignore each other."""
         return [
             seed
             for seed in self.seeds
@@ -314,5 +309,5 @@
 
 
 def _rank(member: Member) -> tuple[float, float, str]:
-    """Return what members are ordered by, the same on every VM."""
+    """Return the sort key that ranks members, the same on every VM."""
     return -member.link_mbps, hash_fraction(member.address), member.address
--- a/src/beamhatch/relay/fleet/peer_connection.py
+++ b/src/beamhatch/relay/fleet/peer_connection.py
@@ -1,4 +1,4 @@
-"""Connections to other VMs, whoever dialled: whole messages in, whole messages out."""
+"""Connections to other VMs, which frame, encode and decode messages."""
 
 from __future__ import annotations
 
@@ -19,49 +19,52 @@
 
 
 class PeerHandler(ABC):
-    """What a VM does with its connections and what is said on them."""
+    """The owner of the connections, which handles their events and messages."""
 
     clock: Clock
     journal: Journal
 
     @abstractmethod
     def add_connection(self, connection: PeerConnection) -> None:
-        """Take in a connection that came up."""
+        """Register an established connection."""
 
     @abstractmethod
     def remove_connection(self, connection: PeerConnection) -> None:
-        """Drop a connection that ended."""
+        """Forget a closed connection."""
 
     @abstractmethod
     def record_unreachable(self, address: str) -> None:
-        """Note that an address did not answer."""
+        """Record a failed connection attempt."""
 
     @abstractmethod
     def record_sent(self, connection: PeerConnection, message: Message, size: int) -> None:
-        """Count a message that was sent, with the bytes of its encoding."""
+        """Count a sent message.
+
+        :param size: bytes of the encoded message
+        """
 
     @abstractmethod
     def handle_message(self, connection: PeerConnection, message: Message) -> None:
-        """Take in one message.
+        """Apply a message or answer it.
 
-        :raises MessageError: where it can't be read
+        :raises MessageError: if its content cannot be read
         """
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection to a peer."""
+    """A connection to a peer, dialled by either side."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def __init__(self, talk: PeerHandler, dialled: str | None) -> None:
         self.dialled_address = dialled
-        """The address that this VM dialled, or None where the peer did."""
+        """The address that this VM dialled; None if the peer dialled."""
         self.vm = ""
-        """The peer's name, once it has said it."""
+        """The peer's name; empty until its first hello."""
         self.hall = ""
-        """The peer's hall, once it has said it, or as others told it where this VM dialled."""
+        """The peer's hall; before its first hello, as other members reported it, or empty."""
         self.address = ""
-        """Where the peer listens, once it has said it."""
+        """Where the peer listens; empty until its first hello."""
         self.last_received_at = 0.0
         self.received = ReceivedState()
         self.sent = SentState()
@@ -69,21 +72,21 @@
 
     @property
     def is_aggregator(self) -> bool:
-        """Tell whether the peer says that it adds up what its hall tells."""
+        """Return whether the peer aggregates the reports of its hall."""
         return self.received.is_aggregator
 
     def connectionMade(self) -> None:
-        """Say who this is."""
+        """Register the connection with its handler."""
         self.transport.setTcpNoDelay(True)
         self.last_received_at = self._handler.clock.now()
         self._handler.add_connection(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Drop the connection."""
+        """Remove the connection from its handler."""
         self._handler.remove_connection(self)
 
     def stringReceived(self, string: bytes) -> None:
-        """Take in one message."""
+        """Decode a message and pass it to the handler."""
         self.last_received_at = self._handler.clock.now()
         try:
             self._handler.handle_message(self, decode(string))
@@ -92,19 +95,19 @@
             self.transport.abortConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Drop a peer that sends too much."""
+        """Abort the connection of a peer whose message is too long."""
         self._handler.journal.write("PEER", "message too long", vm=self.vm, length=length)
         self.transport.abortConnection()
 
     def send(self, message: Message) -> None:
-        """Send a message."""
+        """Encode and send a message."""
         data = encode(message)
         self.sendString(data)
         self._handler.record_sent(self, message, len(data))
 
 
 class PeerServerFactory(Factory):
-    """Makes the connections that peers dial."""
+    """Factory of the connections that peers dial."""
 
     noisy = False
 
@@ -112,12 +115,12 @@
         self._talk = talk
 
     def buildProtocol(self, _: Any) -> PeerConnection:
-        """Return a new connection."""
+        """Return the protocol of a new connection."""
         return PeerConnection(self._talk, None)
 
 
 class PeerClientFactory(ClientFactory):
-    """Makes a connection to an address."""
+    """Factory of a connection that this VM dials."""
 
     noisy = False
 
@@ -126,9 +129,9 @@
         self._address = address
 
     def buildProtocol(self, _: Any) -> PeerConnection:
-        """Return a new connection."""
+        """Return the protocol of a new connection."""
         return PeerConnection(self._talk, self._address)
 
     def clientConnectionFailed(self, _: Any, reason: Failure) -> None:
-        """Note that nobody is there."""
+        """Report the failed attempt to the handler."""
         self._talk.record_unreachable(self._address)
--- a/src/beamhatch/relay/fleet/peer_state.py
+++ b/src/beamhatch/relay/fleet/peer_state.py
@@ -1,8 +1,7 @@
-"""Tell a peer in another hall only what it was not told yet, and put together what such a peer tells.
+"""Per-connection state that reduces heartbeats between halls to what changed since the last one.
 
-Bytes between halls and regions are priced, those within a hall are not. A connection brings all that is sent on it, in
-order, or ends; so each end knows what the other one was told, and a beat that has nothing new is a sign of life of some
-bytes. With a connection both ends forget, and the first beat on the next one has everything.
+Traffic between halls and regions costs money. A connection delivers messages in order or closes, so the sender knows
+what the receiver has; both ends drop this state with the connection, and the first heartbeat on a new one is complete.
 """
 
 from __future__ import annotations
@@ -23,49 +22,48 @@
     from beamhatch.relay.model import Life
 
 MIN_DEMAND_CHANGE = 0.25
-"""Share by which a figure of a report has to change to be told: the sum over tens of VMs is nearer than that."""
+"""Minimum relative change of a figure in a demand report for the report to be sent again."""
 
 MIN_DEMAND_BASE = 0.2
-"""What a figure has to change by at the least, in its unit, is that share of this: 0.05 waits or seconds."""
+"""Lower bound of the value that a relative change refers to, in the figure's unit."""
 
 MIN_FAULT_RISE = 0.1
-"""How far an upstream's share of faults has to rise to be told at once; both ends let it fade alike."""
+"""Rise of an upstream's fault share at which it is sent again at once; a fall is not sent, as both ends decay it."""
 
 RESEND_INTERVAL_S = 2.0
-"""Seconds behind which faults and changes of engines that last are told again: the receiver may not have had the
-upstream's entry, or have forgotten."""
+"""Seconds after which lasting faults and engine changes are sent again, in case the receiver could not keep them."""
 
 EMPTY_HEARTBEAT = Heartbeat()
-"""A beat that tells nothing new."""
+"""A heartbeat without changes."""
 
 
 @dataclass(slots=True)
 class ReceivedState:
-    """What a peer told on one connection so far."""
+    """The state received from a peer on one connection."""
 
     version: int = 0
     revision: int = 0
     is_aggregator: bool = False
-    """Whether the peer adds up what its hall tells."""
+    """Whether the peer aggregates the reports of its hall."""
     demands: dict[str, DemandReport] = field(default_factory=dict)
     prefill_backlog: dict[str, int] = field(default_factory=dict)
 
-    def apply(self, beat: Heartbeat) -> None:
-        """Take in the news of a beat."""
-        if beat.version is not None:
-            self.version = beat.version
-        if beat.revision is not None:
-            self.revision = beat.revision
-        if beat.adds_up is not None:
-            self.is_aggregator = beat.adds_up
-        if beat.reading is not None:
-            self.prefill_backlog = beat.reading
-        self.demands.update(beat.demands)
+    def apply(self, heartbeat: Heartbeat) -> None:
+        """Apply the changes in a heartbeat."""
+        if heartbeat.version is not None:
+            self.version = heartbeat.version
+        if heartbeat.revision is not None:
+            self.revision = heartbeat.revision
+        if heartbeat.adds_up is not None:
+            self.is_aggregator = heartbeat.adds_up
+        if heartbeat.reading is not None:
+            self.prefill_backlog = heartbeat.reading
+        self.demands.update(heartbeat.demands)
 
 
 @dataclass(slots=True)
 class SentState:
-    """What a peer was told on one connection so far."""
+    """The state that was sent to a peer on one connection."""
 
     _version: int | None = None
     _revision: int | None = None
@@ -73,76 +71,76 @@
     _prefill_backlog: dict[str, int] | None = None
     _demands: dict[str, DemandReport] = field(default_factory=dict)
     _faulty: dict[str, tuple[float, float]] = field(default_factory=dict)
-    """Share and time by upstream."""
+    """Fault share and send time by upstream."""
     _changing: dict[str, tuple[ChangeNews, float]] = field(default_factory=dict)
     _evacuations: dict[str, int] | None = None
-    """Revision by hall; None before any were told."""
+    """Revision by hall; None before any were sent."""
     departures: set[Life] = field(default_factory=set)
-    """Lives of upstreams that leave of which both ends know."""
+    """Incarnations of departing upstreams that both ends know."""
     known_addresses: set[str] = field(default_factory=set)
-    """Addresses of the VMs that it was told of, or told of itself."""
+    """Addresses of the members that both ends know."""
 
     def record_known(self, members: Iterable[Member]) -> None:
-        """Note that both ends know of some VMs."""
+        """Record members that both ends know."""
         self.known_addresses.update(member.address for member in members)
 
-    def select_changes(self, whole: Heartbeat, now: float) -> Heartbeat:
-        """Return the part of a beat that the peer was not told yet, and take it as told."""
-        evacuations = self._select_evacuations(whole)
-        news = Heartbeat(
-            None if whole.version == self._version else whole.version,
-            None if whole.revision == self._revision else whole.revision,
-            {name: report for name, report in whole.demands.items() if _differs(report, self._demands.get(name))},
-            {name: share for name, share in whole.faulty.items() if self._is_fault_due(name, share, now)},
-            {name: change for name, change in whole.changing.items() if self._is_change_due(name, change, now)},
-            self.select_backlog(whole.reading or {}),
-            whole.readings,
+    def select_changes(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
+        """Return the part of a heartbeat that the peer does not have yet, and record it as sent."""
+        evacuations = self._select_evacuations(heartbeat)
+        changes = Heartbeat(
+            None if heartbeat.version == self._version else heartbeat.version,
+            None if heartbeat.revision == self._revision else heartbeat.revision,
+            {name: report for name, report in heartbeat.demands.items() if _differs(report, self._demands.get(name))},
+            {name: share for name, share in heartbeat.faulty.items() if self._is_fault_due(name, share, now)},
+            {name: change for name, change in heartbeat.changing.items() if self._is_change_due(name, change, now)},
+            self.select_backlog(heartbeat.reading or {}),
+            heartbeat.readings,
             evacuations,
-            0 if evacuations is None else whole.evacuations_as_of,
-            adds_up=None if whole.adds_up == self._is_aggregator else whole.adds_up,
+            0 if evacuations is None else heartbeat.evacuations_as_of,
+            adds_up=None if heartbeat.adds_up == self._is_aggregator else heartbeat.adds_up,
         )
-        self._version, self._revision, self._is_aggregator = whole.version, whole.revision, whole.adds_up
-        self._demands.update(news.demands)
-        self._faulty = {name: told for name, told in self._faulty.items() if now - told[1] < RESEND_INTERVAL_S}
-        self._faulty.update({name: (share, now) for name, share in news.faulty.items()})
-        self._changing = {name: told for name, told in self._changing.items() if name in whole.changing}
-        self._changing.update({name: (change, now) for name, change in news.changing.items()})
-        return news
+        self._version, self._revision, self._is_aggregator = heartbeat.version, heartbeat.revision, heartbeat.adds_up
+        self._demands.update(changes.demands)
+        self._faulty = {name: sent for name, sent in self._faulty.items() if now - sent[1] < RESEND_INTERVAL_S}
+        self._faulty.update({name: (share, now) for name, share in changes.faulty.items()})
+        self._changing = {name: sent for name, sent in self._changing.items() if name in heartbeat.changing}
+        self._changing.update({name: (change, now) for name, change in changes.changing.items()})
+        return changes
 
     def select_backlog(self, reading: Mapping[str, int]) -> dict[str, int] | None:
-        """Return what engines have to read where the peer was told otherwise, else None; it is taken as told."""
+        """Return the prefill backlog and record it as sent, or return None if it is unchanged."""
         if reading == (self._prefill_backlog or {}):
             return None
         self._prefill_backlog = dict(reading)
         return self._prefill_backlog
 
     def reset_evacuations(self) -> None:
-        """Tell all evacuations in the next beat, whatever was told."""
+        """Have the next heartbeat include all evacuations."""
         self._evacuations = None
 
     def _is_fault_due(self, upstream: str, share: float, now: float) -> bool:
-        told = self._faulty.get(upstream)
-        return told is None or share >= told[0] + MIN_FAULT_RISE or now - told[1] >= RESEND_INTERVAL_S
+        sent = self._faulty.get(upstream)
+        return sent is None or share >= sent[0] + MIN_FAULT_RISE or now - sent[1] >= RESEND_INTERVAL_S
 
     def _is_change_due(self, upstream: str, change: ChangeNews, now: float) -> bool:
-        told = self._changing.get(upstream)
-        if told is None or now - told[1] >= RESEND_INTERVAL_S:
+        sent = self._changing.get(upstream)
+        if sent is None or now - sent[1] >= RESEND_INTERVAL_S:
             return True
-        return (told[0].phase, told[0].certain) != (change.phase, change.certain)
+        return (sent[0].phase, sent[0].certain) != (change.phase, change.certain)
 
-    def _select_evacuations(self, whole: Heartbeat) -> list[Evacuation] | None:
-        """Return all evacuations where any is news: what is told is of all halls, so that one that lacks has ended."""
-        if whole.evacuations is None:
+    def _select_evacuations(self, heartbeat: Heartbeat) -> list[Evacuation] | None:
+        """Return all evacuations if any changed, else None: the receiver ends those that are missing from the list."""
+        if heartbeat.evacuations is None:
             return None
-        told, self._evacuations = self._evacuations, {one.hall: one.revision for one in whole.evacuations}
-        return None if told == self._evacuations else whole.evacuations
+        sent, self._evacuations = self._evacuations, {one.hall: one.revision for one in heartbeat.evacuations}
+        return None if sent == self._evacuations else heartbeat.evacuations
 
 
-def _differs(report: DemandReport, told: DemandReport | None) -> bool:
-    """Tell whether a report differs from what was told by more than the receiver can do without."""
-    if told is None:
+def _differs(report: DemandReport, sent: DemandReport | None) -> bool:
+    """Return whether a report differs enough from the one that was sent to be sent again."""
+    if sent is None:
         return True
-    pairs = zip(msgspec.structs.astuple(report), msgspec.structs.astuple(told), strict=True)
+    pairs = zip(msgspec.structs.astuple(report), msgspec.structs.astuple(sent), strict=True)
     return any(_is_change(value, before) for value, before in pairs)
 
 
--- a/src/beamhatch/relay/fleet/peer_traffic.py
+++ b/src/beamhatch/relay/fleet/peer_traffic.py
@@ -1,4 +1,4 @@
-"""Count the bytes that this VM sends to others, by kind of message and by distance, for the metrics page."""
+"""Metrics of the bytes and messages that this VM sends to peers, by message kind and distance."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     from beamhatch.relay.places import Places
 
 LENGTH_PREFIX_BYTES = 4
-"""Bytes of the length ahead of each message."""
+"""Size of the length prefix of each message."""
 
 UNKNOWN_DISTANCE = "unknown"
-"""Label of the distance to a VM that has not said yet where it is."""
+"""Distance label for a peer whose hall is not known yet."""
 
 
 class PeerTraffic:
     """The counters ``peer_bytes_total`` and ``peer_messages_total``, each labelled ``KIND DISTANCE``."""
 
     def __init__(self, tally: Tally, hall: str, places: Places) -> None:
-        """Make one.
+        """Create the counters.
 
         :param hall: the hall of this VM
         """
@@ -29,10 +29,10 @@
         self._places = places
 
     def record_sent(self, message: Message, size: int, hall: str) -> None:
-        """Count a message.
+        """Count a sent message.
 
-        :param size: bytes of the encoded message
-        :param hall: the receiver's hall, empty where it is not known
+        :param size: bytes of the encoded message, without its length prefix
+        :param hall: the receiver's hall, empty if unknown
         """
         distance = self._places.measure(self._hall, hall).name.lower() if hall else UNKNOWN_DISTANCE
         label = f"{type(message).__struct_config__.tag} {distance}"
--- a/src/beamhatch/relay/fleet/peer_values.py
+++ b/src/beamhatch/relay/fleet/peer_values.py
@@ -1,4 +1,4 @@
-"""What peers told last: one value of each VM, believed for some seconds."""
+"""The last value that each peer sent, kept for a limited time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 Value = TypeVar("Value")
 
 VALUE_TTL_S = 1.8
-"""Seconds for which what a peer told is believed: three of the beats that carry it, as changes are told at once."""
+"""Seconds after which a value that was not sent again is ignored."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class PeerValues(Generic[Value]):
-    """The newest value that each VM told."""
+    """The newest value received from each VM."""
 
     _by_vm: dict[str, _Received[Value]] = field(default_factory=dict)
 
     def record(self, vm: str, value: Value, now: float) -> None:
-        """Take in what a VM told."""
+        """Replace the value of a VM."""
         self._by_vm[vm] = _Received(value, now)
 
     def list_values(self, now: float) -> Iterator[Value]:
-        """Return what is believed."""
-        return (told.value for told in self._by_vm.values() if now - told.received_at < VALUE_TTL_S)
+        """Return the values that have not expired."""
+        return (entry.value for entry in self._by_vm.values() if now - entry.received_at < VALUE_TTL_S)
 
     def drop_expired(self, now: float) -> None:
-        """Drop what is no longer believed."""
-        self._by_vm = {vm: told for vm, told in self._by_vm.items() if now - told.received_at < VALUE_TTL_S}
+        """Remove expired values."""
+        self._by_vm = {vm: entry for vm, entry in self._by_vm.items() if now - entry.received_at < VALUE_TTL_S}
--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -1,4 +1,4 @@
-"""Keep the operators' directives and the listing as the store has them: read once, then wait for changes."""
+"""Watchers that read the operators' directives and the upstream listing from the store, then wait for changes."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     from beamhatch.relay.core import Core
 
 WATCH_TIMEOUT_S = 20.0
-"""Seconds for which a watch waits; peers tell of changes that a dead watch misses."""
+"""Seconds for which the store holds a watch open when nothing changes."""
 
 IDLE_INTERVAL_S = 0.25
-"""Seconds between two looks of a VM that does not watch, whether it has to."""
+"""Seconds between two checks by a VM that does not watch whether it should."""
 
 STARTUP_POLL_INTERVAL_S = 0.02
-"""Seconds between two looks whether a peer has told what is needed."""
+"""Seconds between two checks at the start whether peers have sent the data."""
 
 MIN_RETRY_DELAY_S = 0.15
-"""Seconds before a lost watch is made anew; each pause is twice the last."""
+"""Seconds before the first retry after the store failed; the delay doubles with each failure."""
 
 UNREACHABLE_AFTER_S = 0.5
-"""Seconds without an answer after which others are told: two tries, as a single watch may be cut at any moment."""
+"""Seconds without an answer after which the store counts as unreachable; a single failed call does not suffice."""
 
 MAX_RETRY_DELAY_S = 1.0
-"""Seconds between two tries at the most: so often a store that is down is asked."""
+"""Upper bound of the delay between retries."""
 
 
 class StoreWatcher(ABC):
-    """Keeps one thing; ``name`` stands in the log."""
+    """A watcher of one kind of data in the store; ``name`` identifies it in logs and metrics."""
 
     name = ""
     settle_delay_s = 0.0
-    """Seconds behind news before the next watch: what changes meanwhile comes with one call."""
+    """Seconds between a change and the next watch, so that one call returns several changes."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         has_peers: Callable[[], bool],
         peer_timeout: float,
     ) -> None:
-        """Make one.
+        """Create a watcher.
 
-        :param is_due: tells whether this VM is to watch the store, or learns from its peers
-        :param hears_peers: tells whether there are peers to learn from
-        :param patience: seconds for which the peers are waited for at the start
+        :param should_watch: returns whether this VM watches the store instead of relying on its peers
+        :param has_peers: returns whether any peer is connected
+        :param peer_timeout: seconds to wait at the start for peers to send the data
         """
         self.core = core
         self.store = store
@@ -67,42 +67,42 @@
         self._waiting: defer.Deferred[int | StoreLost | HistoryGone] | None = None
         self._renewing = False
         self.connected = True
-        """False once the store has given no answer, until it does."""
+        """Whether the last call to the store was answered."""
         self._lost_at = 0.0
         self._retry_delay = MIN_RETRY_DELAY_S
 
     def start(self) -> None:
-        """Begin."""
+        """Start to read and watch."""
         self._running = defer.ensureDeferred(self._run())
         self._running.addErrback(self._handle_exit)
 
     def stop(self) -> None:
-        """End."""
+        """Stop watching."""
         running, self._running = self._running, None
         if running is not None:
             running.cancel()
 
     def restart_watch(self) -> None:
-        """Ask anew: the store had been away, and may have lost the answer that is waited for."""
+        """Cancel the pending watch and start a new one, as the store may have lost the answer during an outage."""
         if self._waiting is not None and not self._waiting.called:
             self._renewing = True
             self._waiting.cancel()
 
     def is_store_unreachable(self) -> bool:
-        """Tell whether the store has not answered for so long that others should ask it."""
+        """Return whether the store has not answered for so long that another VM should watch it."""
         return not self.connected and self.core.clock.now() - self._lost_at > UNREACHABLE_AFTER_S
 
     @abstractmethod
     def has_data(self) -> bool:
-        """Tell whether this VM has the thing from anybody."""
+        """Return whether this VM has the data, from the store or from a peer."""
 
     @abstractmethod
     async def read(self) -> int | StoreLost:
-        """Take in all of it; return the revision as of which it was read."""
+        """Read and apply all data; return the revision at which it was read."""
 
     @abstractmethod
     async def watch(self, after: int) -> int | StoreLost | HistoryGone:
-        """Take in what changed behind a revision; return up to which one."""
+        """Wait for changes after a revision and apply them; return the revision up to which they were read."""
 
     async def _run(self) -> None:
         await self._await_peers()
@@ -120,34 +120,34 @@
             await self._follow(at)
 
     async def _await_peers(self) -> None:
-        """Give the peers a moment to tell what they have."""
+        """Wait up to the peer timeout for peers to send the data."""
         end = self.core.clock.now() + self._peer_timeout
         while not self.has_data() and self.core.clock.now() < end:
             await sleep(self.core.clock, STARTUP_POLL_INTERVAL_S)
 
     async def _follow(self, at: int) -> None:
-        """Watch from a revision on, until the watch is lost, what it needs is, or others watch.
+        """Watch from a revision on until the store fails, its history is gone, or other VMs watch.
 
-        Behind a lost watch everything is read again: a read is answered or lost within seconds, while another watch
-        might be swallowed by a store that is still silent, and be missed only when its long time is over.
+        After a failure the caller reads everything again: a read fails within seconds if the store still does not
+        answer, whereas a new watch would fail only after its long timeout.
         """
         while self._should_watch():
-            news = await self._watch_once(at)
-            if news is None:
+            result = await self._watch_once(at)
+            if result is None:
                 continue
-            if isinstance(news, HistoryGone):
+            if isinstance(result, HistoryGone):
                 self.core.journal.write("STORE", "history gone", watch=self.name, after=at)
                 return
-            if isinstance(news, StoreLost):
-                await self._wait_before_retry(news)
+            if isinstance(result, StoreLost):
+                await self._wait_before_retry(result)
                 return
-            self._record_connected(news)
-            if news > at:
+            self._record_connected(result)
+            if result > at:
                 await sleep(self.core.clock, self.settle_delay_s)
-            at = news
+            at = result
 
     async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
-        """Watch behind a revision; return None where this is to be done anew."""
+        """Watch for changes after a revision; return None if the watch was cancelled to be restarted."""
         self._waiting = defer.ensureDeferred(self.watch(at))
         try:
             return await self._waiting
@@ -179,62 +179,62 @@
 
 
 class DirectivesWatcher(StoreWatcher):
-    """Keeps what the operators wrote: the configuration, and which halls are emptied."""
+    """A watcher of the operators' directives: the configuration and the evacuated halls."""
 
     name = "directives"
 
     def has_data(self) -> bool:
-        """Tell whether there is a configuration, and which halls are emptied is known."""
+        """Return whether the configuration and all evacuations are known."""
         return self.core.table is not None and self.core.eligibility.evacuations.complete
 
     async def read(self) -> int | StoreLost:
-        """Read all of it."""
-        news = await self.store.read_directives(self.core.eligibility.evacuations.as_of)
-        if isinstance(news, StoreLost):
-            return news
-        self._apply(news, whole=news.settled or not self.core.eligibility.evacuations.complete)
-        return news.at
+        """Read and apply all directives."""
+        directives = await self.store.read_directives(self.core.eligibility.evacuations.as_of)
+        if isinstance(directives, StoreLost):
+            return directives
+        self._apply(directives, whole=directives.settled or not self.core.eligibility.evacuations.complete)
+        return directives.at
 
     async def watch(self, after: int) -> int | StoreLost | HistoryGone:
-        """Wait for changes."""
-        news = await self.store.watch_directives(after, WATCH_TIMEOUT_S)
-        if not isinstance(news, DirectiveNews):
-            return news
-        self._apply(news, whole=False)
-        return news.at
+        """Wait for changed directives and apply them."""
+        directives = await self.store.watch_directives(after, WATCH_TIMEOUT_S)
+        if not isinstance(directives, DirectiveNews):
+            return directives
+        self._apply(directives, whole=False)
+        return directives.at
 
-    def _apply(self, news: DirectiveNews, *, whole: bool) -> None:
-        if news.document is not None:
-            self.core.take_document(news.document, "store")
-        # an unsettled list ends nothing: peers may know of evacuations that the operators still have to write again
-        as_of = news.at if news.settled else 0
-        self.core.take_evacuations(news.evacuations, "store", as_of=as_of, whole=whole)
+    def _apply(self, directives: DirectiveNews, *, whole: bool) -> None:
+        if directives.document is not None:
+            self.core.take_document(directives.document, "store")
+        # an unsettled list ends no evacuations: peers may know some that the operators have yet to write again
+        as_of = directives.at if directives.settled else 0
+        self.core.take_evacuations(directives.evacuations, "store", as_of=as_of, whole=whole)
 
 
 class ListingWatcher(StoreWatcher):
-    """Keeps the list of upstreams."""
+    """A watcher of the upstream listing."""
 
     name = "listing"
     settle_delay_s = 0.2
 
     def has_data(self) -> bool:
-        """Tell whether there is a whole list."""
+        """Return whether the listing is complete."""
         return self.core.listing.complete
 
     async def read(self) -> int | StoreLost:
-        """Read the list."""
-        news = await self.store.read_listing(self.core.listing.find_oldest())
-        if isinstance(news, StoreLost):
-            return news
-        # an unsettled list drops nothing: peers may know of upstreams that still have to write their entries again
-        known = news if news.settled else replace(news, at=0)
-        self.core.take_listing(known, "store", whole=news.settled or not self.core.listing.complete)
-        return news.at
+        """Read and apply the listing."""
+        listing = await self.store.read_listing(self.core.listing.find_oldest())
+        if isinstance(listing, StoreLost):
+            return listing
+        # an unsettled list removes no upstreams: peers may know some that have yet to write their entries again
+        applied = listing if listing.settled else replace(listing, at=0)
+        self.core.take_listing(applied, "store", whole=listing.settled or not self.core.listing.complete)
+        return listing.at
 
     async def watch(self, after: int) -> int | StoreLost | HistoryGone:
-        """Wait for changes of the list."""
-        news = await self.store.watch_listing(after, WATCH_TIMEOUT_S)
-        if isinstance(news, ListingNews):
-            self.core.take_listing(news, "store", whole=False)
-            return news.at
-        return news
+        """Wait for changes of the listing and apply them."""
+        listing = await self.store.watch_listing(after, WATCH_TIMEOUT_S)
+        if isinstance(listing, ListingNews):
+            self.core.take_listing(listing, "store", whole=False)
+            return listing.at
+        return listing
--- a/src/beamhatch/relay/fleet/throttle.py
+++ b/src/beamhatch/relay/fleet/throttle.py
@@ -1,4 +1,4 @@
-"""Do a thing soon after it was asked for, and not more often than it is worth."""
+"""Limit how often a function is called."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Throttle:
-    """Calls a function once for all that is asked for within a gap."""
+    """A function call that coalesces all requests within a minimum interval."""
 
     def __init__(self, clock: Clock, min_interval: float, function: Callable[[], None]) -> None:
-        """Make one.
+        """Create a throttle for a function.
 
-        :param gap: seconds between two calls at the least
+        :param min_interval: minimum seconds between two calls
         """
         self._clock = clock
         self._min_interval = min_interval
@@ -25,14 +25,14 @@
         self._called_at = float("-inf")
 
     def request(self) -> None:
-        """Have the function called as soon as the gap allows, unless it is about to be."""
+        """Schedule a call as soon as the interval allows, unless one is pending."""
         if not self._pending:
             self._pending = True
             wait = self._called_at + self._min_interval - self._clock.now()
             self._clock.call_later(max(0.0, wait), self._call)
 
     def record_call(self) -> None:
-        """Note that what the function does was done just now, by others."""
+        """Record that the function's work was done by other means, so that the interval starts now."""
         self._called_at = self._clock.now()
 
     def _call(self) -> None:
