--- a/tests/relay/fleet/__init__.py
+++ b/tests/relay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of fleet."""
+"""Tests of the fleet package."""
--- a/tests/relay/fleet/test_evacuations.py
+++ b/tests/relay/fleet/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Which halls are emptied, whoever tells it and in whatever order."""
+"""Tests that evacuations converge whatever the source and order of reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 NEWS = [Evacuation("a", revision, revision % 2 == 1) for revision in range(1, 6)]
 
 
-def test_the_newest_news_win_in_whatever_order_they_come() -> None:
+def test_highest_revision_wins_in_any_order() -> None:
     evacuations = Evacuations()
     assert evacuations.apply(NEWS[2], 1.0)
     assert not evacuations.apply(NEWS[1], 2.0)
@@ -26,7 +26,7 @@
     assert evacuations.list_updates() == [NEWS[-1]]
 
 
-def test_a_whole_read_ends_what_it_lacks_but_not_what_is_newer() -> None:
+def test_snapshot_ends_missing_evacuations_but_not_newer_ones() -> None:
     evacuations = Evacuations()
     evacuations.apply(Evacuation("a", 3, True), 1.0)
     evacuations.apply(Evacuation("b", 9, True), 1.0)
@@ -36,7 +36,7 @@
     assert evacuations.get_end_time("a") == 2.0
 
 
-def test_old_news_of_a_hall_that_is_not_known_as_emptied_are_not_taken() -> None:
+def test_outdated_report_on_an_unknown_hall_is_ignored() -> None:
     evacuations = Evacuations()
     evacuations.apply_snapshot([], 9, 1.0)
     assert not evacuations.apply(Evacuation("a", 5, True), 2.0)
@@ -45,7 +45,7 @@
     assert evacuations.apply(Evacuation("a", 10, True), 3.0)
 
 
-def test_ended_evacuations_are_forgotten_once_they_are_known_as_a_whole() -> None:
+def test_ended_evacuations_are_dropped_up_to_the_known_revision() -> None:
     evacuations = Evacuations()
     for number in range(200):
         evacuations.apply(Evacuation(f"h{number}", 2 * number + 1, True), 1.0)
@@ -55,7 +55,7 @@
     assert len(evacuations._ended_at) <= MAX_UNPLACED_HALLS
 
 
-def test_names_that_the_settings_do_not_place_are_bounded_and_placed_ones_always_taken() -> None:
+def test_halls_outside_the_settings_are_bounded_and_halls_in_them_always_kept() -> None:
     evacuations = Evacuations(Places({"placed": RegionName("west")}))
     for number in range(3 * MAX_UNPLACED_HALLS):
         evacuations.apply(Evacuation(f"odd-{number}", number + 1, True), 1.0)
@@ -64,7 +64,7 @@
 
 
 class Store:
-    """What the operators wrote, with the revision of each change."""
+    """A store of evacuations, with the revision of each change."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -115,7 +115,7 @@
         assert set(vm.list_evacuated()) == set(store.emptied)
 
 
-def test_a_vm_that_could_not_keep_all_news_says_so_until_it_knows_all() -> None:
+def test_overflow_is_flagged_until_the_next_snapshot() -> None:
     evacuations = Evacuations()
     for number in range(MAX_UNPLACED_HALLS + 1):
         evacuations.apply(Evacuation(f"hall-{number}", number + 1, True), 1.0)
--- a/tests/relay/fleet/test_membership.py
+++ b/tests/relay/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Who watches the store, and who keeps a connection to whom."""
+"""Tests of watcher selection, connection targets and contact shares."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 HALLS = ["a", "b", "c"]
 
 
-def make_fleet(size: int, strength: float = 0.0) -> list[Member]:
-    return [Member(f"10.0.{number}:1", HALLS[number % 3], strength) for number in range(size)]
+def make_fleet(size: int, link_mbps: float = 0.0) -> list[Member]:
+    return [Member(f"10.0.{number}:1", HALLS[number % 3], link_mbps) for number in range(size)]
 
 
 def join(own: Member, fleet: list[Member], now: float = 0.0) -> Membership:
@@ -30,8 +30,8 @@
     return membership
 
 
-def find_first(members: list[Member]) -> Member:
-    """Return the member that goes before all others."""
+def find_highest_ranked(members: list[Member]) -> Member:
+    """Return the highest-ranked member."""
     return next(one for one in members if join(one, members).count_higher_ranked() == 0)
 
 
@@ -42,18 +42,18 @@
     assert {one.hall for one in watchers} == set(HALLS)
 
 
-def test_the_stronger_members_watch() -> None:
+def test_members_with_the_fastest_links_watch() -> None:
     fleet = make_fleet(30)
     strong = [Member(f"10.1.{number}:1", "a", 200.0) for number in range(WATCHERS_PER_HALL)]
     assert all(join(one, [*fleet, *strong]).is_watcher() for one in strong)
     assert not any(join(one, [*fleet, *strong]).is_watcher() for one in fleet if one.hall == "a")
 
 
-def test_a_vm_that_knows_nobody_watches() -> None:
+def test_a_vm_without_known_members_watches() -> None:
     assert Membership(Member("x:1", "a")).is_watcher()
 
 
-def test_the_next_one_watches_while_a_watcher_does_not_answer() -> None:
+def test_the_next_member_watches_while_a_watcher_does_not_answer() -> None:
     fleet = make_fleet(30)
     watchers = [one for one in fleet if one.hall == "a" and join(one, fleet).is_watcher()]
     others = [one for one in fleet if one.hall == "a" and one not in watchers]
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("size", [2, 9, 90, 600])
-def test_a_vm_keeps_few_connections_and_all_are_joined(size: int) -> None:
+def test_each_vm_has_few_targets_and_the_fleet_is_connected(size: int) -> None:
     fleet = make_fleet(size)
     targets = {one.address: join(one, fleet).list_targets(0.0) for one in fleet}
     assert max(len(found) for found in targets.values()) <= WATCHERS_PER_HALL + EXTRA_PEERS
@@ -82,7 +82,7 @@
     assert len(joined) == size
 
 
-def test_halls_stay_joined_without_the_others() -> None:
+def test_a_hall_stays_connected_without_the_other_halls() -> None:
     fleet = [one for one in make_fleet(90) if one.hall == "a"]
     for one in fleet:
         membership = join(one, make_fleet(90))
@@ -94,7 +94,7 @@
         assert all(address in {near.address for near in fleet} for address in targets)
 
 
-def test_an_address_that_does_not_answer_is_dialled_the_more_rarely() -> None:
+def test_an_address_that_does_not_answer_is_dialled_less_often_over_time() -> None:
     random.seed(1)
     membership = join(Member("x:1", "a"), [Member("y:1", "a")])
     now, dials = 0.0, 0
@@ -107,7 +107,7 @@
     assert 4 <= dials <= 9
 
 
-def test_an_address_that_refused_for_a_moment_is_dialled_again_at_once() -> None:
+def test_an_address_that_did_not_answer_once_is_retried_quickly() -> None:
     random.seed(1)
     membership = join(Member("x:1", "a"), [Member("y:1", "a")])
     membership.record_unreachable("y:1", 0.0)
@@ -117,7 +117,7 @@
     assert "y:1" in membership.list_retries(0.9)
 
 
-def test_those_that_watch_are_mentioned_first() -> None:
+def test_watchers_are_mentioned_first() -> None:
     fleet = make_fleet(120)
     watching = {one.address for one in fleet if join(one, fleet).is_watcher()}
     own = next(one for one in fleet if one.address not in watching)
@@ -126,7 +126,7 @@
     assert watching <= set(mentioned)
 
 
-def test_a_vm_is_forgotten_though_others_go_on_to_mention_it() -> None:
+def test_a_dead_vm_expires_although_others_still_mention_it() -> None:
     fleet = make_fleet(6)
     memberships = [join(one, fleet) for one in fleet[1:]]
     now = 0.0
@@ -141,7 +141,7 @@
     assert all(membership.size == 5 for membership in memberships)
 
 
-def test_seeds_are_dialled_until_they_are_known_members() -> None:
+def test_seeds_are_dialled_until_they_are_members() -> None:
     membership = Membership(Member("x:1", "a"), ["x:1", "s:1", "t:1"])
     assert membership.list_targets(0.0) == ["s:1", "t:1"]
     membership.record_alive(Member("s:1", "b"), 0.0, 0.0)
@@ -151,7 +151,7 @@
     assert "t:1" in membership.list_targets(30.0)
 
 
-def test_vms_that_are_no_longer_counted_are_remembered_for_some_time() -> None:
+def test_addresses_of_former_members_are_kept_for_the_retention_period() -> None:
     fleet = make_fleet(6)
     membership = join(fleet[0], fleet)
     membership.record_alive(fleet[1], 0.0, 100.0)
@@ -162,26 +162,26 @@
     assert membership.list_recent_addresses(ADDRESS_RETENTION_S + 50.0) == [fleet[1].address]
 
 
-def test_two_members_stand_in_for_watchers_that_are_all_turned_away_and_no_more() -> None:
+def test_standby_watchers_watch_only_if_no_watcher_can_reach_the_store() -> None:
     fleet = [Member(f"v{number}:1", "a") for number in range(8)]
     memberships = [join(one, fleet) for one in fleet]
     first = [one.own.address for one in memberships if one.is_watcher()]
     assert len(first) == WATCHERS_PER_HALL
 
-    def say(addresses: list[str], *, turned_away: bool) -> int:
+    def report(addresses: list[str], *, turned_away: bool) -> int:
         for membership in memberships:
             for address in addresses:
                 membership.record_store_access(address, store_unreachable=turned_away)
         return sum(membership.is_watcher() for membership in memberships)
 
-    assert say(first[:1], turned_away=True) == WATCHERS_PER_HALL
-    assert say(first, turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
-    assert say([one.address for one in fleet], turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
-    assert say(first[1:], turned_away=False) == WATCHERS_PER_HALL
+    assert report(first[:1], turned_away=True) == WATCHERS_PER_HALL
+    assert report(first, turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
+    assert report([one.address for one in fleet], turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
+    assert report(first[1:], turned_away=False) == WATCHERS_PER_HALL
 
 
 @pytest.mark.parametrize("halls", [2, 3, 4, 5, 6])
-def test_those_that_watch_in_different_halls_are_joined_directly(halls: int) -> None:
+def test_watchers_of_all_halls_are_connected_directly(halls: int) -> None:
     fleet = [Member(f"10.0.{number}:1", f"hall-{number % halls}") for number in range(60)]
     watching = {one.address: one for one in fleet if join(one, fleet).is_watcher()}
     pairs = {
@@ -194,9 +194,9 @@
 
 
 @pytest.mark.parametrize("halls", [3, 6, 11])
-def test_halls_stay_joined_by_those_that_watch_though_half_of_them_are_gone(halls: int) -> None:
+def test_watchers_connect_all_halls_when_half_of_them_are_gone(halls: int) -> None:
     fleet = [Member(f"10.{copy}.{number}:1", f"hall-{number:02}") for number in range(halls) for copy in range(9)]
-    first = [find_first([one for one in fleet if one.hall == hall]) for hall in {one.hall for one in fleet}]
+    first = [find_highest_ranked([one for one in fleet if one.hall == hall]) for hall in {one.hall for one in fleet}]
     memberships = {one.address: join(one, fleet) for one in fleet if one not in first}
     for membership in memberships.values():
         for gone in first:
@@ -214,7 +214,7 @@
     assert len(joined) == halls
 
 
-def test_where_a_counterpart_does_not_answer_the_next_one_is_preferred_until_it_may_be_dialled_again() -> None:
+def test_a_counterpart_that_does_not_answer_is_replaced_until_its_retry() -> None:
     fleet = make_fleet(30)
     own = next(one for one in fleet if join(one, fleet).is_watcher())
     membership = join(own, fleet)
@@ -227,40 +227,40 @@
     assert before[0] in membership.list_targets(1.0)
 
 
-def test_news_of_members_are_those_that_were_not_told_and_a_few_others() -> None:
+def test_mentions_are_the_unknown_members_and_a_few_known_ones() -> None:
     fleet = make_fleet(50)
     membership = join(fleet[0], fleet)
-    told: set[str] = set()
-    first = membership.select_mentions(told, 64, 8, 0.0)
+    known: set[str] = set()
+    first = membership.select_mentions(known, 64, 8, 0.0)
     assert len(first) == 49
-    told.update(mention.member.address for mention in first)
-    assert len(membership.select_mentions(told, 64, 8, 0.0)) == 8
+    known.update(mention.member.address for mention in first)
+    assert len(membership.select_mentions(known, 64, 8, 0.0)) == 8
     membership.record_alive(Member("late:1", "a"), 0.0, 1.0)
-    assert membership.select_mentions(told, 64, 8, 1.0)[0].member.address == "late:1"
+    assert membership.select_mentions(known, 64, 8, 1.0)[0].member.address == "late:1"
 
 
 def make_hall_fleet() -> Membership:
-    """Return what one of six VMs in three halls knows."""
+    """Return the membership of one of six VMs in three halls."""
     membership = Membership(Member("a1:1", "a"))
     for address, hall in (("a2:1", "a"), ("b1:1", "b"), ("b2:1", "b"), ("c1:1", "c"), ("c2:1", "c")):
         membership.record_alive(Member(address, hall), 0.0, 100.0)
     return membership
 
 
-def test_a_vm_that_hears_all_halls_takes_part_for_all() -> None:
+def test_a_vm_in_contact_with_all_halls_has_the_whole_share() -> None:
     assert make_hall_fleet().compute_reachable_share({"a", "b"}, 101.0) == 1.0
     assert Membership(Member("a1:1", "a")).compute_reachable_share(set(), 101.0) == 1.0
 
 
-def test_one_that_hears_its_own_hall_alone_takes_its_hall_s_part() -> None:
+def test_a_vm_in_contact_with_its_hall_only_has_the_share_of_its_hall() -> None:
     assert make_hall_fleet().compute_reachable_share({"a"}, 101.0) == 2 / 6
 
 
-def test_one_that_hears_nobody_takes_its_own_part() -> None:
+def test_a_vm_without_contacts_has_only_its_own_share() -> None:
     assert make_hall_fleet().compute_reachable_share(set(), 101.0) == 1 / 6
 
 
-def test_the_others_leave_a_hall_its_part_that_they_miss_for_long() -> None:
+def test_the_share_excludes_a_hall_that_was_not_seen_recently() -> None:
     membership = make_hall_fleet()
     for address, hall in (("a2:1", "a"), ("b1:1", "b"), ("b2:1", "b")):
         membership.record_alive(Member(address, hall), 0.0, 120.0)
@@ -268,7 +268,7 @@
     assert membership.compute_reachable_share({"a", "b"}, 126.0) == 4 / 6
 
 
-def test_the_part_of_those_that_are_forgotten_is_left_to_them_for_some_time() -> None:
+def test_the_share_excludes_former_members_for_the_retention_period() -> None:
     membership = make_hall_fleet()
     membership.record_alive(Member("a2:1", "a"), 0.0, 170.0)
     membership.drop_expired(170.0)
--- a/tests/relay/fleet/test_peer_traffic.py
+++ b/tests/relay/fleet/test_peer_traffic.py
@@ -1,4 +1,4 @@
-"""The counters of what a VM tells others."""
+"""Tests of the counters of traffic between VMs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert tally.counts["peer_messages_total", "work same_region"] == 2
 
 
-def test_the_counters_cover_all_that_vms_send_each_other() -> None:
+def test_counters_match_the_bytes_carried_between_vms() -> None:
     platform = Platform(places=PLACES, names_hosts=True)
     platform.configure(1)
     platform.add_plain("plain-0")
--- a/tests/relay/fleet/test_throttle.py
+++ b/tests/relay/fleet/test_throttle.py
@@ -1,4 +1,4 @@
-"""Things that are not done more often than they are worth."""
+"""Tests that throttled calls keep their minimum interval."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     return network, Throttle(clock, GAP, lambda: calls.append(clock.now())), calls
 
 
-def test_what_is_asked_for_first_is_done_at_once() -> None:
+def test_first_request_is_executed_at_once() -> None:
     network, throttle, calls = make_throttle()
     throttle.request()
     network.run(0.01)
     assert len(calls) == 1
 
 
-def test_what_is_asked_for_often_is_done_once_a_gap() -> None:
+def test_repeated_requests_are_executed_once_per_interval() -> None:
     network, throttle, calls = make_throttle()
     for _ in range(100):
         throttle.request()
@@ -34,7 +34,7 @@
     assert all(after - before >= GAP - 1e-6 for before, after in itertools.pairwise(calls))
 
 
-def test_what_others_did_just_now_is_not_done_again_before_a_gap() -> None:
+def test_recorded_call_delays_the_next_one_by_the_interval() -> None:
     network, throttle, calls = make_throttle()
     started = network.seconds()
     throttle.record_call()
