--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -72,7 +72,7 @@
 """Seconds within which a connection to a peer must be established."""
 
 MIN_HELLO_INTERVAL_S = 0.5
-"""Seconds before the first periodic hello; the interval doubles each time."""
+"""Initial value of the interval between two hellos, which doubles with each hello."""
 
 MAX_HELLO_INTERVAL_S = 10.0
 """Upper bound of the interval between two hellos."""
@@ -276,9 +276,9 @@
         return self.membership.list_mentions(MAX_MENTIONS, self.clock.now())
 
     def _select_mentions_for(self, connection: PeerConnection) -> list[Mention]:
-        again = MAX_REPEATED_MENTIONS if self._hello_interval == MAX_HELLO_INTERVAL_S else 0
+        max_repeated = MAX_REPEATED_MENTIONS if self._hello_interval == MAX_HELLO_INTERVAL_S else 0
         mentions = self.membership.select_mentions(
-            connection.sent.known_addresses, MAX_MENTIONS, again, self.clock.now()
+            connection.sent.known_addresses, MAX_MENTIONS, max_repeated, self.clock.now()
         )
         connection.sent.record_known(mention.member for mention in mentions)
         return mentions
@@ -335,9 +335,9 @@
         if regular or changes != EMPTY_HEARTBEAT:
             connection.send(changes)
 
-    def _select_backlog_in(self, hall: str, reading: dict[str, int]) -> dict[str, int]:
+    def _select_backlog_in(self, hall: str, backlog: dict[str, int]) -> dict[str, int]:
         """Return the part of the prefill backlog that is on the engines of a hall."""
-        return {name: tokens for name, tokens in reading.items() if self._get_hall_of(name) == hall}
+        return {name: tokens for name, tokens in backlog.items() if self._get_hall_of(name) == hall}
 
     def _get_hall_of(self, upstream: str) -> str:
         found = self.core.listing.find(UpstreamId(upstream))
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -66,14 +66,14 @@
 
 
 class Heartbeat(msgspec.Struct, tag="beat", frozen=True, omit_defaults=True):
-    """The sender's state. Omitted fields are unchanged since the last heartbeat on the connection."""
+    """The sender's state. None in a field means unchanged since the last heartbeat on the connection."""
 
     version: int | None = None
     """Version of the configuration in force; 0 if there is none."""
     revision: int | None = None
     """Revision of the newest entry of the sender's listing; 0 if its listing is incomplete."""
     demands: dict[str, DemandReport] = {}
-    """Demand by service."""
+    """Demand by service; that of omitted services is unchanged."""
     faulty: dict[str, float] = {}
     """Share of the sender's recent requests that failed, by upstream."""
     changing: dict[str, ChangeNews] = {}
@@ -83,7 +83,7 @@
     readings: list[Reading] = []
     """Prompts that engines processed for the sender since its last heartbeat."""
     evacuations: list[Evacuation] | None = None
-    """Evacuations that are in progress or have ended; None if the sender's list is incomplete."""
+    """Evacuations in progress and recently ended ones; None also if the sender's list is incomplete."""
     evacuations_as_of: int = 0
     """The revision up to which the sender knows all evacuations."""
     turned_away: bool = False
@@ -117,7 +117,7 @@
     cleared: list[ClearNews]
     """Requests that completed without a crash."""
     holds: list[HoldNews]
-    """Requests in quarantine that is stored."""
+    """Requests whose quarantine is recorded in the store."""
 
 
 class DepartureUpdate(msgspec.Struct, tag="departures", frozen=True):
@@ -211,5 +211,5 @@
     except zlib.error as problem:
         raise MessageError(str(problem)) from None
     if not unpacker.eof:
-        raise MessageError("the document is cut off, or too long")
+        raise MessageError("compressed document is truncated or too large")
     return raw
--- a/src/beamhatch/relay/fleet/membership.py
+++ b/src/beamhatch/relay/fleet/membership.py
@@ -124,9 +124,9 @@
         if member.address == self.own.address or age > MEMBER_TTL_S:
             return
         before = self._known.get(member.address)
-        heard_at = now - age if before is None else max(now - age, before.last_seen_at)
-        self._known[member.address] = _Known(member, heard_at)
-        self._last_seen_at[member.address] = max(heard_at, self._last_seen_at.get(member.address, heard_at))
+        seen_at = now - age if before is None else max(now - age, before.last_seen_at)
+        self._known[member.address] = _Known(member, seen_at)
+        self._last_seen_at[member.address] = max(seen_at, self._last_seen_at.get(member.address, seen_at))
 
     def get_hall(self, address: str) -> str:
         """Return the hall of a member, or an empty string if it is unknown."""
@@ -140,12 +140,12 @@
     def record_unreachable(self, address: str, now: float) -> None:
         """Record that an address did not answer; it counts as dead until it does."""
         known = self._unreachable.get(address)
-        tries = 1 if known is None else known.failures + 1
-        if known is None or tries <= len(QUICK_RETRY_DELAYS_S):
-            pause = QUICK_RETRY_DELAYS_S[tries - 1]
+        failures = 1 if known is None else known.failures + 1
+        if known is None or failures <= len(QUICK_RETRY_DELAYS_S):
+            delay = QUICK_RETRY_DELAYS_S[failures - 1]
         else:
-            pause = min(MAX_RETRY_DELAY_S, max(FIRST_RETRY_DELAY_S, 2 * known.delay))
-        self._unreachable[address] = _Unreachable(now + pause * random.uniform(0.7, 1.3), pause, tries)
+            delay = min(MAX_RETRY_DELAY_S, max(FIRST_RETRY_DELAY_S, 2 * known.delay))
+        self._unreachable[address] = _Unreachable(now + delay * random.uniform(0.7, 1.3), delay, failures)
 
     def record_store_access(self, address: str, *, store_unreachable: bool) -> None:
         """Record whether a member can reach the store."""
@@ -188,7 +188,7 @@
 
     def list_recent_addresses(self, now: float) -> list[str]:
         """Return the addresses of other VMs seen within the retention period, including those out of contact."""
-        return [address for address, heard_at in self._last_seen_at.items() if now - heard_at <= ADDRESS_RETENTION_S]
+        return [address for address, seen_at in self._last_seen_at.items() if now - seen_at <= ADDRESS_RETENTION_S]
 
     def count_recent(self, now: float) -> int:
         """Return the number of VMs seen within the retention period, including this one and those out of contact."""
--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -67,7 +67,7 @@
         self._waiting: defer.Deferred[int | StoreLost | HistoryGone] | None = None
         self._renewing = False
         self.connected = True
-        """Whether the last call to the store was answered."""
+        """Whether the store answered the last call; True before the first one."""
         self._lost_at = 0.0
         self._retry_delay = MIN_RETRY_DELAY_S
 
