--- a/src/beamhatch/relay/choosing/peer_backlog.py
+++ b/src/beamhatch/relay/choosing/peer_backlog.py
@@ -8,13 +8,13 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.fleet.peer_words import PeerWords
+from beamhatch.relay.fleet.peer_values import PeerValues
 
 if TYPE_CHECKING:
     from beamhatch.relay.model import UpstreamId
 
 
-class PeerBacklog(PeerWords[Mapping[str, int]]):
+class PeerBacklog(PeerValues[Mapping[str, int]]):
     """Pending prompt tokens of each peer, by engine."""
 
     __slots__ = ()
--- a/src/beamhatch/relay/fleet/peer_connection.py
+++ b/src/beamhatch/relay/fleet/peer_connection.py
@@ -1,4 +1,4 @@
-"""Connections to other VMs, whoever dialled: whole messages in, whole messages out."""
+"""Connections to other VMs, which frame, encode and decode messages."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from twisted.internet.protocol import ClientFactory, Factory, connectionDone
 from twisted.protocols.basic import Int32StringReceiver
 
-from beamhatch.relay.fleet.far_words import HeardWords, ToldWords
-from beamhatch.relay.fleet.gossip_message import MOST_BYTES, Message, MessageError, decode, encode
+from beamhatch.relay.fleet.gossip_message import MAX_MESSAGE_BYTES, Message, MessageError, decode, encode
+from beamhatch.relay.fleet.peer_state import ReceivedState, SentState
 
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
@@ -18,117 +18,120 @@
     from beamhatch.observe.journal import Journal
 
 
-class PeerTalk(ABC):
-    """What a VM does with its connections and what is said on them."""
+class PeerHandler(ABC):
+    """The owner of the connections, which handles their events and messages."""
 
     clock: Clock
     journal: Journal
 
     @abstractmethod
-    def add(self, connection: PeerConnection) -> None:
-        """Take in a connection that came up."""
+    def add_connection(self, connection: PeerConnection) -> None:
+        """Register an established connection."""
 
     @abstractmethod
-    def remove(self, connection: PeerConnection) -> None:
-        """Drop a connection that ended."""
+    def remove_connection(self, connection: PeerConnection) -> None:
+        """Forget a closed connection."""
 
     @abstractmethod
-    def note_unreached(self, address: str) -> None:
-        """Note that an address did not answer."""
+    def record_unreachable(self, address: str) -> None:
+        """Record a failed connection attempt."""
 
     @abstractmethod
-    def note_sent(self, connection: PeerConnection, message: Message, size: int) -> None:
-        """Count a message that was sent, with the bytes of its encoding."""
+    def record_sent(self, connection: PeerConnection, message: Message, size: int) -> None:
+        """Count a sent message.
+
+        :param size: bytes of the encoded message
+        """
 
     @abstractmethod
-    def take(self, connection: PeerConnection, message: Message) -> None:
-        """Take in one message.
+    def handle_message(self, connection: PeerConnection, message: Message) -> None:
+        """Apply a message or answer it.
 
-        :raises MessageError: where it can't be read
+        :raises MessageError: if its content cannot be read
         """
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection to a peer."""
+    """A connection to a peer, dialled by either side."""
 
-    MAX_LENGTH = MOST_BYTES
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
-    def __init__(self, talk: PeerTalk, dialled: str | None) -> None:
-        self.dialled = dialled
-        """The address that this VM dialled, or None where the peer did."""
+    def __init__(self, talk: PeerHandler, dialled: str | None) -> None:
+        self.dialled_address = dialled
+        """The address that this VM dialled; None if the peer dialled."""
         self.vm = ""
-        """The peer's name, once it has said it."""
+        """The peer's name; empty until its first hello."""
         self.hall = ""
-        """The peer's hall, once it has said it, or as others told it where this VM dialled."""
+        """The peer's hall; before its first hello, as other members reported it, or empty."""
         self.address = ""
-        """Where the peer listens, once it has said it."""
-        self.heard_at = 0.0
-        self.heard = HeardWords()
-        self.told = ToldWords()
-        self._talk = talk
+        """Where the peer listens; empty until its first hello."""
+        self.last_received_at = 0.0
+        self.received = ReceivedState()
+        self.sent = SentState()
+        self._handler = talk
 
     @property
-    def adds_up(self) -> bool:
-        """Tell whether the peer says that it adds up what its hall tells."""
-        return self.heard.adds_up
+    def is_aggregator(self) -> bool:
+        """Return whether the peer aggregates the reports of its hall."""
+        return self.received.is_aggregator
 
     def connectionMade(self) -> None:
-        """Say who this is."""
+        """Register the connection with its handler."""
         self.transport.setTcpNoDelay(True)
-        self.heard_at = self._talk.clock.now()
-        self._talk.add(self)
+        self.last_received_at = self._handler.clock.now()
+        self._handler.add_connection(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Drop the connection."""
-        self._talk.remove(self)
+        """Remove the connection from its handler."""
+        self._handler.remove_connection(self)
 
     def stringReceived(self, string: bytes) -> None:
-        """Take in one message."""
-        self.heard_at = self._talk.clock.now()
+        """Decode a message and pass it to the handler."""
+        self.last_received_at = self._handler.clock.now()
         try:
-            self._talk.take(self, decode(string))
+            self._handler.handle_message(self, decode(string))
         except MessageError as problem:
-            self._talk.journal.write("PEER", "bad message", vm=self.vm, detail=str(problem))
+            self._handler.journal.write("PEER", "bad message", vm=self.vm, detail=str(problem))
             self.transport.abortConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Drop a peer that sends too much."""
-        self._talk.journal.write("PEER", "message too long", vm=self.vm, length=length)
+        """Abort the connection of a peer whose message is too long."""
+        self._handler.journal.write("PEER", "message too long", vm=self.vm, length=length)
         self.transport.abortConnection()
 
-    def tell(self, message: Message) -> None:
-        """Send a message."""
+    def send(self, message: Message) -> None:
+        """Encode and send a message."""
         data = encode(message)
         self.sendString(data)
-        self._talk.note_sent(self, message, len(data))
+        self._handler.record_sent(self, message, len(data))
 
 
-class Accept(Factory):
-    """Makes the connections that peers dial."""
+class PeerServerFactory(Factory):
+    """Factory of the connections that peers dial."""
 
     noisy = False
 
-    def __init__(self, talk: PeerTalk) -> None:
+    def __init__(self, talk: PeerHandler) -> None:
         self._talk = talk
 
     def buildProtocol(self, _: Any) -> PeerConnection:
-        """Return a new connection."""
+        """Return the protocol of a new connection."""
         return PeerConnection(self._talk, None)
 
 
-class Dial(ClientFactory):
-    """Makes a connection to an address."""
+class PeerClientFactory(ClientFactory):
+    """Factory of a connection that this VM dials."""
 
     noisy = False
 
-    def __init__(self, talk: PeerTalk, address: str) -> None:
+    def __init__(self, talk: PeerHandler, address: str) -> None:
         self._talk = talk
         self._address = address
 
     def buildProtocol(self, _: Any) -> PeerConnection:
-        """Return a new connection."""
+        """Return the protocol of a new connection."""
         return PeerConnection(self._talk, self._address)
 
     def clientConnectionFailed(self, _: Any, reason: Failure) -> None:
-        """Note that nobody is there."""
-        self._talk.note_unreached(self._address)
+        """Report the failed attempt to the handler."""
+        self._talk.record_unreachable(self._address)
--- /dev/null
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -0,0 +1,240 @@
+"""Watchers that read the operators' directives and the upstream listing from the store, then wait for changes."""
+
+from __future__ import annotations
+
+import random
+from abc import ABC, abstractmethod
+from dataclasses import replace
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet import defer
+
+from beamhatch.clock import sleep
+from beamhatch.relay.api import DirectiveNews, HistoryGone, ListingNews, StoreLost
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from beamhatch.relay.api import Store
+    from beamhatch.relay.core import Core
+
+WATCH_TIMEOUT_S = 20.0
+"""Seconds for which the store holds a watch open when nothing changes."""
+
+IDLE_INTERVAL_S = 0.25
+"""Seconds between two checks by a VM that does not watch whether it should."""
+
+STARTUP_POLL_INTERVAL_S = 0.02
+"""Seconds between two checks at the start whether peers have sent the data."""
+
+MIN_RETRY_DELAY_S = 0.15
+"""Seconds before the first retry after the store failed; the delay doubles with each failure."""
+
+UNREACHABLE_AFTER_S = 0.5
+"""Seconds without an answer after which the store counts as unreachable; a single failed call does not suffice."""
+
+MAX_RETRY_DELAY_S = 1.0
+"""Upper bound of the delay between retries."""
+
+
+class StoreWatcher(ABC):
+    """A watcher of one kind of data in the store; ``name`` identifies it in logs and metrics."""
+
+    name = ""
+    settle_delay_s = 0.0
+    """Seconds between a change and the next watch, so that one call returns several changes."""
+
+    def __init__(
+        self,
+        core: Core,
+        store: Store,
+        should_watch: Callable[[], bool],
+        has_peers: Callable[[], bool],
+        peer_timeout: float,
+    ) -> None:
+        """Create a watcher.
+
+        :param should_watch: returns whether this VM watches the store instead of relying on its peers
+        :param has_peers: returns whether any peer is connected
+        :param peer_timeout: seconds to wait at the start for peers to send the data
+        """
+        self.core = core
+        self.store = store
+        self._should_watch = should_watch
+        self._has_peers = has_peers
+        self._peer_timeout = peer_timeout
+        self._running: defer.Deferred[None] | None = None
+        self._waiting: defer.Deferred[int | StoreLost | HistoryGone] | None = None
+        self._renewing = False
+        self.connected = True
+        """Whether the store answered the last call; True before the first one."""
+        self._lost_at = 0.0
+        self._retry_delay = MIN_RETRY_DELAY_S
+
+    def start(self) -> None:
+        """Start to read and watch."""
+        self._running = defer.ensureDeferred(self._run())
+        self._running.addErrback(self._handle_exit)
+
+    def stop(self) -> None:
+        """Stop watching."""
+        running, self._running = self._running, None
+        if running is not None:
+            running.cancel()
+
+    def restart_watch(self) -> None:
+        """Cancel the pending watch and start a new one, as the store may have lost the answer during an outage."""
+        if self._waiting is not None and not self._waiting.called:
+            self._renewing = True
+            self._waiting.cancel()
+
+    def is_store_unreachable(self) -> bool:
+        """Return whether the store has not answered for so long that another VM should watch it."""
+        return not self.connected and self.core.clock.now() - self._lost_at > UNREACHABLE_AFTER_S
+
+    @abstractmethod
+    def has_data(self) -> bool:
+        """Return whether this VM has the data, from the store or from a peer."""
+
+    @abstractmethod
+    async def read(self) -> int | StoreLost:
+        """Read and apply all data; return the revision at which it was read."""
+
+    @abstractmethod
+    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+        """Wait for changes after a revision and apply them; return the revision up to which they were read."""
+
+    async def _run(self) -> None:
+        await self._await_peers()
+        has_read = False
+        while True:
+            if not self._should_watch() and (has_read or self.has_data() or self._has_peers()):
+                await sleep(self.core.clock, IDLE_INTERVAL_S * random.uniform(0.7, 1.3))
+                continue
+            at = await self.read()
+            if isinstance(at, StoreLost):
+                await self._wait_before_retry(at)
+                continue
+            has_read = True
+            self._record_connected(at)
+            await self._follow(at)
+
+    async def _await_peers(self) -> None:
+        """Wait up to the peer timeout for peers to send the data."""
+        end = self.core.clock.now() + self._peer_timeout
+        while not self.has_data() and self.core.clock.now() < end:
+            await sleep(self.core.clock, STARTUP_POLL_INTERVAL_S)
+
+    async def _follow(self, at: int) -> None:
+        """Watch from a revision on until the store fails, its history is gone, or other VMs watch.
+
+        After a failure the caller reads everything again: a read fails within seconds if the store still does not
+        answer, whereas a new watch would fail only after its long timeout.
+        """
+        while self._should_watch():
+            result = await self._watch_once(at)
+            if result is None:
+                continue
+            if isinstance(result, HistoryGone):
+                self.core.journal.write("STORE", "history gone", watch=self.name, after=at)
+                return
+            if isinstance(result, StoreLost):
+                await self._wait_before_retry(result)
+                return
+            self._record_connected(result)
+            if result > at:
+                await sleep(self.core.clock, self.settle_delay_s)
+            at = result
+
+    async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
+        """Watch for changes after a revision; return None if the watch was cancelled to be restarted."""
+        self._waiting = defer.ensureDeferred(self.watch(at))
+        try:
+            return await self._waiting
+        except defer.CancelledError:
+            if not self._renewing:
+                raise
+            self._renewing = False
+            return None
+
+    async def _wait_before_retry(self, lost: StoreLost) -> None:
+        if self.connected:
+            self.connected = False
+            self._lost_at = self.core.clock.now()
+            self.core.journal.write("STORE", "lost", watch=self.name, detail=lost.detail)
+        self.core.tally.count("store_failures_total", self.name)
+        await sleep(self.core.clock, self._retry_delay * random.uniform(0.5, 1.0))
+        self._retry_delay = min(MAX_RETRY_DELAY_S, self._retry_delay * 2)
+
+    def _record_connected(self, at: int) -> None:
+        self._retry_delay = MIN_RETRY_DELAY_S
+        if not self.connected:
+            self.connected = True
+            self.core.journal.write("STORE", "regained", watch=self.name, revision=at)
+
+    def _handle_exit(self, failure: Any) -> None:
+        if not failure.check(defer.CancelledError):
+            self.core.journal.write("STORE", "watcher failed", watch=self.name, error=failure.getTraceback())
+            self.core.clock.call_later(MAX_RETRY_DELAY_S, self.start)
+
+
+class DirectivesWatcher(StoreWatcher):
+    """A watcher of the operators' directives: the configuration and the evacuated halls."""
+
+    name = "directives"
+
+    def has_data(self) -> bool:
+        """Return whether the configuration and all evacuations are known."""
+        return self.core.table is not None and self.core.eligibility.evacuations.complete
+
+    async def read(self) -> int | StoreLost:
+        """Read and apply all directives."""
+        directives = await self.store.read_directives(self.core.eligibility.evacuations.as_of)
+        if isinstance(directives, StoreLost):
+            return directives
+        self._apply(directives, whole=directives.settled or not self.core.eligibility.evacuations.complete)
+        return directives.at
+
+    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+        """Wait for changed directives and apply them."""
+        directives = await self.store.watch_directives(after, WATCH_TIMEOUT_S)
+        if not isinstance(directives, DirectiveNews):
+            return directives
+        self._apply(directives, whole=False)
+        return directives.at
+
+    def _apply(self, directives: DirectiveNews, *, whole: bool) -> None:
+        if directives.document is not None:
+            self.core.take_document(directives.document, "store")
+        # an unsettled list ends no evacuations: peers may know some that the operators have yet to write again
+        as_of = directives.at if directives.settled else 0
+        self.core.take_evacuations(directives.evacuations, "store", as_of=as_of, whole=whole)
+
+
+class ListingWatcher(StoreWatcher):
+    """A watcher of the upstream listing."""
+
+    name = "listing"
+    settle_delay_s = 0.2
+
+    def has_data(self) -> bool:
+        """Return whether the listing is complete."""
+        return self.core.listing.complete
+
+    async def read(self) -> int | StoreLost:
+        """Read and apply the listing."""
+        listing = await self.store.read_listing(self.core.listing.find_oldest())
+        if isinstance(listing, StoreLost):
+            return listing
+        # an unsettled list removes no upstreams: peers may know some that have yet to write their entries again
+        applied = listing if listing.settled else replace(listing, at=0)
+        self.core.take_listing(applied, "store", whole=listing.settled or not self.core.listing.complete)
+        return listing.at
+
+    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+        """Wait for changes of the listing and apply them."""
+        listing = await self.store.watch_listing(after, WATCH_TIMEOUT_S)
+        if isinstance(listing, ListingNews):
+            self.core.take_listing(listing, "store", whole=False)
+            return listing.at
+        return listing
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -48,9 +48,9 @@
 def test_an_evacuated_hall_gets_nothing_until_its_evacuation_ends() -> None:
     upstreams = [make_upstream("a"), make_upstream("b")]
     eligibility = make_eligibility(*upstreams)
-    eligibility.evacuations.take(Evacuation("a", 2, True), 10.0)
+    eligibility.evacuations.apply(Evacuation("a", 2, True), 10.0)
     assert eligibility.list_eligible(upstreams, None, None, 10.0) == upstreams[1:]
-    eligibility.evacuations.take(Evacuation("a", 3, False), 11.0)
+    eligibility.evacuations.apply(Evacuation("a", 3, False), 11.0)
     assert eligibility.list_eligible(upstreams, None, None, 11.0) == upstreams
 
 
@@ -75,8 +75,8 @@
 def test_upstreams_count_as_cold_after_the_evacuation_of_their_hall() -> None:
     upstreams = [make_upstream("a")]
     eligibility = make_eligibility(*upstreams)
-    eligibility.evacuations.take(Evacuation("a", 2, True), 10.0)
-    eligibility.evacuations.take(Evacuation("a", 3, False), 20.0)
+    eligibility.evacuations.apply(Evacuation("a", 2, True), 10.0)
+    eligibility.evacuations.apply(Evacuation("a", 3, False), 20.0)
     assert not eligibility.list_eligible(upstreams, None, COLD, 22.9)
     assert eligibility.list_eligible(upstreams, None, COLD, 23.1) == upstreams
 
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -49,7 +49,7 @@
     assert shortage is not None
     assert (shortage.obstacle, shortage.wait) == (Obstacle.LEAVING, LEAVING_RETRY_S)
     for hall in "ab":
-        eligibility.evacuations.take(Evacuation(hall, 2, True), NOW)
+        eligibility.evacuations.apply(Evacuation(hall, 2, True), NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW)
     assert shortage is not None
     assert (shortage.obstacle, shortage.wait) == (Obstacle.EVACUATED, EVACUATED_RETRY_S)
