--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -32,7 +32,7 @@
     from beamhatch.platform.documents import PlatformDocuments
     from beamhatch.platform.epochs import Epoch
     from beamhatch.relay.model import Address
-    from beamhatch.relay.requests.answer import WholeAnswer
+    from beamhatch.relay.requests.response import BufferedResponse
     from beamhatch.relay.upstreams.http_client import HttpClient
     from beamhatch.relay.upstreams.listing import Entry
 
@@ -297,7 +297,7 @@
         events = self._place(answer, _Events)
         return HistoryGone() if isinstance(events, _Events) and find_epoch(events.at) != find_epoch(after) else events
 
-    def _note_epoch(self, answer: WholeAnswer) -> Epoch:
+    def _note_epoch(self, answer: BufferedResponse) -> Epoch:
         """Take in the epoch that an answer tells, and return it."""
         epoch = read_epoch(answer.head.headers)
         before = self._epochs.epoch
@@ -305,7 +305,7 @@
             self._documents.journal.write("STORE", "restored from a backup", epoch=epoch, before=before)
         return epoch
 
-    def _place(self, answer: WholeAnswer | str, wanted: type[Listed]) -> Listed | StoreLost:
+    def _place(self, answer: BufferedResponse | str, wanted: type[Listed]) -> Listed | StoreLost:
         """Return the items of an answer, with positions in place of revisions."""
         if isinstance(answer, str):
             return StoreLost(answer)
@@ -318,12 +318,12 @@
             item.revision = make_position(epoch, item.revision)
         return found
 
-    async def _post(self, name: str, body: object, timeout: float = READ_TIMEOUT) -> WholeAnswer | str:
+    async def _post(self, name: str, body: object, timeout: float = READ_TIMEOUT) -> BufferedResponse | str:
         headers = [("Host", str(self._address)), ("Content-Type", "application/json")]
         call = Call("POST", f"/api/{name}", headers, msgspec.json.encode(body))
         return await fetch(self._client, self._clock, self._address, call, timeout)
 
-    async def _get(self, name: str, query: dict[str, str], timeout: float = READ_TIMEOUT) -> WholeAnswer | str:
+    async def _get(self, name: str, query: dict[str, str], timeout: float = READ_TIMEOUT) -> BufferedResponse | str:
         call = Call("GET", f"/api/{name}?{urlencode(query)}", [("Host", str(self._address))])
         return await fetch(self._client, self._clock, self._address, call, timeout)
 
@@ -344,14 +344,14 @@
     return Fingerprint(bytes.fromhex(name))
 
 
-def _find_loss(answer: WholeAnswer | str) -> StoreLost | None:
+def _find_loss(answer: BufferedResponse | str) -> StoreLost | None:
     """Return whether a change may not have been made; where its condition did not hold, another VM has made it."""
     if isinstance(answer, str):
         return StoreLost(answer)
     return None if answer.head.status in (200, 412) else StoreLost(f"status {answer.head.status}")
 
 
-def _decode(answer: WholeAnswer | str, wanted: type[Read]) -> Read | StoreLost:
+def _decode(answer: BufferedResponse | str, wanted: type[Read]) -> Read | StoreLost:
     if isinstance(answer, str):
         return StoreLost(answer)
     if answer.head.status != 200:
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -26,11 +26,11 @@
 from beamhatch.relay.places import Places
 from beamhatch.relay.quarantine.quarantine import Quarantine
 from beamhatch.relay.quarantine.talk import QuarantineTalk, TalkNeeds
-from beamhatch.relay.requests.budget import Budget, BudgetTerms
-from beamhatch.relay.requests.exchange import HELD, REGION_RETRY, RelayExchange
-from beamhatch.relay.requests.fingerprint import find_fingerprint
-from beamhatch.relay.requests.lengths import AnswerLengths
-from beamhatch.relay.requests.memory_lines import MemoryLines
+from beamhatch.relay.requests.exchange import QUARANTINE_REASON, REGION_RETRY_AFTER_S, RelayExchange
+from beamhatch.relay.requests.fingerprint import compute_fingerprint
+from beamhatch.relay.requests.memory_queues import MemoryQueues
+from beamhatch.relay.requests.output_lengths import OutputLengths
+from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
 from beamhatch.relay.upstreams.announcements import Announcements
 from beamhatch.relay.upstreams.listing import Listing
 from beamhatch.relay.workspaces.admission import Admission, Admitted, OverQuota, Undecided
@@ -94,7 +94,7 @@
 class Terms:
     """Bounds that the platform sets; a reload may change them."""
 
-    budget: BudgetTerms = field(default_factory=BudgetTerms)
+    budget: RetryBudgetTerms = field(default_factory=RetryBudgetTerms)
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,10 +159,10 @@
     on_work: Callable[[], None] = lambda: None
     """Called when this VM's part of what an engine has to read has changed."""
     places: Places = field(default_factory=Places)
-    _budgets: dict[ServiceName, Budget] = field(default_factory=dict)
-    lines: MemoryLines = field(init=False)
+    _budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
+    lines: MemoryQueues = field(init=False)
     _demands: defaultdict[ServiceName, Demand] = field(default_factory=lambda: defaultdict(Demand))
-    _lengths: defaultdict[ServiceName, AnswerLengths] = field(default_factory=lambda: defaultdict(AnswerLengths))
+    _lengths: defaultdict[ServiceName, OutputLengths] = field(default_factory=lambda: defaultdict(OutputLengths))
     _read_times: defaultdict[ServiceName, ReadTimes] = field(default_factory=lambda: defaultdict(ReadTimes))
     _returns: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
     cold_watch: ColdWatch = field(default_factory=ColdWatch)
@@ -186,7 +186,7 @@
         )
         self.announcements.limits.count_vms = lambda: self.vms
         self.chooser.find_cold_cost = self.find_cold_cost
-        self.lines = MemoryLines(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
+        self.lines = MemoryQueues(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
         self.quarantine_talk = QuarantineTalk(
             TalkNeeds(self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits)
         )
@@ -227,7 +227,7 @@
         )
         self._report_unknown_regions(document.table)
         for exchange in list(self.exchanges):
-            exchange.take_table(document.table)
+            exchange.apply_table(document.table)
         self.on_change()
         return True
 
@@ -448,11 +448,11 @@
             self.journal.write("LISTING", "changing", upstream=upstream, certain=True, source="turned away")
             self.on_change()
 
-    def find_budget(self, service: ServiceName) -> Budget:
+    def find_budget(self, service: ServiceName) -> RetryBudget:
         """Return the budget of repeated sends to a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = Budget(self.terms.budget, self.started)
+            budget = self._budgets[service] = RetryBudget(self.terms.budget, self.started)
         budget.terms = self.terms.budget
         return budget
 
@@ -464,14 +464,14 @@
         """Return how long the prompts of a service took of late."""
         return self._read_times[service]
 
-    def find_lengths(self, service: ServiceName) -> AnswerLengths:
+    def find_lengths(self, service: ServiceName) -> OutputLengths:
         """Return how long the answers of a service become."""
         return self._lengths[service]
 
     def note_length(self, service: ServiceName, facts: RequestFacts, tokens: int) -> None:
         """Learn how long an answer became."""
         if Mechanism.LEARNED_ROOM not in self.without:
-            self._lengths[service].note(facts, tokens)
+            self._lengths[service].record(facts, tokens)
 
     def report_demand(self, service: ServiceName) -> DemandReport:
         """Return what this VM's streams ask of a service, as other VMs are told."""
@@ -512,9 +512,9 @@
         if isinstance(place, _Refusal):
             self._refuse(responder, place, facts.id)
             return None
-        self.find_budget(place.service.name).note_request(self.clock.now())
+        self.find_budget(place.service.name).record_request(self.clock.now())
         if place.service.engine is not None:
-            answer = self.find_lengths(place.service.name).find_mean(facts)
+            answer = self.find_lengths(place.service.name).compute_mean_tokens(facts)
             self.find_demand(place.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
         exchange = RelayExchange(
             self,
@@ -549,7 +549,7 @@
             return _make_refusal(decision, table.version)
         regions = table.find_regions(route, decision.workspace)
         refusal = None if regions is None else self._refuse_by_regions(regions, table.version)
-        fingerprint = find_fingerprint(incoming, decision.workspace)
+        fingerprint = compute_fingerprint(incoming, decision.workspace)
         refusal = refusal or self._refuse_held(fingerprint)
         if refusal is not None:
             self.admission.give_back(decision, self.clock.now())
@@ -561,7 +561,9 @@
         if hold is None:
             return None
         self.tally.count("quarantine_refusals_total")
-        return _Refusal(503, f"{HELD}, fingerprint {fingerprint.hex()}", math.ceil(hold.until - self.clock.now()))
+        return _Refusal(
+            503, f"{QUARANTINE_REASON}, fingerprint {fingerprint.hex()}", math.ceil(hold.until - self.clock.now())
+        )
 
     def _refuse_by_regions(self, regions: frozenset[RegionName], version: int) -> _Refusal | None:
         """Return how a request is refused that no hall may serve, or None where one may.
@@ -574,7 +576,7 @@
         if regions:
             self.tally.count("residency_refusals_total", "no_hall")
             named = ", ".join(sorted(regions))
-            return _Refusal(503, f"the settings place no hall in an allowed region ({named})", REGION_RETRY)
+            return _Refusal(503, f"the settings place no hall in an allowed region ({named})", REGION_RETRY_AFTER_S)
         detail = f"route and workspace allow no region in common, by version {version}"
         if self.admission.may_be_behind():
             self.tally.count("residency_refusals_total", "maybe_never")
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -39,7 +39,7 @@
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.api import Dialect, Documents, Store
     from beamhatch.relay.callers.http_server import IncomingRequest, Responder
-    from beamhatch.relay.requests.budget import BudgetTerms
+    from beamhatch.relay.requests.retry_budget import RetryBudgetTerms
     from beamhatch.relay.workspaces.quota import LimitChange, QuotaShare
 
 BACKLOG = 1024
@@ -79,7 +79,7 @@
     store_address: Address
     grace: float
     """Seconds that a planned stop may take."""
-    budget: BudgetTerms
+    budget: RetryBudgetTerms
     quota: QuotaTerms = field(default_factory=QuotaTerms)
     peer_address: Address | None = None
     seeds: list[str] = field(default_factory=list)
@@ -252,7 +252,7 @@
         elapsed = self.clock.now() - self._stopping_since
         if elapsed > self.settings.grace - STOP_MARGIN:
             for exchange in list(self.core.exchanges):
-                exchange.cut("this VM stops")
+                exchange.abort("this VM stops")
             self.clock.call_later(STOP_INTERVAL, self._end, elapsed)
             return
         self.core.stopping = elapsed > LAST_TAKEN
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -17,10 +17,10 @@
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
 from beamhatch.relay.places import Distance
-from beamhatch.relay.requests.answer import PROMISES, WholeAnswer
-from beamhatch.relay.requests.line import Claim
-from beamhatch.relay.requests.memory_lines import LineKey, PlaceTerms, Waiter
+from beamhatch.relay.requests.memory_queue import Claim
+from beamhatch.relay.requests.memory_queues import QueuedRequest, QueueKey, QueueTerms
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
+from beamhatch.relay.requests.response import NOT_RUN_STATUSES, BufferedResponse
 from beamhatch.relay.upstreams.announcements import AnnouncementSink
 from beamhatch.relay.upstreams.attempt import Attempt
 from beamhatch.relay.upstreams.http_client import Call
@@ -34,60 +34,60 @@
     from beamhatch.relay.choosing.eligibility import SendPermit
     from beamhatch.relay.core import Core
     from beamhatch.relay.model import Fingerprint, Life, Regions, RequestFacts, Route, Service, Table, Upstream
-    from beamhatch.relay.requests.line import Line
+    from beamhatch.relay.requests.memory_queue import MemoryQueue
     from beamhatch.relay.upstreams.http_client import Head
     from beamhatch.relay.workspaces.admission import Admitted
 
-ANSWER_MARGIN = 0.03
+RESPONSE_MARGIN_S = 0.03
 """Seconds before the caller's deadline at which it is answered, so that the answer still arrives."""
 
-LEAST_TIME = 0.02
+MIN_SEND_TIME_S = 0.02
 """Seconds below which nothing is sent any more."""
 
 RETRY_AFTER_SHARE = 0.5
 """Share of the target latency after which a refused caller may come back."""
 
-IN_TIME_SHARE = 0.55
+ON_TIME_SHARE = 0.55
 """Share of the target latency within which decode memory has to come free for an answer in time."""
 
 FIRST_EVENT_SHARE = 0.9
 """Share of the target latency that a prediction of the first event has to keep, as some come later."""
 
-RETRY_SPREAD = 0.3
+RETRY_JITTER = 0.3
 """Part by which the times to come back differ to both sides, so that callers that left together return one by one."""
 
-LONGEST_RETRY_SHARE = 0.33
+MAX_RETRY_AFTER_SHARE = 0.33
 """Share of the caller's time left after which it is told to come back at the latest: it would not wait for longer."""
 
-SHORTEST_RETRY = 0.15
+MIN_RETRY_AFTER_S = 0.15
 """Seconds after which a caller may come back at the earliest: time for another VM to learn what this one did."""
 
-SHORTEST_COLD_WAIT = 0.02
+MIN_COLD_WAIT_S = 0.02
 """Seconds for which a request waits for a cold upstream at the least: a plan among 1,000 of them takes 1 ms."""
 
-COLD_MARGIN = 0.002
+COLD_MARGIN_S = 0.002
 """Seconds behind the time at which a cold upstream should have room: the granularity of timers."""
 
-NO_SIGNATURE_STATUS = 502
+MAY_HAVE_RUN_STATUS = 502
 """Status of an own failure behind a send that may have run: it promises nothing."""
 
-TIMED_OUT_STATUS = 504
+TIMEOUT_STATUS = 504
 """Status of a request that may have run and whose time is over."""
 
-REGION_RETRY = 1.0
+REGION_RETRY_AFTER_S = 1.0
 """Seconds after which a caller may come back where no upstream in an allowed region can serve it.
 
 An upstream restarts in 2 s, and a caller comes back for a third of the time it has left: about 4 s of 14 s.
 """
 
-HELD = "each upstream that began to run it has ended"
+QUARANTINE_REASON = "each upstream that began to run it has ended"
 """Why a request in quarantine is refused."""
 
-FRESH_IDLE = 1.0
+MAX_IDLE_S = 1.0
 """Seconds that a kept connection may have been idle for a request that may not be sent twice."""
 
 
-class RelayExchange(RequestHandler, Waiter):
+class RelayExchange(RequestHandler, QueuedRequest):
     """One request under way."""
 
     def __init__(
@@ -111,44 +111,48 @@
             facts,
             route,
             service,
-            answer_room=0 if service.engine is None else core.find_lengths(service.name).find_room(facts),
-            reserves=Mechanism.RESERVATIONS not in core.without,
-            late_at=late_at,
+            reserve_output_tokens=0
+            if service.engine is None
+            else core.find_lengths(service.name).compute_reserve_tokens(facts),
+            reserves_memory=Mechanism.RESERVATIONS not in core.without,
+            on_time_until=late_at,
             regions=regions,
             body_bytes=len(incoming.body),
         )
-        self._claim = Claim(admitted.workspace, admitted.priority, facts.prompt_tokens + self.request.answer_room)
+        self._claim = Claim(
+            admitted.workspace, admitted.priority, facts.prompt_tokens + self.request.reserve_output_tokens
+        )
         self.fingerprint = fingerprint
         self._incoming = incoming
         self._responder = responder
-        self._passed_on = strip_hop_by_hop(incoming.headers)
+        self._forwarded_headers = strip_hop_by_hop(incoming.headers)
         self._attempt: Attempt | ReserveAttempt | None = None
-        self._in_line = False
+        self._in_queue = False
         self._permit: SendPermit | None = None
         """Room for the stream at an engine that is cold or names a limit, and has set memory aside or is asked to."""
-        self._cold_since: float | None = None
+        self._cold_wait_began_at: float | None = None
         """When the request began to wait for room at a cold upstream, in monotonic seconds."""
         self._cold_timer: Any = None
-        self._memory_since: float | None = None
+        self._memory_acquired_at: float | None = None
         """When the request got decode memory, in monotonic seconds."""
-        self._returns = core.is_return(route, facts.time_left)
-        self._timer: Any = None
-        self._failure: WholeAnswer | None = None
-        self._first_event = 0.0
+        self._is_returning = core.is_return(route, facts.time_left)
+        self._deadline_timer: Any = None
+        self._upstream_failure: BufferedResponse | None = None
+        self._first_event_s = 0.0
         """Seconds from the request's arrival to the first event of its stream."""
-        self._events_at: float | None = None
-        self._longest_gap = 0.0
+        self._last_events_at: float | None = None
+        self._max_event_gap_s = 0.0
         self._ended = False
 
     # --- the way through ---------------------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Begin."""
-        self._set_timer()
+        self._start_deadline_timer()
         if self._ended:
             return
-        if self.request.split and self._line.has_fresh(self.core.clock.now()) and self._list_usable():
-            self._wait_in_line()
+        if self.request.split and self._queue.has_on_time(self.core.clock.now()) and self._list_usable():
+            self._wait_for_memory()
         else:
             self.advance()
 
@@ -157,7 +161,7 @@
         if self._ended or self._attempt is not None:
             return
         self._stop_cold_timer()
-        self._carry_out(self._plan(self.core.clock.now()))
+        self._execute(self._plan(self.core.clock.now()))
 
     def _plan(self, now: float) -> Step:
         request = self.request
@@ -166,8 +170,12 @@
         if hold is not None:  # its run under way goes on: what comes to a good end clears it
             self.core.tally.count("quarantine_refusals_total")
             wait = math.ceil(hold.until - now)
-            return Fail(HELD) if request.doubt else Refuse(HELD, retry_after=wait, earlier_is_vain=True)
-        self._let_go_of_shut()
+            return (
+                Fail(QUARANTINE_REASON)
+                if request.may_have_run
+                else Refuse(QUARANTINE_REASON, retry_after_s=wait, retry_after_is_minimum=True)
+            )
+        self._release_unusable()
         usable = self._list_usable()
         answering = any(one.phase is not Phase.PREFILL for one in usable)
         may_go_on = answering or request.reservation is not None
@@ -178,25 +186,25 @@
             if lack.obstacle is Obstacle.LIMITED:
                 back = self.core.promise_turn(service, lack)
             else:
-                back = spread_return(lack.wait, random.random(), owed=self._returns)
-            step = request.refuse_shut(f"nothing may be sent to any upstream: {lack.obstacle.value}", back)
+                back = spread_return(lack.wait, random.random(), owed=self._is_returning)
+            step = request.refuse_unavailable(f"nothing may be sent to any upstream: {lack.obstacle.value}", back)
         else:
             vms = max(self.core.vms, self.core.vms_lately)
             step = request.plan(usable, self.core.chooser, self.core.find_budget(service), vms, now)
-        if isinstance(step, Refuse) and not step.full and request.regions is not None:
-            return self._explain_by_regions(step, request.regions)
+        if isinstance(step, Refuse) and not step.memory_full and request.regions is not None:
+            return self._refuse_in_regions(step, request.regions)
         return step
 
     @property
-    def _line(self) -> Line[Waiter]:
+    def _queue(self) -> MemoryQueue[QueuedRequest]:
         """Return the line in which it waits, where it has to."""
-        return self.core.lines.find(self.request.service.name, self.request.regions)
+        return self.core.lines.get(self.request.service.name, self.request.regions)
 
     def _list_usable(self) -> list[Upstream]:
-        owed = self._returns or self.request.doubt
+        owed = self._is_returning or self.request.may_have_run
         return self.core.list_usable(self.request.service.name, self.request.regions, owed=owed)
 
-    def _explain_by_regions(self, step: Refuse, regions: Regions) -> Refuse:
+    def _refuse_in_regions(self, step: Refuse, regions: Regions) -> Refuse:
         """Return a refusal as it is told where upstreams in other regions might have served the request."""
         obstacles = self.core.count_obstacles(self.request.service.name, regions)
         if not obstacles[Obstacle.REGION] or obstacles[Obstacle.COLD]:
@@ -207,9 +215,9 @@
             regions=sorted(regions or ()),
             **{obstacle.name.lower(): count for obstacle, count in obstacles.items()},
         )
-        return replace(step, reason=f"{step.reason} in the allowed regions", retry_after=REGION_RETRY)
+        return replace(step, reason=f"{step.reason} in the allowed regions", retry_after_s=REGION_RETRY_AFTER_S)
 
-    def _let_go_of_shut(self) -> None:
+    def _release_unusable(self) -> None:
         """Give back what engines hold for the request where nothing may be sent for it any more.
 
         A plan takes memory that is set aside without choosing anew. Without this, prompts that were read before
@@ -219,16 +227,16 @@
         request = self.request
         handle, held = request.handle, request.reservation
         if handle is not None and self.core.is_over(handle.upstream):
-            request.note_handle_spent()
+            request.drop_handle()
         elif handle is not None and not self.core.eligibility.lies_in(handle.upstream, request.regions):
-            self._call(handle.upstream, self.core.dialect.make_release(handle))
-            request.note_handle_spent()
+            self._send_release(handle.upstream, self.core.dialect.make_release(handle))
+            request.drop_handle()
         if held is None:
             self._drop_permit()
             return
         if self.core.is_over(held.upstream):
             self._drop_permit()
-            request.give_up_reservation()
+            request.abandon_reservation()
             self.write_log("memory given up", to=held.upstream.id, obstacle="started again")
             return
         obstacle = self.core.find_obstacle(held.upstream, request.service.name, request.regions)
@@ -236,16 +244,16 @@
         if obstacle is None or has_room:
             return
         self._drop_permit()
-        request.give_up_reservation()
+        request.abandon_reservation()
         self.write_log("memory given up", to=held.upstream.id, obstacle=obstacle.name.lower())
-        self._free_memory(held)
+        self._release_reservation(held)
 
-    def withdraw_from(self, life: Life) -> None:
+    def withdraw_from(self, incarnation: Life) -> None:
         """Send what has not gone out elsewhere, as an upstream wants no more."""
         attempt = self._attempt
-        if attempt is None or attempt.sent or attempt.upstream.life != life:
+        if attempt is None or attempt.sent or attempt.upstream.life != incarnation:
             return
-        self.write_log("taken back", to=life.id)
+        self.write_log("taken back", to=incarnation.id)
         self._stop_attempt()
         self.advance()
 
@@ -254,20 +262,20 @@
         if permit is not None:
             permit.drop(self.core.clock.now())
 
-    def _carry_out(self, step: Step) -> None:
+    def _execute(self, step: Step) -> None:
         if isinstance(step, Send):
             if step.reservation is None:
-                self._note_distance(step.upstream)
+                self._record_distance(step.upstream)
             self._send(step, self.core.clock.now())
         elif isinstance(step, Reserve):
-            self._note_distance(step.upstream)
+            self._record_distance(step.upstream)
             self._reserve(step)
         elif isinstance(step, Wait):
-            self._wait_in_line()
+            self._wait_for_memory()
         else:
             self._wait_or_end(step)
 
-    def _note_distance(self, upstream: Upstream) -> None:
+    def _record_distance(self, upstream: Upstream) -> None:
         """Count how far an upstream is that was chosen, and tell why one in another region was."""
         distances = self.core.chooser.distances
         distance = distances.measure(upstream.hall)
@@ -282,13 +290,13 @@
         if upstream.phase is Phase.PREFILL and reservation is not None and not is_near(reservation.upstream.hall):
             reason = SpillReason.PAIR
         else:
-            reason = find_reason(self._list_usable(), upstream.phase, self.request.list_full(), is_near)
+            reason = find_reason(self._list_usable(), upstream.phase, self.request.list_full_upstreams(), is_near)
         self.core.tally.count("spills_total", reason.name.lower())
         self.write_log("spilled", to=upstream.id, hall=upstream.hall, phase=upstream.phase.value, reason=reason.value)
 
     def _send(self, send: Send, now: float) -> None:
-        if self.limit - now < LEAST_TIME:
-            self._run_out()
+        if self.deadline - now < MIN_SEND_TIME_S:
+            self._handle_timeout()
             return
         request = self.request
         standing = self.core.standings.get(send.upstream.id)
@@ -305,84 +313,89 @@
             **self.core.announcements.describe_limit(send.upstream.life),
         )
         if request.split and send.stage is not Stage.PREFILL:
-            self.note_memory()
-        self._cold_since = None
+            self.record_memory_acquired()
+        self._cold_wait_began_at = None
         attempt = self._make_attempt(send)
         if send.reservation is not None:
             attempt.permit, self._permit = self._permit, None
         if attempt.permit is None:
             attempt.permit = self.core.eligibility.take_permit(send.upstream, request.service.cold, now)
         self._attempt = attempt
-        most_idle = 1e9 if request.route.idempotent or send.stage is Stage.PREFILL else FRESH_IDLE
-        attempt.start(self._make_call(send, now), most_idle)
+        max_idle_s = 1e9 if request.route.idempotent or send.stage is Stage.PREFILL else MAX_IDLE_S
+        attempt.start(self._make_call(send, now), max_idle_s)
 
-    def _wait_in_line(self) -> None:
+    def _wait_for_memory(self) -> None:
         """Wait for decode memory behind those that came before, or give up at once where too many wait."""
         now = self.core.clock.now()
-        in_time = self.request.route.target_latency * IN_TIME_SHARE
-        line = self._line
-        if Mechanism.LINE in self.core.without and not self.request.begun:
-            self._carry_out(self.request.refuse_full())
+        in_time = self.request.route.target_latency * ON_TIME_SHARE
+        line = self._queue
+        if Mechanism.LINE in self.core.without and not self.request.response_begun:
+            self._execute(self.request.refuse_memory_full())
             return
-        if not self._in_line:
+        if not self._in_queue:
             self.core.find_demand(self.request.service.name).note_wait(now)
-        began_to_wait = self.request.displaced or self.request.doubt or self._cold_since is not None
-        owed = self._returns or self.request.begun or began_to_wait
-        if not self._in_line and not owed and not line.has_room(in_time, now):
+        began_to_wait = (
+            self.request.reservation_lost or self.request.may_have_run or self._cold_wait_began_at is not None
+        )
+        owed = self._is_returning or self.request.response_begun or began_to_wait
+        if not self._in_queue and not owed and not line.has_room(in_time, now):
             displaced = line.find_displaced(self._claim, now)
             if displaced is not None and displaced.has_attempt:
                 displaced = None  # memory may be granted to it at this moment
             self.write_log(
                 "line is full",
                 waiting=len(line),
-                freed_per_second=line.count_rate(now),
+                freed_per_second=line.compute_freed_rate(now),
                 workspace=self._claim.workspace,
                 goes_before=displaced is not None,
             )
             if displaced is None:
-                self._carry_out(self.request.refuse_full())
+                self._execute(self.request.refuse_memory_full())
                 return
-            displaced.give_way(self._claim)
-        if not self._in_line:
-            self._in_line = True
-            self.request.note_waiting(now)
+            displaced.handle_displaced(self._claim)
+        if not self._in_queue:
+            self._in_queue = True
+            self.request.record_waiting(now)
             self.write_log(
-                "waits", waiting=len(line), freed_per_second=line.count_rate(now), workspace=self._claim.workspace
+                "waits",
+                waiting=len(line),
+                freed_per_second=line.compute_freed_rate(now),
+                workspace=self._claim.workspace,
             )
         late_at = self._incoming.arrived + in_time
-        place = PlaceTerms(late_at, now + self.request.longest_wait, owed, self._claim)
-        self.core.lines.wait(self, LineKey(self.request.service.name, self.request.regions), place)
+        place = QueueTerms(late_at, now + self.request.max_memory_wait_s, owed, self._claim)
+        self.core.lines.enqueue(self, QueueKey(self.request.service.name, self.request.regions), place)
 
     @property
     def has_attempt(self) -> bool:
         """Tell whether something is being asked of an upstream for the request."""
         return self._attempt is not None
 
-    def give_way(self, claim: Claim) -> None:
+    def handle_displaced(self, claim: Claim) -> None:
         """Leave the line to a request of a workspace that was served less."""
         self.core.tally.count("line_displaced_total")
         self.write_log("gives way", workspace=self._claim.workspace, to=claim.workspace)
-        self._carry_out(self.request.refuse_full())
+        self._execute(self.request.refuse_memory_full())
 
     def _reserve(self, step: Reserve) -> None:
         self._drop_permit()
         now = self.core.clock.now()
         self._permit = self.core.eligibility.take_permit(step.upstream, self.request.service.cold, now)
         if self.core.eligibility.limits.find(step.upstream.life) is not None:
-            self._rely_on_permit(step)
+            self._reserve_by_permit(step)
             return
         attempt = ReserveAttempt(self, step)
         self._attempt = attempt
-        attempt.start(self.core.dialect.make_reserve(step.upstream, step.tokens, step.lifetime))
+        attempt.start(self.core.dialect.make_reserve(step.upstream, step.tokens, step.lifetime_s))
 
-    def _rely_on_permit(self, step: Reserve) -> None:
+    def _reserve_by_permit(self, step: Reserve) -> None:
         """Go on without asking an engine for memory that names a limit: the call would cost one stream of two.
 
         It gets few requests, so it mostly has memory; where it has none it turns the stream away.
         """
-        self.leave_line()
-        self.note_memory()
-        self.request.note_reserved(Reservation(None, step.upstream, self.limit))
+        self.leave_queue()
+        self.record_memory_acquired()
+        self.request.record_reserved(Reservation(None, step.upstream, self.deadline))
         self.advance()
 
     def _make_attempt(self, send: Send) -> Attempt:
@@ -397,113 +410,113 @@
         terms = SendTerms(
             stage=send.stage,
             expect=send.upstream.id,
-            time_left=self.limit - now,
+            time_left=self.deadline - now,
             handle=send.handle,
             reservation=send.reservation,
             last_event=last_event,
             keyed=self._admitted.keyed,
             workspace=self._admitted.workspace,
         )
-        headers = self.core.dialect.write_request(self._passed_on, terms)
+        headers = self.core.dialect.write_request(self._forwarded_headers, terms)
         return Call(self._incoming.method, self._incoming.target, headers, self._incoming.body)
 
     @property
-    def limit(self) -> float:
+    def deadline(self) -> float:
         """Return the time at which the request is given up."""
         limit = self._incoming.arrived + self.request.route.timeout
         time_left = self.request.facts.time_left
         if time_left is not None:
-            limit = min(limit, self._incoming.arrived + time_left - ANSWER_MARGIN)
+            limit = min(limit, self._incoming.arrived + time_left - RESPONSE_MARGIN_S)
         return limit
 
     # --- ends --------------------------------------------------------------------------------------------------------
 
-    def pass_on(self, answer: WholeAnswer) -> None:
+    def send_response(self, response: BufferedResponse) -> None:
         """Send an upstream's whole answer to the caller."""
-        self.write_log("answered", status=answer.head.status, seconds=self.count_seconds())
-        self._note_end(f"upstream_{answer.head.status // 100}xx")
-        self._responder.send_whole(answer.head.status, strip_hop_by_hop(answer.head.headers), answer.body)
+        self.write_log("answered", status=response.head.status, seconds=self.compute_elapsed_s())
+        self._record_outcome(f"upstream_{response.head.status // 100}xx")
+        self._responder.send_whole(response.head.status, strip_hop_by_hop(response.head.headers), response.body)
         self._end()
 
-    def begin_answer(self, head: Head) -> None:
+    def begin_stream(self, head: Head) -> None:
         """Send the head of a stream."""
-        self._first_event = self.count_seconds()
-        self.core.tally.note_latency("first_event", self.request.route.kind.value, self._first_event)
+        self._first_event_s = self.compute_elapsed_s()
+        self.core.tally.note_latency("first_event", self.request.route.kind.value, self._first_event_s)
         self._responder.begin(head.status, strip_hop_by_hop(head.headers))
 
-    def pass_events(self, data: bytes) -> None:
+    def send_events(self, data: bytes) -> None:
         """Send whole events."""
         now = self.core.clock.now()
-        if self._events_at is not None:
-            self._longest_gap = max(self._longest_gap, now - self._events_at)
-        self._events_at = now
+        if self._last_events_at is not None:
+            self._max_event_gap_s = max(self._max_event_gap_s, now - self._last_events_at)
+        self._last_events_at = now
         self._responder.write(data)
 
-    def end_answer(self) -> None:
+    def end_stream(self) -> None:
         """Say that a stream is whole."""
         self.write_log(
             "answered",
             status=200,
             last_event=self.request.last_event,
-            seconds=self.count_seconds(),
-            first_event=self._first_event,
-            longest_gap=round(self._longest_gap, 3),
+            seconds=self.compute_elapsed_s(),
+            first_event=self._first_event_s,
+            longest_gap=round(self._max_event_gap_s, 3),
         )
-        self._note_end("upstream_2xx")
+        self._record_outcome("upstream_2xx")
         self._responder.end()
         self._end()
 
-    def keep_failure(self, answer: WholeAnswer) -> None:
+    def keep_upstream_failure(self, response: BufferedResponse) -> None:
         """Keep an upstream's own failure, for the caller in case that nobody does better."""
-        if self.request.route.idempotent or answer.head.status not in PROMISES:
-            self._failure = answer
+        if self.request.route.idempotent or response.head.status not in NOT_RUN_STATUSES:
+            self._upstream_failure = response
 
     def _wait_or_end(self, step: Refuse | Fail) -> None:
         """End the request, unless a cold upstream is all that is missing and has room while that is in time."""
-        wait = self._find_cold_wait(step)
+        wait = self._get_cold_wait(step)
         if wait is None:
             self._give_up(step)
             return
         now = self.core.clock.now()
-        is_first = self._cold_since is None
+        is_first = self._cold_wait_began_at is None
         if is_first:
-            self._cold_since = now
-        if now + wait < self._find_cold_limit():
+            self._cold_wait_began_at = now
+        if now + wait < self._compute_cold_deadline():
             if is_first:
                 self.core.tally.count("cold_waits_total")
                 self.write_log("waits for a cold upstream", seconds=round(wait, 3))
-            self.leave_line()  # whom another upstream may serve is not held up behind it
+            self.leave_queue()  # whom another upstream may serve is not held up behind it
             self._stop_cold_timer()
-            self._cold_timer = self.core.clock.call_later(max(wait, SHORTEST_COLD_WAIT) + COLD_MARGIN, self.advance)
+            self._cold_timer = self.core.clock.call_later(max(wait, MIN_COLD_WAIT_S) + COLD_MARGIN_S, self.advance)
             return
         self.core.tally.count("cold_refusals_total")
         if isinstance(step, Fail):
             self._fail(step)
             return
-        longest = LONGEST_RETRY_SHARE * max(0.0, self.limit - now)
+        longest = MAX_RETRY_AFTER_SHARE * max(0.0, self.deadline - now)
         soon = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vms > 1 else wait
         back = min(wait, longest, soon)  # the next try reaches another VM, which may have room before this one
-        self._answer(503, "its upstreams are cold", round(max(SHORTEST_RETRY, back), 2))
+        self._end_with_error(503, "its upstreams are cold", round(max(MIN_RETRY_AFTER_S, back), 2))
 
-    def _find_cold_wait(self, step: Refuse | Fail) -> float | None:
+    def _get_cold_wait(self, step: Refuse | Fail) -> float | None:
         """Return the seconds until a cold upstream has room, None where that would not help."""
-        if not step.lacks_upstream or (isinstance(step, Refuse) and step.retry_after is not None):
+        if not step.no_upstream or (isinstance(step, Refuse) and step.retry_after_s is not None):
             return None
         return self.core.find_cold_wait(self.request.service.name, self.request.regions, self.request.tried)
 
     def _give_up(self, step: Refuse | Fail) -> None:
         if isinstance(step, Fail):
             self._fail(step)
-        elif step.earlier_is_vain:
-            self._answer(503, step.reason, step.retry_after)
+        elif step.retry_after_is_minimum:
+            self._end_with_error(503, step.reason, step.retry_after_s)
         else:
-            self._refuse(step.reason, full=step.full, retry_after=step.retry_after)
+            self._refuse(step.reason, full=step.memory_full, retry_after=step.retry_after_s)
 
-    def _find_cold_limit(self) -> float:
+    def _compute_cold_deadline(self) -> float:
         """Return until when the request may wait for a cold upstream, so that its answer, or next event, is in time."""
-        if self.request.begun and self._cold_since is not None:
-            return self._cold_since + self.request.longest_wait
-        return self._incoming.arrived + IN_TIME_SHARE * self.request.route.target_latency
+        if self.request.response_begun and self._cold_wait_began_at is not None:
+            return self._cold_wait_began_at + self.request.max_memory_wait_s
+        return self._incoming.arrived + ON_TIME_SHARE * self.request.route.target_latency
 
     def _stop_cold_timer(self) -> None:
         timer, self._cold_timer = self._cold_timer, None
@@ -512,43 +525,43 @@
 
     def _refuse(self, reason: str, *, full: bool = False, retry_after: float | None = None) -> None:
         if retry_after is not None:
-            retry_after = min(retry_after, LONGEST_RETRY_SHARE * max(0.0, self.limit - self.core.clock.now()))
+            retry_after = min(retry_after, MAX_RETRY_AFTER_SHARE * max(0.0, self.deadline - self.core.clock.now()))
         else:
-            retry_after = self._predict_memory() if full else RETRY_AFTER_SHARE * self.request.route.target_latency
-        self._answer(503, reason, round(max(SHORTEST_RETRY, retry_after), 2))
+            retry_after = self._predict_memory_wait() if full else RETRY_AFTER_SHARE * self.request.route.target_latency
+        self._end_with_error(503, reason, round(max(MIN_RETRY_AFTER_S, retry_after), 2))
 
-    def _predict_memory(self) -> float:
+    def _predict_memory_wait(self) -> float:
         """Return after how many seconds there should be decode memory: by then the streams of now have ended."""
         now = self.core.clock.now()
         residence = self.core.find_demand(self.request.service.name).find_residence(now)
-        time_left = self.limit - now
-        return min(residence * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD), LONGEST_RETRY_SHARE * time_left)
+        time_left = self.deadline - now
+        return min(residence * random.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER), MAX_RETRY_AFTER_SHARE * time_left)
 
     def _fail(self, step: Fail) -> None:
-        if self._failure is not None and not self._responder.begun:
-            self.pass_on(self._failure)
+        if self._upstream_failure is not None and not self._responder.begun:
+            self.send_response(self._upstream_failure)
         else:
-            self._answer(NO_SIGNATURE_STATUS, step.reason, None)
+            self._end_with_error(MAY_HAVE_RUN_STATUS, step.reason, None)
 
-    def _run_out(self) -> None:
-        self._timer = None
-        if self.request.doubt:
-            self._answer(TIMED_OUT_STATUS, "the time is over", None)
+    def _handle_timeout(self) -> None:
+        self._deadline_timer = None
+        if self.request.may_have_run:
+            self._end_with_error(TIMEOUT_STATUS, "the time is over", None)
         else:
             self._refuse("the time is over")
 
-    def _answer(self, status: int, reason: str, retry_after: float | None) -> None:
+    def _end_with_error(self, status: int, reason: str, retry_after: float | None) -> None:
         if self._ended:
             return
         self.write_log(
             "broken off" if self._responder.begun else "given up",
             status=status,
             reason=reason,
-            doubt=self.request.doubt,
+            doubt=self.request.may_have_run,
             sends=self.request.sends,
-            seconds=self.count_seconds(),
+            seconds=self.compute_elapsed_s(),
         )
-        self._note_end(f"own_{status}")
+        self._record_outcome(f"own_{status}")
         self._stop_attempt()
         if self._responder.begun:
             self._responder.abort()
@@ -556,51 +569,51 @@
             send_error(self._responder, status, reason, retry_after)
         self._end()
 
-    def cut(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """Give the request up at once, as at the end of a planned stop."""
-        if self.request.doubt:
-            self._answer(NO_SIGNATURE_STATUS, reason, None)
+        if self.request.may_have_run:
+            self._end_with_error(MAY_HAVE_RUN_STATUS, reason, None)
         else:
             self._refuse(reason)
 
     def _end(self) -> None:
         self._ended = True
-        self._stop_timer()
+        self._stop_deadline_timer()
         self._stop_cold_timer()
         self._stop_attempt()
         self._drop_permit()
-        self.leave_line()
-        if self._memory_since is not None:
-            self.core.find_demand(self.request.service.name).end_stream(self._memory_since, self.core.clock.now())
-        self._give_back()
-        if not self.request.doubt:
+        self.leave_queue()
+        if self._memory_acquired_at is not None:
+            self.core.find_demand(self.request.service.name).end_stream(self._memory_acquired_at, self.core.clock.now())
+        self._release_held()
+        if not self.request.may_have_run:
             self.core.admission.give_back(self._admitted, self.core.clock.now())
         self.core.exchanges.discard(self)
 
-    def _note_end(self, label: str) -> None:
+    def _record_outcome(self, label: str) -> None:
         self.core.tally.count("requests_total", label)
-        self.core.tally.note_latency("request", self.request.route.kind.value, self.count_seconds())
+        self.core.tally.note_latency("request", self.request.route.kind.value, self.compute_elapsed_s())
 
     def _stop_attempt(self) -> None:
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.cancel()
 
-    def _give_back(self) -> None:
+    def _release_held(self) -> None:
         """Free what engines hold for a request that has ended."""
         request = self.request
         if request.handle is not None:
-            self._call(request.handle.upstream, self.core.dialect.make_release(request.handle))
-            request.note_handle_spent()
+            self._send_release(request.handle.upstream, self.core.dialect.make_release(request.handle))
+            request.drop_handle()
         if request.reservation is not None:
-            self._free_memory(request.reservation)
+            self._release_reservation(request.reservation)
             request.reservation = None
 
-    def _free_memory(self, held: Reservation) -> None:
+    def _release_reservation(self, held: Reservation) -> None:
         if held.id is not None:
-            self._call(held.upstream, self.core.dialect.make_unreserve(held))
+            self._send_release(held.upstream, self.core.dialect.make_unreserve(held))
 
-    def _call(self, upstream: Upstream, call: Call) -> None:
+    def _send_release(self, upstream: Upstream, call: Call) -> None:
         """Give something back, unless nothing may go there now: it lapses by itself.
 
         Its hall may be emptied, it may rest, or have no room by its limit, in which such a call counts as any other.
@@ -618,7 +631,7 @@
 
     # --- what an attempt tells ---------------------------------------------------------------------------------------
 
-    def go_on_elsewhere(self, attempt: Attempt | ReserveAttempt) -> None:
+    def replan_after(self, attempt: Attempt | ReserveAttempt) -> None:
         """Plan again behind an attempt that came to nothing."""
         if self._attempt is attempt:
             self._attempt = None
@@ -628,23 +641,23 @@
         """Write a line about this request."""
         self.core.journal.write("RELAY", event, request=self.request.facts.id, route=self.request.route.name, **fields)
 
-    def leave_line(self) -> None:
+    def leave_queue(self) -> None:
         """Wait no longer: there is decode memory, or the request has ended."""
-        if self._in_line:
-            self._in_line = False
-            self._line.leave(self)
+        if self._in_queue:
+            self._in_queue = False
+            self._queue.leave(self)
 
-    def note_memory(self) -> None:
+    def record_memory_acquired(self) -> None:
         """Note that the request has decode memory from now on, until its end."""
-        if self._memory_since is None:
-            self._memory_since = self.core.clock.now()
-            self.core.find_demand(self.request.service.name).begin_stream(self._memory_since)
-            self.core.lines.find(self.request.service.name).note_served(self._claim, self._memory_since)
+        if self._memory_acquired_at is None:
+            self._memory_acquired_at = self.core.clock.now()
+            self.core.find_demand(self.request.service.name).begin_stream(self._memory_acquired_at)
+            self.core.lines.get(self.request.service.name).record_served(self._claim, self._memory_acquired_at)
 
-    def note_first_event(self) -> None:
+    def record_first_event(self) -> None:
         """Learn how long decode memory is held before the first event."""
-        if self._memory_since is not None and not self.request.begun:
-            seconds = self.core.clock.now() - self._memory_since
+        if self._memory_acquired_at is not None and not self.request.response_begun:
+            seconds = self.core.clock.now() - self._memory_acquired_at
             self.core.find_demand(self.request.service.name).note_first_event(seconds)
 
     @property
@@ -652,7 +665,7 @@
         """Return the hall of the upstream that is at work on the request, None where none is."""
         return None if self._attempt is None else self._attempt.upstream.hall
 
-    def count_seconds(self) -> float:
+    def compute_elapsed_s(self) -> float:
         """Return the seconds since the request arrived."""
         return round(self.core.clock.now() - self._incoming.arrived, 4)
 
@@ -662,8 +675,8 @@
         """Stop all work for a caller that is gone."""
         if self._ended:
             return
-        self.write_log("caller gone", begun=self._responder.begun, seconds=self.count_seconds())
-        self._note_end("caller_gone")
+        self.write_log("caller gone", begun=self._responder.begun, seconds=self.compute_elapsed_s())
+        self._record_outcome("caller_gone")
         self._end()
 
     def pause(self) -> None:
@@ -676,52 +689,52 @@
         if self._attempt is not None:
             self._attempt.go_on()
 
-    def take_table(self, table: Table) -> None:
+    def apply_table(self, table: Table) -> None:
         """Take the times and regions of a new configuration for a request that is under way."""
         route = table.find_route(self._incoming.host, self._incoming.path)
         if route is None or self._ended:
             return
-        self._take_regions(table.find_regions(route, self._admitted.workspace, self.request.regions), table.version)
+        self._apply_regions(table.find_regions(route, self._admitted.workspace, self.request.regions), table.version)
         if self._ended or route.timeout == self.request.route.timeout:
             return
         self.write_log("timeout changed", timeout=route.timeout, version=table.version)
-        self.request.take_route(route)
-        self._set_timer()
+        self.request.apply_route(route)
+        self._start_deadline_timer()
 
-    def _take_regions(self, regions: Regions, version: int) -> None:
+    def _apply_regions(self, regions: Regions, version: int) -> None:
         """Take new bounds: what is held elsewhere is given back, a run under way ends in place."""
         if regions == self.request.regions:
             return
         self.write_log("regions changed", regions=None if regions is None else sorted(regions), version=version)
-        waited = self._in_line
-        self.leave_line()
-        self.request.take_regions(regions)
-        if self._is_unsent_elsewhere(regions):
+        waited = self._in_queue
+        self.leave_queue()
+        self.request.apply_regions(regions)
+        if self._is_unsent_outside(regions):
             self._stop_attempt()
             waited = True
-        if self._attempt is None or self._reads_apart:
-            self._let_go_of_shut()  # else the plan behind the attempt does it: what is held may be in use by now
+        if self._attempt is None or self._is_prefilling:
+            self._release_unusable()  # else the plan behind the attempt does it: what is held may be in use by now
         if waited:
             self.advance()
 
     @property
-    def _reads_apart(self) -> bool:
+    def _is_prefilling(self) -> bool:
         """Tell whether a prefill engine reads the prompt, so that nothing else that is held is in use."""
         return isinstance(self._attempt, Attempt) and self._attempt.send.stage is Stage.PREFILL
 
-    def _is_unsent_elsewhere(self, regions: Regions) -> bool:
+    def _is_unsent_outside(self, regions: Regions) -> bool:
         """Tell whether a send to a region that is not allowed is about to be written, as its connection comes up."""
         attempt = self._attempt
         if not isinstance(attempt, Attempt) or attempt.sent:
             return False
         return not self.core.eligibility.lies_in(attempt.send.upstream, regions)
 
-    def _set_timer(self) -> None:
-        self._stop_timer()
-        left = self.limit - self.core.clock.now()
-        self._timer = self.core.clock.call_later(max(0.0, left), self._run_out)
+    def _start_deadline_timer(self) -> None:
+        self._stop_deadline_timer()
+        left = self.deadline - self.core.clock.now()
+        self._deadline_timer = self.core.clock.call_later(max(0.0, left), self._handle_timeout)
 
-    def _stop_timer(self) -> None:
-        timer, self._timer = self._timer, None
+    def _stop_deadline_timer(self) -> None:
+        timer, self._deadline_timer = self._deadline_timer, None
         if timer is not None and timer.active():
             timer.cancel()
--- a/src/beamhatch/relay/requests/fingerprint.py
+++ b/src/beamhatch/relay/requests/fingerprint.py
@@ -15,7 +15,7 @@
 """Bytes: among 18,000 requests a second, one meets any of 512 remembered fingerprints by chance in 23 million days."""
 
 
-def find_fingerprint(incoming: IncomingRequest, workspace: WorkspaceName | None) -> Fingerprint:
+def compute_fingerprint(incoming: IncomingRequest, workspace: WorkspaceName | None) -> Fingerprint:
     """Return the fingerprint of a request: of its method, host, target, caller and body.
 
     A caller is its workspace: keys change, and must show nowhere. The id is left out, as each try has its own.
--- a/src/beamhatch/relay/requests/lengths.py
+++ b/src/beamhatch/relay/requests/output_lengths.py
@@ -24,25 +24,25 @@
 PRIOR_TOKENS = 400.0
 """The same where the request does not say what the most is."""
 
-GUESS_WEIGHT = 0.64
+ESTIMATE_WEIGHT = 0.64
 """Weight of a caller's guess against the mean, on a scale of ratios.
 
 Lengths spread by 0.67 and the errors of guesses by 0.5, in logarithms, on two deployments: 0.67² / (0.67² + 0.5²).
 """
 
-COVERED = 0.75
+COVERED_SHARE = 0.75
 """Share of the answers that what is set aside has room for.
 
 Less room lets more streams in, and has more of them read anew as the memory runs out.
 """
 
-MOST_SAMPLES = 64
+MAX_SAMPLES = 64
 """Answers of late that are looked at: a minute of one VM's traffic."""
 
-FEWEST_SAMPLES = 8
+MIN_SAMPLES = 8
 """Answers below which the prior is believed."""
 
-PRIOR_RATIO = 1.3
+PRIOR_RESERVE_RATIO = 1.3
 """Ratio of the room that is set aside to the expected length, before enough answers ended."""
 
 PRIOR_MEAN_RATIO = 1.13
@@ -53,50 +53,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Ended:
-    guess: int
+class _CompletedOutput:
+    estimate: int
     """Tokens that the caller expected; 0 where it did not say."""
     tokens: int
 
 
 @dataclass(slots=True)
-class AnswerLengths:
+class OutputLengths:
     """What the answers of one service had of late."""
 
-    _answers: deque[_Ended] = field(default_factory=lambda: deque(maxlen=MOST_SAMPLES))
-    _usual: float = 0.0
+    _outputs: deque[_CompletedOutput] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _typical_tokens: float = 0.0
     """Geometric mean of the tokens, 0 where too few answers ended."""
-    _ratio: float = PRIOR_RATIO
+    _reserve_ratio: float = PRIOR_RESERVE_RATIO
     _mean_ratio: float = PRIOR_MEAN_RATIO
 
-    def note(self, facts: RequestFacts, tokens: int) -> None:
+    def record(self, facts: RequestFacts, tokens: int) -> None:
         """Take in an answer that ended whole."""
-        self._answers.append(_Ended(facts.output_guess, max(1, tokens)))
-        if len(self._answers) < FEWEST_SAMPLES:
+        self._outputs.append(_CompletedOutput(facts.output_guess, max(1, tokens)))
+        if len(self._outputs) < MIN_SAMPLES:
             return
-        self._usual = math.exp(fmean(math.log(one.tokens) for one in self._answers))
-        ratios = sorted(one.tokens / _expect(one.guess, self._usual) for one in self._answers)
-        self._ratio = ratios[int(COVERED * len(ratios))]
+        self._typical_tokens = math.exp(fmean(math.log(one.tokens) for one in self._outputs))
+        ratios = sorted(one.tokens / _weigh_estimate(one.estimate, self._typical_tokens) for one in self._outputs)
+        self._reserve_ratio = ratios[int(COVERED_SHARE * len(ratios))]
         self._mean_ratio = fmean(ratios)
 
-    def find_room(self, facts: RequestFacts) -> int:
+    def compute_reserve_tokens(self, facts: RequestFacts) -> int:
         """Return the tokens to set aside for an answer."""
-        room = math.ceil(self._ratio * self._expect(facts))
+        room = math.ceil(self._reserve_ratio * self._compute_expected_tokens(facts))
         return min(room, facts.output_tokens) if facts.output_tokens else room
 
-    def find_mean(self, facts: RequestFacts) -> float:
+    def compute_mean_tokens(self, facts: RequestFacts) -> float:
         """Return the tokens that such answers have in the mean."""
-        mean = self._mean_ratio * self._expect(facts)
+        mean = self._mean_ratio * self._compute_expected_tokens(facts)
         return min(mean, facts.output_tokens) if facts.output_tokens else mean
 
-    def _expect(self, facts: RequestFacts) -> float:
-        return _expect(facts.output_guess, self._usual or _guess_unseen(facts))
+    def _compute_expected_tokens(self, facts: RequestFacts) -> float:
+        return _weigh_estimate(facts.output_guess, self._typical_tokens or _get_prior_tokens(facts))
 
 
-def _expect(guess: int, usual: float) -> float:
+def _weigh_estimate(estimate: int, typical_tokens: float) -> float:
     """Return the tokens that an answer is expected to have."""
-    return float(guess**GUESS_WEIGHT * usual ** (1 - GUESS_WEIGHT)) if guess else usual
+    return float(estimate**ESTIMATE_WEIGHT * typical_tokens ** (1 - ESTIMATE_WEIGHT)) if estimate else typical_tokens
 
 
-def _guess_unseen(facts: RequestFacts) -> float:
+def _get_prior_tokens(facts: RequestFacts) -> float:
     return PRIOR_SHARE * facts.output_tokens if facts.output_tokens else PRIOR_TOKENS
--- a/src/beamhatch/relay/requests/answer.py
+++ b/src/beamhatch/relay/requests/response.py
@@ -8,12 +8,12 @@
 if TYPE_CHECKING:
     from beamhatch.relay.upstreams.http_client import Head
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request has not run."""
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class BufferedResponse:
     """An upstream's answer, complete."""
 
     head: Head
--- a/src/beamhatch/relay/requests/budget.py
+++ b/src/beamhatch/relay/requests/retry_budget.py
@@ -5,55 +5,55 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Share of the allowance that is used: what other VMs hold and how many they are is known only about."""
 
-FEWEST_VMS = 6
+MIN_VMS = 6
 """VMs that the slack is divided by at the least, as long as fewer are known."""
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetTerms:
+class RetryBudgetTerms:
     """The bounds that hold for all VMs together, in any window."""
 
     ratio: float = 0.2
     slack: float = 50.0
-    window: float = 10.0
+    window_s: float = 10.0
     """Seconds."""
 
 
-YOUNG_SHARE = 0.3
+FIRST_WINDOW_SHARE = 0.3
 """Share of the slack that a VM uses in its first window: one that restarts forgot what it sent before."""
 
 
 @dataclass(slots=True)
-class Budget:
+class RetryBudget:
     """Counts this VM's requests and repeated sends to one service in a sliding window."""
 
-    terms: BudgetTerms
-    started: float = -1e9
+    terms: RetryBudgetTerms
+    started_at: float = -1e9
     """When the VM started, in monotonic seconds."""
     _requests: deque[float] = field(default_factory=deque)
-    _extra: deque[float] = field(default_factory=deque)
+    _retries: deque[float] = field(default_factory=deque)
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
 
-    def note_extra(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """Count a send beyond a request's first."""
-        self._extra.append(now)
+        self._retries.append(now)
 
-    def allows(self, now: float, vms: int) -> bool:
+    def allows(self, now: float, vm_count: int) -> bool:
         """Tell whether one more repeated send fits, given the number of VMs that share the slack."""
         self._trim(now)
-        slack = self.terms.slack / max(FEWEST_VMS, vms)
-        if now - self.started < self.terms.window:
-            slack *= YOUNG_SHARE
+        slack = self.terms.slack / max(MIN_VMS, vm_count)
+        if now - self.started_at < self.terms.window_s:
+            slack *= FIRST_WINDOW_SHARE
         allowance = self.terms.ratio * len(self._requests) + slack
-        return len(self._extra) + 1 <= SAFETY * allowance
+        return len(self._retries) + 1 <= SAFETY_FACTOR * allowance
 
     def _trim(self, now: float) -> None:
-        for times in (self._requests, self._extra):
-            while times and times[0] <= now - self.terms.window:
+        for times in (self._requests, self._retries):
+            while times and times[0] <= now - self.terms.window_s:
                 times.popleft()
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -123,7 +123,7 @@
         if told:
             planned = round(now - self._started_at, 3)
             self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **told)
-        self.request.note_sent(self.send, self.core.find_budget(self.request.service.name), now)
+        self.request.record_sent(self.send, self.core.find_budget(self.request.service.name), now)
         if self.permit is not None:
             self.permit.use(now)
         else:
@@ -175,10 +175,10 @@
         if fault is Fault.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
             self._report_broken_run(now - self._started_at)
         if self._sent:
-            self.request.note_broken(self.send)
+            self.request.record_broken(self.send)
         else:
-            self.request.note_unreached(self.send)
-        self.exchange.go_on_elsewhere(self)
+            self.request.record_unreachable(self.send)
+        self.exchange.replan_after(self)
 
     def _report_broken_run(self, ran: float) -> None:
         """Tell of a run whose upstream may have ended; a prompt that is only read runs nothing."""
@@ -206,9 +206,9 @@
         self.core.tally.count("turned_away_total", str(self.head.status))
         if self.head.status != MISDIRECTED:
             self.core.note_turned_away(self.send.upstream.id)
-        self.request.note_not_run(self.send)
+        self.request.record_not_run(self.send)
         self.note_turned_away(now)
-        self.exchange.go_on_elsewhere(self)
+        self.exchange.replan_after(self)
 
     def note_turned_away(self, now: float) -> None:
         """Take in what a refusal says beside that nothing ran."""
@@ -267,10 +267,10 @@
             return
         self.cancel()
         if self._sent:
-            self.request.note_broken(self.send)
+            self.request.record_broken(self.send)
         else:
-            self.request.note_unreached(self.send)
-        self.exchange.go_on_elsewhere(self)
+            self.request.record_unreachable(self.send)
+        self.exchange.replan_after(self)
 
     def _wait(self, seconds: float) -> None:
         self._stop_timer()
@@ -293,4 +293,4 @@
             self._end_reading()
             self.standing.end(self._tokens)
             if self._sent and self.send.stage is not Stage.PREFILL and self.request.split:
-                self.core.lines.note_freed(self.request.service.name, self.send.upstream.hall)
+                self.core.lines.record_freed(self.request.service.name, self.send.upstream.hall)
--- a/src/beamhatch/relay/upstreams/http_fetch.py
+++ b/src/beamhatch/relay/upstreams/http_fetch.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import defer
 
-from beamhatch.relay.requests.answer import WholeAnswer
+from beamhatch.relay.requests.response import BufferedResponse
 from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 
 class _Fetch(AnswerSink):
     def __init__(self, clock: Clock, timeout: float) -> None:
-        self.done: defer.Deferred[WholeAnswer | str] = defer.Deferred(self._stop)
+        self.done: defer.Deferred[BufferedResponse | str] = defer.Deferred(self._stop)
         self.exchange: Exchange | None = None
         self._head: Head | None = None
         self._body = bytearray()
@@ -37,7 +37,7 @@
 
     def take_end(self) -> None:
         assert self._head is not None
-        self._finish(WholeAnswer(self._head, bytes(self._body)))
+        self._finish(BufferedResponse(self._head, bytes(self._body)))
 
     def take_fault(self, fault: Fault, detail: str) -> None:
         self._finish(f"{fault.value}: {detail}")
@@ -55,7 +55,7 @@
         if self.exchange is not None:
             self.exchange.cancel()
 
-    def _finish(self, result: WholeAnswer | str) -> None:
+    def _finish(self, result: BufferedResponse | str) -> None:
         if self._timer.active():
             self._timer.cancel()
         if not self.done.called:
@@ -64,7 +64,7 @@
 
 def fetch(
     client: HttpClient, clock: Clock, address: Address, call: Call, timeout: float
-) -> defer.Deferred[WholeAnswer | str]:
+) -> defer.Deferred[BufferedResponse | str]:
     """Send a call; the deferred fires with its answer, or with what went wrong.
 
     Cancelling the deferred closes the connection.
--- a/src/beamhatch/relay/upstreams/plain_attempt.py
+++ b/src/beamhatch/relay/upstreams/plain_attempt.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamhatch.relay.requests.answer import PROMISES, WholeAnswer
+from beamhatch.relay.requests.response import NOT_RUN_STATUSES, BufferedResponse
 from beamhatch.relay.upstreams.attempt import Attempt
 from beamhatch.relay.upstreams.http_client import Fault
 
@@ -33,15 +33,15 @@
         if self.has_not_run():
             self.take_not_run()
             return
-        answer = WholeAnswer(self.head, bytes(self.body))
+        answer = BufferedResponse(self.head, bytes(self.body))
         if 200 <= status < 300 and (not self.facts.signed or self.facts.encoded):
             self.take_fault(Fault.MALFORMED, "the answer does not bear the upstream's signature")
-        elif status >= 500 or status in PROMISES:
-            self.exchange.keep_failure(answer)
+        elif status >= 500 or status in NOT_RUN_STATUSES:
+            self.exchange.keep_upstream_failure(answer)
             self.take_fault(Fault.MALFORMED, f"the upstream failed with {status}")
         else:
             self.succeed()
-            self.exchange.pass_on(answer)
+            self.exchange.send_response(answer)
 
     def get_patience(self) -> float:
         """Return the patience: some times what this upstream takes at present."""
--- a/src/beamhatch/relay/upstreams/prefill_attempt.py
+++ b/src/beamhatch/relay/upstreams/prefill_attempt.py
@@ -51,8 +51,8 @@
         now = self.core.clock.now()
         self.core.find_read_times(self.request.service.name).note(now - self._started_at, now)
         self._note_reading(self.core.paces.get_reading(self.request.service.name))
-        self.request.note_prefilled(Handle(handle, self.send.upstream, now))
-        self.exchange.go_on_elsewhere(self)
+        self.request.record_prefilled(Handle(handle, self.send.upstream, now))
+        self.exchange.replan_after(self)
 
     def get_patience(self) -> float:
         """Return the patience: some times what this engine takes at present, or any engine at the worst."""
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -99,16 +99,16 @@
         found = self.core.dialect.read_reservation(bytes(self._body)) if self._head.status == GRANTED else None
         self.core.tally.count("reservations_total", str(self._head.status))
         if found is not None:
-            self._exchange.leave_line()
-            self._exchange.note_memory()
-            self._exchange.request.note_reserved(Reservation(found, upstream, now + self._step.lifetime))
+            self._exchange.leave_queue()
+            self._exchange.record_memory_acquired()
+            self._exchange.request.record_reserved(Reservation(found, upstream, now + self._step.lifetime_s))
         elif self._head.status == MISDIRECTED:
             standing.note_misdirected(now)
-            self._exchange.request.note_no_reservation(upstream.id)
+            self._exchange.request.record_reserve_failed(upstream.id)
         else:
-            self._exchange.request.note_full(upstream.id)
+            self._exchange.request.record_full(upstream.id)
         self._exchange.write_log("reserved" if found else "not reserved", to=upstream.id, status=self._head.status)
-        self._exchange.go_on_elsewhere(self)
+        self._exchange.replan_after(self)
 
     def take_fault(self, fault: Fault, detail: str) -> None:
         """Go on elsewhere."""
@@ -117,9 +117,9 @@
         self._end()
         upstream = self._step.upstream
         self.core.standings.get(upstream.id).note_silence(self.core.clock.now())
-        self._exchange.request.note_no_reservation(upstream.id)
+        self._exchange.request.record_reserve_failed(upstream.id)
         self._exchange.write_log("not reserved", to=upstream.id, fault=fault.value, detail=detail)
-        self._exchange.go_on_elsewhere(self)
+        self._exchange.replan_after(self)
 
     def _run_out(self) -> None:
         if self._http is not None:
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.model import Stage
-from beamhatch.relay.requests.answer import WholeAnswer
+from beamhatch.relay.requests.response import BufferedResponse
 from beamhatch.relay.upstreams.attempt import Attempt
 from beamhatch.relay.upstreams.events import EventChecker, StreamError
 from beamhatch.relay.upstreams.http_client import Fault
@@ -44,7 +44,7 @@
         """Take the head; a stream's is passed on with its first event."""
         super().take_head(head)
         if self._streams and self.send.handle is not None:
-            self.request.note_handle_spent()
+            self.request.drop_handle()
 
     def take_data(self, data: bytes) -> None:
         """Pass whole events on."""
@@ -65,12 +65,12 @@
             self.take_not_run()
         elif not self._streams:
             self._take_failure()
-        elif not self._events.is_whole or not self.exchange.request.begun:
+        elif not self._events.is_whole or not self.exchange.request.response_begun:
             self.take_fault(Fault.BROKEN, "the stream ended inside an event")
         else:
             self.succeed()
             self._note_stream()
-            self.exchange.end_answer()
+            self.exchange.end_stream()
 
     def _note_stream(self) -> None:
         """Learn how long the answer became."""
@@ -81,14 +81,14 @@
 
     def note_turned_away(self, now: float) -> None:
         """Take in that an engine could not have the KV cache."""
-        if self.send.handle is not None and self.request.landings_failed:
+        if self.send.handle is not None and self.request.handoffs_exhausted:
             holder = self.core.standings.get(self.send.handle.upstream.id)
             holder.lapsed_until = now + LAPSE_PAUSE
 
     def get_patience(self) -> float:
         """Return the patience with an engine that has to read the prompt, or has it."""
         route = self.request.route
-        if self.request.begun:
+        if self.request.response_begun:
             return max(SHORTEST_PATIENCE, GAP_PATIENCE * route.target_gap)
         times = WHOLE_PATIENCE if self.send.stage is Stage.WHOLE else FIRST_EVENT_PATIENCE
         return max(SHORTEST_PATIENCE, times * route.target_latency)
@@ -108,11 +108,11 @@
         if self._unread:
             self._note_reading(self.core.paces.get_whole(self.request.service.name))
             self._end_reading()
-        if not self.request.begun:
-            self.exchange.begin_answer(self.head)
+        if not self.request.response_begun:
+            self.exchange.begin_stream(self.head)
         self._note_pace(last)
-        self.request.note_event(last)
-        self.exchange.pass_events(data)
+        self.request.record_event(last)
+        self.exchange.send_events(data)
         self._wait(self.get_patience())
 
     def _note_pace(self, last: int | None) -> None:
@@ -124,7 +124,7 @@
             return
         demand = self.core.find_demand(service.name)
         if before is None:
-            self.exchange.note_first_event()
+            self.exchange.record_first_event()
         else:
             events = last - (self.request.last_event or 0)
             demand.note_tokens(events * service.engine.event_tokens, now - before, now)
@@ -134,8 +134,8 @@
         status = self.head.status
         if 300 <= status < 500:
             self.succeed()
-            self.exchange.pass_on(WholeAnswer(self.head, bytes(self.body)))
+            self.exchange.send_response(BufferedResponse(self.head, bytes(self.body)))
             return
         if status >= 500:
-            self.exchange.keep_failure(WholeAnswer(self.head, bytes(self.body)))
+            self.exchange.keep_upstream_failure(BufferedResponse(self.head, bytes(self.body)))
         self.take_fault(Fault.MALFORMED, f"the upstream failed with {status}")
--- a/tests/platform/test_fair_line.py
+++ b/tests/platform/test_fair_line.py
@@ -50,6 +50,6 @@
 def test_lines_of_different_regions_share_what_workspaces_were_served() -> None:
     platform, _ = fill_line(ALL_IN)
     core = platform.vms["vm1"].core
-    line = core.lines.find(ServiceName(MODEL), frozenset({RegionName("west")}))
+    line = core.lines.get(ServiceName(MODEL), frozenset({RegionName("west")}))
     desk, back = WorkspaceName("desk"), WorkspaceName("back")
-    assert line.order.find_lead(desk, back, platform.clock.now()) > 20_000
+    assert line.scheduler.compute_lead(desk, back, platform.clock.now()) > 20_000
--- a/tests/platform/test_residency.py
+++ b/tests/platform/test_residency.py
@@ -190,9 +190,9 @@
 def test_memory_that_comes_free_counts_in_the_lines_that_may_use_it() -> None:
     platform = make_world()
     core, service = platform.vms["vm1"].core, ServiceName(MODEL)
-    lines = [core.lines.find(service, bound) for bound in (None, frozenset({EAST}), frozenset({WEST}))]
-    core.lines.note_freed(service, "hall-b")
-    assert [line.count_rate(platform.clock.now()) > 0 for line in lines] == [True, True, False]
+    lines = [core.lines.get(service, bound) for bound in (None, frozenset({EAST}), frozenset({WEST}))]
+    core.lines.record_freed(service, "hall-b")
+    assert [line.compute_freed_rate(platform.clock.now()) > 0 for line in lines] == [True, True, False]
 
 
 def test_who_waits_takes_narrower_regions_at_once() -> None:
--- a/tests/platform/test_shared_bounds.py
+++ b/tests/platform/test_shared_bounds.py
@@ -38,6 +38,6 @@
             callers += 1
     platform.network.run(3.0)
     budgets = [vm.core.find_budget(ServiceName(PLAIN)) for vm in platform.vms.values()]
-    sent = sum(len(budget._extra) for budget in budgets)
+    sent = sum(len(budget._retries) for budget in budgets)
     assert sent <= 0.2 * callers + SLACK
     assert sent >= 12
--- a/tests/relay/choosing/spill_play.py
+++ b/tests/relay/choosing/spill_play.py
@@ -19,7 +19,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Distance, Places, RegionName
-from beamhatch.relay.requests.request import RESERVE_TRIES
+from beamhatch.relay.requests.request import MAX_RESERVE_ATTEMPTS
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -171,7 +171,7 @@
     def _answer(self, asking: _Asking, engine: Upstream, now: float) -> None:
         if self.running[engine.id] >= SLOTS or self._is_gone(engine.hall, now):
             asking.refused.append(engine)
-            if len(asking.refused) < RESERVE_TRIES:
+            if len(asking.refused) < MAX_RESERVE_ATTEMPTS:
                 self._ask(asking, now)
             else:
                 self._wait(asking, now)
--- a/tests/relay/requests/test_fingerprint.py
+++ b/tests/relay/requests/test_fingerprint.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beamhatch.relay.callers.http_server import IncomingRequest
-from beamhatch.relay.requests.fingerprint import FINGERPRINT_BYTES, find_fingerprint
+from beamhatch.relay.requests.fingerprint import FINGERPRINT_BYTES, compute_fingerprint
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 ALPHA = WorkspaceName("alpha")
@@ -26,8 +26,8 @@
     again = make_incoming(
         headers=[("host", "DESK.example"), ("Request-Id", "q2"), ("Deadline-Ms", "9000")], arrived=7.0
     )
-    assert find_fingerprint(make_incoming(), ALPHA) == find_fingerprint(again, ALPHA)
-    assert len(find_fingerprint(make_incoming(), ALPHA)) == FINGERPRINT_BYTES
+    assert compute_fingerprint(make_incoming(), ALPHA) == compute_fingerprint(again, ALPHA)
+    assert len(compute_fingerprint(make_incoming(), ALPHA)) == FINGERPRINT_BYTES
 
 
 @pytest.mark.parametrize(
@@ -42,9 +42,9 @@
     ],
 )
 def test_another_request_has_another(changes: dict[str, object]) -> None:
-    assert find_fingerprint(make_incoming(**changes), ALPHA) != find_fingerprint(make_incoming(), ALPHA)
+    assert compute_fingerprint(make_incoming(**changes), ALPHA) != compute_fingerprint(make_incoming(), ALPHA)
 
 
 def test_the_same_request_of_another_caller_has_another() -> None:
-    found = {find_fingerprint(make_incoming(), workspace) for workspace in (ALPHA, WorkspaceName("beta"), None)}
+    found = {compute_fingerprint(make_incoming(), workspace) for workspace in (ALPHA, WorkspaceName("beta"), None)}
     assert len(found) == 3
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -22,8 +22,8 @@
     Upstream,
     UpstreamId,
 )
-from beamhatch.relay.requests.budget import Budget, BudgetTerms
 from beamhatch.relay.requests.request import RelayRequest, Reserve
+from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -36,7 +36,7 @@
 def make_request() -> RelayRequest:
     route = Route("r", "h", "/", RouteKind.STREAMING, (Share(SERVICE, 1),), 14.0, 0.9)
     facts = RequestFacts("q", None, None, 5000, 100)
-    return RelayRequest(facts, route, Service(SERVICE, ENGINE), answer_room=80, body_bytes=700)
+    return RelayRequest(facts, route, Service(SERVICE, ENGINE), reserve_output_tokens=80, body_bytes=700)
 
 
 def make_upstream(name: str, hall: str) -> Upstream:
@@ -74,15 +74,15 @@
 def test_tells_where_it_has_memory() -> None:
     request = make_request()
     assert request.need.decode_hall == ""
-    request.note_reserved(Reservation("v", make_upstream("u", "b"), NOW + 2))
+    request.record_reserved(Reservation("v", make_upstream("u", "b"), NOW + 2))
     assert request.need.decode_hall == "b"
 
 
 def test_tells_the_halls_of_the_engines_that_refused_it() -> None:
-    request, chooser, budget = make_request(), RecordingChooser(), Budget(BudgetTerms())
+    request, chooser, budget = make_request(), RecordingChooser(), RetryBudget(RetryBudgetTerms())
     usable = [make_upstream("u1", "a"), make_upstream("u2", "a"), make_upstream("u3", "b")]
     for _ in range(3):
         step = request.plan(usable, chooser, budget, 1, NOW)
         assert isinstance(step, Reserve)
-        request.note_full(step.upstream.id)
+        request.record_full(step.upstream.id)
     assert [sorted(need.refused_halls) for need in chooser.needs] == [[], ["a"], ["a", "a"]]
--- a/tests/relay/requests/test_lengths.py
+++ b/tests/relay/requests/test_output_lengths.py
@@ -8,7 +8,7 @@
 import pytest
 
 from beamhatch.relay.model import RequestFacts
-from beamhatch.relay.requests.lengths import COVERED, FEWEST_SAMPLES, AnswerLengths
+from beamhatch.relay.requests.output_lengths import COVERED_SHARE, MIN_SAMPLES, OutputLengths
 
 
 def ask(*, guess: int = 0, most: int = 1500) -> RequestFacts:
@@ -26,10 +26,10 @@
     return answers
 
 
-def learn(answers: list[tuple[RequestFacts, int]]) -> AnswerLengths:
-    lengths = AnswerLengths()
+def learn(answers: list[tuple[RequestFacts, int]]) -> OutputLengths:
+    lengths = OutputLengths()
     for facts, tokens in answers:
-        lengths.note(facts, tokens)
+        lengths.record(facts, tokens)
     return lengths
 
 
@@ -38,35 +38,35 @@
 def test_the_room_covers_its_share_of_answers_however_good_guesses_are(off_by: float, seed: int) -> None:
     lengths = learn(draw_answers(100, seed, off_by=off_by))
     later = draw_answers(300, seed + 100, off_by=off_by)
-    covered = sum(tokens <= lengths.find_room(facts) for facts, tokens in later) / len(later)
-    assert COVERED - 0.17 < covered < COVERED + 0.17
+    covered = sum(tokens <= lengths.compute_reserve_tokens(facts) for facts, tokens in later) / len(later)
+    assert COVERED_SHARE - 0.17 < covered < COVERED_SHARE + 0.17
 
 
 def test_good_guesses_need_less_room() -> None:
     rooms = []
     for off_by in (0.1, 1.5):
         lengths = learn(draw_answers(100, 1, off_by=off_by))
-        rooms.append(sum(lengths.find_room(facts) for facts, _ in draw_answers(300, 2, off_by=off_by)))
+        rooms.append(sum(lengths.compute_reserve_tokens(facts) for facts, _ in draw_answers(300, 2, off_by=off_by)))
     assert rooms[0] < rooms[1]
 
 
 def test_never_more_room_than_the_answer_may_need() -> None:
     lengths = learn(draw_answers(100, 1, off_by=0.5))
-    assert lengths.find_room(ask(guess=90_000, most=1500)) == 1500
-    assert lengths.find_room(ask(guess=0, most=40)) == 40
+    assert lengths.compute_reserve_tokens(ask(guess=90_000, most=1500)) == 1500
+    assert lengths.compute_reserve_tokens(ask(guess=0, most=40)) == 40
 
 
 def test_without_any_answer_the_most_tokens_tell() -> None:
-    lengths = AnswerLengths()
-    assert lengths.find_room(ask(most=1500)) == math.ceil(1.3 * 0.4 * 1500)
-    assert lengths.find_room(ask(most=0)) > 0
-    for _ in range(FEWEST_SAMPLES):
-        lengths.note(ask(), 100)
-    assert lengths.find_room(ask()) == pytest.approx(100, abs=2)
+    lengths = OutputLengths()
+    assert lengths.compute_reserve_tokens(ask(most=1500)) == math.ceil(1.3 * 0.4 * 1500)
+    assert lengths.compute_reserve_tokens(ask(most=0)) > 0
+    for _ in range(MIN_SAMPLES):
+        lengths.record(ask(), 100)
+    assert lengths.compute_reserve_tokens(ask()) == pytest.approx(100, abs=2)
 
 
 def test_empty_answers_do_no_harm() -> None:
-    lengths = AnswerLengths()
+    lengths = OutputLengths()
     for _ in range(20):
-        lengths.note(ask(guess=1), 0)
-    assert lengths.find_room(ask(guess=500)) >= 0
+        lengths.record(ask(guess=1), 0)
+    assert lengths.compute_reserve_tokens(ask(guess=500)) >= 0
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -23,8 +23,8 @@
     Upstream,
     UpstreamId,
 )
-from beamhatch.relay.requests.budget import Budget, BudgetTerms
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
+from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
 from beamhatch.relay.upstreams.listing import Entry, Listing
 
 SERVICE = ServiceName("s")
@@ -55,7 +55,7 @@
         route = Route("r", "h", "/", kind, (Share(SERVICE, 1),), 14.0, 0.9, attempts, resumable)
         traits = Engine(128, 60_000, 0.5, 2.0 if holds else 0.0) if engine else None
         self.request = RelayRequest(RequestFacts("q", None, None, 5000, 100), route, Service(SERVICE, traits))
-        self.budget = Budget(BudgetTerms())
+        self.budget = RetryBudget(RetryBudgetTerms())
         self.chooser = LeastCost(Standings(), "h")
         phases = [Phase.PREFILL, Phase.PREFILL, Phase.DECODE, Phase.DECODE, Phase.DECODE]
         if not self.request.split:
@@ -79,24 +79,24 @@
         upstream = self.step.upstream
         self.step = None
         if not reached:
-            self.request.note_no_reservation(upstream.id)
+            self.request.record_reserve_failed(upstream.id)
         elif granted:
-            self.request.note_reserved(Reservation("v", upstream, self.now + 2.0))
+            self.request.record_reserved(Reservation("v", upstream, self.now + 2.0))
         else:
-            self.request.note_full(upstream.id)
+            self.request.record_full(upstream.id)
 
     @precondition(lambda self: self.under_way is not None)
     @rule()
     def fail_to_reach(self) -> None:
         assert self.under_way is not None
-        self.request.note_unreached(self.under_way)
+        self.request.record_unreachable(self.under_way)
         self.under_way = None
 
     @precondition(lambda self: self.under_way is not None)
     @rule()
     def turn_away(self) -> None:
         send = self._send()
-        self.request.note_not_run(send)
+        self.request.record_not_run(send)
 
     @precondition(lambda self: self.under_way is not None)
     @rule(events=st.integers(0, 3))
@@ -105,14 +105,14 @@
         if send.stage is not Stage.PREFILL:
             self.may_have_run += 1
             if events and self.request.route.kind is RouteKind.STREAMING:
-                self.request.note_event((self.request.last_event or 0) + events)
-        self.request.note_broken(send)
+                self.request.record_event((self.request.last_event or 0) + events)
+        self.request.record_broken(send)
 
     @precondition(lambda self: self.under_way is not None and self.under_way.stage is Stage.PREFILL)
     @rule()
     def prefill(self) -> None:
         send = self._send()
-        self.request.note_prefilled(Handle("k", send.upstream, self.now))
+        self.request.record_prefilled(Handle("k", send.upstream, self.now))
 
     def _send(self) -> Send:
         send = self.under_way
@@ -121,7 +121,7 @@
         if send.stage is not Stage.PREFILL:
             assert self.may_have_run == 0 or self.request.route.idempotent, "a second run"
             assert self.may_have_run < self.request.route.max_attempts, "more runs than the route allows"
-        self.request.note_sent(send, self.budget, self.now)
+        self.request.record_sent(send, self.budget, self.now)
         return send
 
     @precondition(lambda self: isinstance(self.step, (Refuse, Fail)))
@@ -219,15 +219,15 @@
 
 
 def test_the_budget_allows_a_share_of_requests_and_of_the_slack() -> None:
-    budget = Budget(BudgetTerms(ratio=0.2, slack=60, window=10))
+    budget = RetryBudget(RetryBudgetTerms(ratio=0.2, slack=60, window_s=10))
     for number in range(100):
-        budget.note_request(number * 0.01)
+        budget.record_request(number * 0.01)
     allowed = 0
-    while budget.allows(1.0, vms=10):
-        budget.note_extra(1.0)
+    while budget.allows(1.0, vm_count=10):
+        budget.record_retry(1.0)
         allowed += 1
     assert allowed == int(0.8 * (0.2 * 100 + 6))
-    assert budget.allows(12.0, vms=10)
+    assert budget.allows(12.0, vm_count=10)
 
 
 def test_a_split_route_keeps_its_shares_and_its_callers() -> None:
@@ -240,12 +240,12 @@
 
 def test_vms_that_all_restart_do_not_spend_the_slack_twice() -> None:
     """What was sent before the restart and what is sent behind it fall into one window."""
-    terms = BudgetTerms(ratio=0.2, slack=56, window=10)
+    terms = RetryBudgetTerms(ratio=0.2, slack=56, window_s=10)
     sent = 0
     for started in (-1e9, 1.0):
         for _ in range(8):
-            budget = Budget(terms, started)
-            while budget.allows(1.5, vms=8 if started < 0 else 1):
-                budget.note_extra(1.5)
+            budget = RetryBudget(terms, started)
+            while budget.allows(1.5, vm_count=8 if started < 0 else 1):
+                budget.record_retry(1.5)
                 sent += 1
     assert sent <= 56
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -100,7 +100,7 @@
 
 
 def _keeps_memory() -> None:
-    RelayExchange._give_back = lambda self: None  # type: ignore[method-assign]
+    RelayExchange._release_held = lambda self: None  # type: ignore[method-assign]
     RelayExchange._stop_attempt = lambda self: None  # type: ignore[method-assign]
 
 
--- a/tests/soak/witness.py
+++ b/tests/soak/witness.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.requests.exchange import HELD
+from beamhatch.relay.requests.exchange import QUARANTINE_REASON
 from tests.soak.limits import NamedLimits
 from tests.soak.own_words import Heard, OwnWords
 from tests.soak.promise import (
@@ -254,7 +254,11 @@
                 self.break_promise(
                     Promise.NOT_RUN, outcome.ended_at, f"{outcome.request} ran, and got {outcome.status}"
                 )
-        if outcome.status == 503 and HELD.encode() in outcome.body and outcome.target not in self.ledger.deadly:
+        if (
+            outcome.status == 503
+            and QUARANTINE_REASON.encode() in outcome.body
+            and outcome.target not in self.ledger.deadly
+        ):
             self.break_promise(Promise.INNOCENT, outcome.ended_at, f"{outcome.request} for {outcome.target} was held")
         if outcome.status == 200:
             self._check_success(outcome, terms, signature)
