--- a/src/beamhatch/relay/requests/__init__.py
+++ b/src/beamhatch/relay/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request: its rules, its way through, the line for decode memory and the budget of repeated sends."""
+"""Relaying of one request: its state machine, the queue for decode memory and the retry budget."""
--- a/src/beamhatch/relay/requests/fingerprint.py
+++ b/src/beamhatch/relay/requests/fingerprint.py
@@ -1,4 +1,4 @@
-"""Tell whether two requests ask for the same work, whatever their ids and whichever VM they reach."""
+"""Compute fingerprints, which are equal on all VMs for requests with the same content from the same workspace."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
     from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 FINGERPRINT_BYTES = 8
-"""Bytes: among 18,000 requests a second, one meets any of 512 remembered fingerprints by chance in 23 million days."""
+"""Digest size; 64 bits make a collision with a quarantined fingerprint improbable."""
 
 
 def compute_fingerprint(incoming: IncomingRequest, workspace: WorkspaceName | None) -> Fingerprint:
-    """Return the fingerprint of a request: of its method, host, target, caller and body.
+    """Return the digest of a request's method, host, target, workspace and body.
 
-    A caller is its workspace: keys change, and must show nowhere. The id is left out, as each try has its own.
+    The workspace stands for the caller, because API keys change and must not be exposed. The request id is excluded,
+    because each retry has its own.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (incoming.method, incoming.host, incoming.target, workspace or ""):
--- a/src/beamhatch/relay/requests/memory_queue.py
+++ b/src/beamhatch/relay/requests/memory_queue.py
@@ -1,8 +1,8 @@
-"""The line of requests that wait for decode memory: how many may wait, and who goes next.
+"""Queue requests that wait for decode memory: admission to the queue, and the order of service.
 
-A place in decode memory comes free as streams end. A VM's own streams tell how often: as many requests may wait as
-places are expected to come free before a wait would make an answer late. All others are told at once when to come back.
-Between workspaces it goes by their priority, and within one by a :class:`FairOrder`.
+A slot in decode memory is freed when a stream ends. The queue admits as many requests as slots are expected to be freed
+in time, at the rate at which this VM's own streams end; others are refused at once with a time to retry. Requests are
+served by priority, and within one priority in the order of a :class:`WorkspaceScheduler`.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 Waiter = TypeVar("Waiter")
 
 RATE_WINDOW_S = 4.0
-"""Seconds over which the rate of freed places is counted."""
+"""Period over which the rate of freed slots is measured."""
 
 MIN_QUEUE_LENGTH = 1
-"""Requests that may wait whatever the rate of freed places is, as a VM that sees few can not tell it."""
+"""Requests that may wait at any rate of freed slots, since a VM with little traffic cannot measure the rate."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Whose request it is, and how much it asks."""
+    """The owner of a request, and the decode memory that it asks for."""
 
     workspace: WorkspaceName | None = None
-    """None where it belongs to no workspace; all such are treated as of one."""
+    """None if it belongs to no workspace; all such requests are treated as one workspace."""
     priority: int = 0
-    """Its rank, 0 for the highest."""
+    """0 is the highest."""
     tokens: int = 0
-    """Of decode memory."""
+    """Tokens of decode memory."""
 
 
 DEFAULT_CLAIM = Claim()
@@ -50,18 +50,18 @@
     claim: Claim
 
     def is_on_time(self, now: float) -> bool:
-        """Tell whether the answer can still be in time."""
+        """Return whether the response can still meet the target latency."""
         return not self.precedes_late and now < self.on_time_until
 
 
 @dataclass(slots=True)
 class MemoryQueue(Generic[Waiter]):
-    """Those that wait, in the order in which they came.
+    """The requests of one VM that wait for decode memory of a service.
 
-    Those that can still be in time go first. Behind them come those that are owed a place: callers that were refused
-    and came back as they were told, and those that have a part of their answer. Both are late whatever is done, and a
-    place that they take makes a newcomer late as well. Among those that can be in time, and among the others, the
-    higher priority goes first, then the workspace that is next, and within it who is owed a place, and who came first.
+    Requests that can still be on time are served before all others, since serving a late one first would make them late
+    too. Within both groups the order is: higher priority, then the workspace that the scheduler ranks first, then
+    requests that precede late ones (their callers retry after a refusal, or already have a part of the response), then
+    arrival.
     """
 
     scheduler: WorkspaceScheduler = field(default_factory=FifoScheduler)
@@ -69,26 +69,26 @@
     _freed_at: deque[float] = field(default_factory=deque)
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self._entries)
 
     def record_freed(self, now: float) -> None:
-        """Count a place that one of this VM's streams gave back."""
+        """Count a slot freed by one of this VM's streams."""
         self._freed_at.append(now)
 
     def has_room(self, max_wait_s: float, now: float) -> bool:
-        """Tell whether one more may wait, so that it should be served within some seconds."""
-        fresh = sum(place.is_on_time(now) for place in self._entries)
-        return fresh < max(MIN_QUEUE_LENGTH, self.compute_freed_rate(now) * max_wait_s)
+        """Return whether one more request may wait and can expect a slot within ``max_wait_s``."""
+        on_time = sum(entry.is_on_time(now) for entry in self._entries)
+        return on_time < max(MIN_QUEUE_LENGTH, self.compute_freed_rate(now) * max_wait_s)
 
     def compute_freed_rate(self, now: float) -> float:
-        """Return the places that came free a second of late."""
+        """Return the slots freed per second in the last ``RATE_WINDOW_S``."""
         while self._freed_at and self._freed_at[0] < now - RATE_WINDOW_S:
             self._freed_at.popleft()
         return len(self._freed_at) / RATE_WINDOW_S
 
     def record_served(self, claim: Claim, now: float) -> None:
-        """Note that a request got decode memory, whether it waited or not."""
+        """Record that a request got decode memory, whether it waited or not."""
         self.scheduler.record_served(claim.workspace, claim.tokens, now)
 
     def join(
@@ -101,58 +101,63 @@
         precedes_late: bool = False,
         claim: Claim = DEFAULT_CLAIM,
     ) -> None:
-        """Enter a request that will be late from some time on, and waits up to some time."""
-        if all(place.waiter is not waiter for place in self._entries):
+        """Append a request, unless it is in the queue already.
+
+        :param on_time_until: monotonic time from which on the response is late
+        :param waits_until: monotonic time up to which the request waits
+        :param precedes_late: treat the request as late, but serve it before other late requests of its workspace
+        """
+        if all(entry.waiter is not waiter for entry in self._entries):
             self._entries.append(_QueueEntry(waiter, now, on_time_until, waits_until, precedes_late, claim))
 
     def find_displaced(self, claim: Claim, now: float) -> Waiter | None:
-        """Return who is to give way to a newcomer although he waits, or None.
+        """Return the waiting request that a new one displaces, or None.
 
-        It is the last of those that can be in time, where his priority is not higher and his workspace is ahead of the
-        newcomer's by more than both requests: so two that ask as much as each other don't drive each other out.
+        This is the last of those on time, if its priority is not higher and its workspace is ahead of the new request's
+        by more than the tokens of both requests, so that two workspaces with equal load do not displace each other.
         """
-        fresh = [place for place in self._entries if place.is_on_time(now)]
-        if not fresh:
+        on_time = [entry for entry in self._entries if entry.is_on_time(now)]
+        if not on_time:
             return None
-        last = self._sort(fresh, now)[-1]
+        last = self._sort(on_time, now)[-1]
         lead = self.scheduler.compute_lead(last.claim.workspace, claim.workspace, now)
         gives_way = last.claim.priority >= claim.priority and lead > last.claim.tokens + claim.tokens
         return last.waiter if gives_way else None
 
     def leave(self, waiter: Waiter) -> None:
-        """Drop a request that waits no longer."""
-        self._entries = [place for place in self._entries if place.waiter is not waiter]
+        """Remove a request."""
+        self._entries = [entry for entry in self._entries if entry.waiter is not waiter]
 
     def has_on_time(self, now: float) -> bool:
-        """Tell whether somebody waits whose answer can still be in time."""
-        return any(place.is_on_time(now) for place in self._entries)
+        """Return whether a request waits whose response can still be on time."""
+        return any(entry.is_on_time(now) for entry in self._entries)
 
     def list_all(self) -> list[Waiter]:
-        """Return all who wait."""
-        return [place.waiter for place in self._entries]
+        """Return all waiting requests."""
+        return [entry.waiter for entry in self._entries]
 
     def list_due(self, now: float) -> list[Waiter]:
-        """Return who goes next, and who has waited for long enough to be given an end."""
+        """Return the request that is next, followed by those whose waiting time is over."""
         if not self._entries:
             return []
         first = self._sort(self._entries, now)[0]
-        ending = [place for place in self._entries if place is not first and now >= place.waits_until]
-        return [place.waiter for place in [first, *ending]]
+        expired = [entry for entry in self._entries if entry is not first and now >= entry.waits_until]
+        return [entry.waiter for entry in [first, *expired]]
 
     def _sort(self, entries: list[_QueueEntry[Waiter]], now: float) -> list[_QueueEntry[Waiter]]:
-        """Return places in the order of their turns."""
+        """Return entries in the order of service."""
         ranks = {owner: rank for rank, owner in enumerate(self.scheduler.rank(_list_owners(entries), now))}
         return sorted(
             entries,
-            key=lambda place: (
-                not place.is_on_time(now),
-                place.claim.priority,
-                ranks.get(place.claim.workspace, 0),
-                not place.precedes_late,
-                place.enqueued_at,
+            key=lambda entry: (
+                not entry.is_on_time(now),
+                entry.claim.priority,
+                ranks.get(entry.claim.workspace, 0),
+                not entry.precedes_late,
+                entry.enqueued_at,
             ),
         )
 
 
 def _list_owners(entries: list[_QueueEntry[Waiter]]) -> list[WorkspaceName | None]:
-    return [place.claim.workspace for place in entries]
+    return [entry.claim.workspace for entry in entries]
--- a/src/beamhatch/relay/requests/memory_queues.py
+++ b/src/beamhatch/relay/requests/memory_queues.py
@@ -1,4 +1,4 @@
-"""The lines for decode memory of one VM, and when those that wait in them ask again."""
+"""The queues for decode memory of one VM, and the timers at which waiting requests ask for memory again."""
 
 from __future__ import annotations
 
@@ -19,50 +19,52 @@
     from beamhatch.relay.choosing.eligibility import Eligibility
 
 POLL_INTERVAL_S = 0.04
-"""Seconds between two times that the first in line asks for decode memory."""
+"""Interval at which the next request in a queue asks for decode memory."""
 
 LATE_POLL_INTERVAL_S = 0.2
-"""Seconds between two such times where the first in line is late already.
+"""The same interval if the next request is late already.
 
-VMs whose first can be in time ask five times as often, and so get most of the places that come free, whichever VM's
-stream gave them back. With the order of the line it gains 0.015 (0.007) of a day's worth (20 days, and 15 others).
+It is longer so that VMs with requests that can still be on time get most of the freed slots.
 """
 
 FREED_DELAY_S = 0.003
-"""Seconds in which an engine gives memory back when a stream has ended."""
+"""Time that an engine takes to free memory after the end of a stream."""
 
 LATE_FREED_DELAY_S = 0.06
-"""Seconds behind which one that is late asks for memory that was given back: more than a poll of the others."""
+"""Time after which a late request asks for freed memory; longer than the poll interval of requests on time."""
 
 
 class QueuedRequest(ABC):
-    """A request that may wait."""
+    """A request that can wait in a queue for decode memory."""
 
     @abstractmethod
     def advance(self) -> None:
-        """Go on, as it is its turn, or it has waited for long enough."""
+        """Carry out the next step: the request is next, or its waiting time is over."""
 
     @abstractmethod
     def handle_displaced(self, claim: Claim) -> None:
-        """Leave the line to a request of a workspace that was served less."""
+        """Leave the queue in favour of a request of a workspace that was served less."""
 
     @property
     @abstractmethod
     def has_attempt(self) -> bool:
-        """Tell whether something is being asked of an upstream for it."""
+        """Return whether a call to an upstream is under way for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingPoll:
-    """The next time that those who wait in a line ask for decode memory."""
+    """The next time at which the requests of a queue ask for decode memory."""
 
     due: float
-    """Monotonic seconds."""
+    """Monotonic time in seconds."""
     timer: Any
 
 
 class QueueKey(NamedTuple):
-    """Whose line it is. Who may be served elsewhere is not held up by those for whom there is no memory."""
+    """The key of a queue.
+
+    Requests bound to different regions wait separately, so that a region without memory does not block the others.
+    """
 
     service: ServiceName
     regions: Regions
@@ -70,24 +72,24 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTerms:
-    """How a request waits; times are in monotonic seconds."""
+    """The terms on which a request waits; times are monotonic, in seconds."""
 
     on_time_until: float
-    """From when on its answer is late."""
+    """Time from which on its response is late."""
     waits_until: float
-    """Until when it waits."""
+    """Time up to which it waits."""
     precedes_late: bool
-    """Whether it goes before those that came just now."""
+    """Whether it is treated as late, but served before other late requests of its workspace."""
     claim: Claim = DEFAULT_CLAIM
 
 
 class MemoryQueues:
-    """All lines, by service and regions."""
+    """The queues by service and regions."""
 
     def __init__(self, clock: Clock, eligibility: Eligibility, *, fair: bool) -> None:
-        """Make them.
+        """Create an empty set of queues.
 
-        :param fair: whether decode memory is shared between workspaces; else whoever came first is next
+        :param fair: whether decode memory is shared fairly between workspaces; otherwise first in, first out
         """
         self._clock = clock
         self._eligibility = eligibility
@@ -95,39 +97,39 @@
         self._schedulers: defaultdict[ServiceName, WorkspaceScheduler] = defaultdict(
             StartTimeFairScheduler if fair else FifoScheduler
         )
-        """Who is next for the decode memory of each service, whatever line he waits in."""
+        """The scheduler of each service, shared by its queues."""
         self._pending_polls: dict[QueueKey, _PendingPoll] = {}
-        """The next poll of each line."""
+        """The next poll of each queue."""
 
     def list_all(self) -> Sequence[tuple[QueueKey, MemoryQueue[QueuedRequest]]]:
-        """Return all lines."""
+        """Return all queues with their keys."""
         return list(self._queues.items())
 
     def get(self, service: ServiceName, regions: Regions = None) -> MemoryQueue[QueuedRequest]:
-        """Return the line for the decode memory of a service in some regions."""
+        """Return the queue for the decode memory of a service in some regions; create it if needed."""
         key = QueueKey(service, regions)
-        line = self._queues.get(key)
-        if line is None:
-            line = self._queues[key] = MemoryQueue(self._schedulers[service])
-        return line
+        queue = self._queues.get(key)
+        if queue is None:
+            queue = self._queues[key] = MemoryQueue(self._schedulers[service])
+        return queue
 
     def enqueue(self, waiter: QueuedRequest, key: QueueKey, terms: QueueTerms) -> None:
-        """Let a request wait; it is asked to go on when it is its turn, or when it has waited for long enough."""
+        """Queue a request; its ``advance`` is called when it is next, or when its waiting time is over."""
         now = self._clock.now()
-        line = self.get(key.service, key.regions)
-        line.join(
+        queue = self.get(key.service, key.regions)
+        queue.join(
             waiter, terms.on_time_until, terms.waits_until, now, precedes_late=terms.precedes_late, claim=terms.claim
         )
         self._schedule_poll(key)
 
     def record_freed(self, service: ServiceName, hall: str = "") -> None:
-        """Note that one of this VM's streams gave memory back in a hall: who waits for that has a chance now."""
+        """Record that one of this VM's streams freed memory in a hall, and poll the queues that may use it."""
         now = self._clock.now()
         self.get(service)
-        for key, line in self._queues.items():
+        for key, queue in self._queues.items():
             if key.service == service and (key.regions is None or self._eligibility.places.lies_in(hall, key.regions)):
-                line.record_freed(now)
-                self._schedule_poll_within(FREED_DELAY_S if line.has_on_time(now) else LATE_FREED_DELAY_S, key)
+                queue.record_freed(now)
+                self._schedule_poll_within(FREED_DELAY_S if queue.has_on_time(now) else LATE_FREED_DELAY_S, key)
 
     def _poll(self, key: QueueKey) -> None:
         self._pending_polls.pop(key, None)
@@ -136,13 +138,13 @@
         self._schedule_poll(key)
 
     def _schedule_poll(self, key: QueueKey) -> None:
-        """Go on to poll as long as anybody waits, whoever leaves the line meanwhile."""
-        fresh = self._queues[key].has_on_time(self._clock.now())
-        interval = POLL_INTERVAL_S if fresh else LATE_POLL_INTERVAL_S
+        """Schedule the next regular poll, unless the queue is empty."""
+        on_time = self._queues[key].has_on_time(self._clock.now())
+        interval = POLL_INTERVAL_S if on_time else LATE_POLL_INTERVAL_S
         self._schedule_poll_within(interval * random.uniform(0.6, 1.4), key)
 
     def _schedule_poll_within(self, seconds: float, key: QueueKey) -> None:
-        """Poll after some seconds, unless a poll is due before."""
+        """Poll after some seconds at the latest, unless the queue is empty."""
         if not len(self._queues[key]):
             return
         due = self._clock.now() + seconds
--- a/src/beamhatch/relay/requests/output_lengths.py
+++ b/src/beamhatch/relay/requests/output_lengths.py
@@ -1,7 +1,7 @@
-"""How long answers become, learned from answers that ended.
+"""Predict output lengths from the outputs that completed recently.
 
-A caller may say how many tokens it expects. Such a guess is right in the middle and often far off, so it is weighed
-against what answers of late had, and the memory that is set aside covers most of the answers that such guesses led to.
+A caller's estimate of its output is noisy, so it is combined with the recent mean. The memory to reserve is set so that
+a given share of the outputs fits.
 """
 
 from __future__ import annotations
@@ -16,61 +16,55 @@
     from beamhatch.relay.model import RequestFacts
 
 PRIOR_SHARE = 0.4
-"""Share of the most tokens that an answer may have which it is thought to have, before any ended.
-
-The answers of the deployments that were measured had 0.42 of it in the mean.
-"""
+"""Expected share of the request's output limit, until enough outputs have completed."""
 
 PRIOR_TOKENS = 400.0
-"""The same where the request does not say what the most is."""
+"""Expected output tokens if the request has no limit, until enough outputs have completed."""
 
 ESTIMATE_WEIGHT = 0.64
-"""Weight of a caller's guess against the mean, on a scale of ratios.
-
-Lengths spread by 0.67 and the errors of guesses by 0.5, in logarithms, on two deployments: 0.67² / (0.67² + 0.5²).
-"""
+"""Weight of a caller's estimate against the recent mean, on a logarithmic scale."""
 
 COVERED_SHARE = 0.75
-"""Share of the answers that what is set aside has room for.
+"""Share of the outputs that fit into the reserved tokens.
 
-Less room lets more streams in, and has more of them read anew as the memory runs out.
+A lower share admits more streams, but more of them run out of memory and need another prefill.
 """
 
 MAX_SAMPLES = 64
-"""Answers of late that are looked at: a minute of one VM's traffic."""
+"""Number of recent outputs that are kept."""
 
 MIN_SAMPLES = 8
-"""Answers below which the prior is believed."""
+"""Number of outputs below which the priors apply."""
 
 PRIOR_RESERVE_RATIO = 1.3
-"""Ratio of the room that is set aside to the expected length, before enough answers ended."""
+"""Ratio of reserved to expected tokens, until enough outputs have completed."""
 
 PRIOR_MEAN_RATIO = 1.13
-"""Ratio of the mean length to the expected one, which is a median, before enough answers ended.
+"""Ratio of mean to expected tokens, until enough outputs have completed.
 
-The mean of a ratio whose logarithm has a spread of 0.5, as guesses had on two deployments: exp(0.5² / 2).
+The expected length is a median. With log-normal errors of standard deviation 0.5, the mean is exp(0.5² / 2) times it.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class _CompletedOutput:
     estimate: int
-    """Tokens that the caller expected; 0 where it did not say."""
+    """Tokens that the caller expected; 0 if it gave no estimate."""
     tokens: int
 
 
 @dataclass(slots=True)
 class OutputLengths:
-    """What the answers of one service had of late."""
+    """The recent output lengths of one service."""
 
     _outputs: deque[_CompletedOutput] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _typical_tokens: float = 0.0
-    """Geometric mean of the tokens, 0 where too few answers ended."""
+    """Geometric mean of the output tokens; 0 if too few outputs have completed."""
     _reserve_ratio: float = PRIOR_RESERVE_RATIO
     _mean_ratio: float = PRIOR_MEAN_RATIO
 
     def record(self, facts: RequestFacts, tokens: int) -> None:
-        """Take in an answer that ended whole."""
+        """Record the length of a completed output."""
         self._outputs.append(_CompletedOutput(facts.output_guess, max(1, tokens)))
         if len(self._outputs) < MIN_SAMPLES:
             return
@@ -80,12 +74,12 @@
         self._mean_ratio = fmean(ratios)
 
     def compute_reserve_tokens(self, facts: RequestFacts) -> int:
-        """Return the tokens to set aside for an answer."""
-        room = math.ceil(self._reserve_ratio * self._compute_expected_tokens(facts))
-        return min(room, facts.output_tokens) if facts.output_tokens else room
+        """Return the number of tokens to reserve for an output."""
+        tokens = math.ceil(self._reserve_ratio * self._compute_expected_tokens(facts))
+        return min(tokens, facts.output_tokens) if facts.output_tokens else tokens
 
     def compute_mean_tokens(self, facts: RequestFacts) -> float:
-        """Return the tokens that such answers have in the mean."""
+        """Return the mean number of tokens of outputs of such requests."""
         mean = self._mean_ratio * self._compute_expected_tokens(facts)
         return min(mean, facts.output_tokens) if facts.output_tokens else mean
 
@@ -94,7 +88,7 @@
 
 
 def _weigh_estimate(estimate: int, typical_tokens: float) -> float:
-    """Return the tokens that an answer is expected to have."""
+    """Return the weighted geometric mean of a caller's estimate, if any, and the typical length."""
     return float(estimate**ESTIMATE_WEIGHT * typical_tokens ** (1 - ESTIMATE_WEIGHT)) if estimate else typical_tokens
 
 
--- a/src/beamhatch/relay/requests/response.py
+++ b/src/beamhatch/relay/requests/response.py
@@ -1,4 +1,4 @@
-"""An upstream's answer, complete, and the statuses that are promises."""
+"""A buffered upstream response, and the statuses that say a request has not run."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     from beamhatch.relay.upstreams.http_client import Head
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request has not run."""
+"""Statuses that guarantee to a caller that its request has not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class BufferedResponse:
-    """An upstream's answer, complete."""
+    """A complete response of an upstream."""
 
     head: Head
     body: bytes
--- a/src/beamhatch/relay/requests/retry_budget.py
+++ b/src/beamhatch/relay/requests/retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeated sends: a share of the requests, and a part of the slack that all VMs have together."""
+"""Limit retries to a share of the recent requests plus this VM's part of a slack that all VMs share."""
 
 from __future__ import annotations
 
@@ -6,46 +6,47 @@
 from dataclasses import dataclass, field
 
 SAFETY_FACTOR = 0.8
-"""Share of the allowance that is used: what other VMs hold and how many they are is known only about."""
+"""Share of the allowance that is used, since the number of other VMs and what they sent is known only roughly."""
 
 MIN_VMS = 6
-"""VMs that the slack is divided by at the least, as long as fewer are known."""
+"""Minimum number of VMs that the slack is divided by."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetTerms:
-    """The bounds that hold for all VMs together, in any window."""
+    """The limits on retries for all VMs together, in any window."""
 
     ratio: float = 0.2
+    """Retries allowed per request."""
     slack: float = 50.0
+    """Retries allowed in addition."""
     window_s: float = 10.0
-    """Seconds."""
 
 
 FIRST_WINDOW_SHARE = 0.3
-"""Share of the slack that a VM uses in its first window: one that restarts forgot what it sent before."""
+"""Share of the slack that a VM uses in its first window, since it does not know what it sent before a restart."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Counts this VM's requests and repeated sends to one service in a sliding window."""
+    """A count of this VM's requests and retries to one service in a sliding window."""
 
     terms: RetryBudgetTerms
     started_at: float = -1e9
-    """When the VM started, in monotonic seconds."""
+    """Monotonic time in seconds at which the VM started."""
     _requests: deque[float] = field(default_factory=deque)
     _retries: deque[float] = field(default_factory=deque)
 
     def record_request(self, now: float) -> None:
-        """Count a request of a caller."""
+        """Count a request from a caller."""
         self._requests.append(now)
 
     def record_retry(self, now: float) -> None:
-        """Count a send beyond a request's first."""
+        """Count a retry."""
         self._retries.append(now)
 
     def allows(self, now: float, vm_count: int) -> bool:
-        """Tell whether one more repeated send fits, given the number of VMs that share the slack."""
+        """Return whether one more retry is allowed when the slack is shared by this many VMs."""
         self._trim(now)
         slack = self.terms.slack / max(MIN_VMS, vm_count)
         if now - self.started_at < self.terms.window_s:
--- a/src/beamhatch/relay/requests/workspace_scheduler.py
+++ b/src/beamhatch/relay/requests/workspace_scheduler.py
@@ -1,6 +1,7 @@
-"""Which workspace is next where several wait for the same thing, by the tokens that each was served of late.
+"""Order workspaces that wait for the same resource by the tokens that each was served recently.
 
-Every VM keeps it for itself. Nothing waits in here: it is told who waits and who was served, and tells an order.
+Each VM schedules on its own. A scheduler holds no queue: it records what was served and ranks the workspaces given to
+it.
 """
 
 from __future__ import annotations
@@ -16,43 +17,39 @@
     from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 ACCOUNT_RETENTION_S = 4.0
-"""Seconds behind its last request after which a workspace is forgotten: as long as a stream of the measured deployments
-holds decode memory.
-"""
+"""Seconds after its last request at which a workspace is forgotten."""
 
 MAX_LEAD_TOKENS = 30_000.0
-"""Tokens by which a workspace may be ahead of that which got the least, so that a surge is not paid for as long again:
-some six prompts of the measured deployments.
-"""
+"""Tokens by which a workspace may be ahead of the one served least; bounds how long a past burst delays it."""
 
 QUANTUM_TOKENS = 3000.0
-"""Tokens that each workspace is given in one round, about one prompt of the measured deployments."""
+"""Tokens that each workspace is credited in one round."""
 
 
 class WorkspaceScheduler(ABC):
-    """The order in which workspaces get turns."""
+    """A policy for the order in which workspaces are served."""
 
     @abstractmethod
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
-        """Enter that a request got what it asked for, whether it waited or not."""
+        """Record that a request of a workspace was served, whether it waited or not."""
 
     @abstractmethod
     def rank(self, owners: Iterable[WorkspaceName | None], now: float) -> Sequence[WorkspaceName | None]:
-        """Return those that wait, the next one first."""
+        """Return the waiting workspaces, the next one first."""
 
     @abstractmethod
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
-        """Return by how many tokens one is ahead of another; 0 where the order does not go by that."""
+        """Return by how many tokens ``owner`` is ahead of ``other``; 0 if the policy does not count tokens."""
 
 
 class FifoScheduler(WorkspaceScheduler):
-    """Makes no difference between workspaces, so that whoever came first is next."""
+    """First in, first out: no difference between workspaces."""
 
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     def rank(self, owners: Iterable[WorkspaceName | None], now: float) -> Sequence[WorkspaceName | None]:
-        """Return nobody: all are alike."""
+        """Return an empty sequence, since no workspace is preferred."""
         return ()
 
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
@@ -62,56 +59,53 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What one workspace was served."""
+    """The tokens that one workspace was served."""
 
     tokens: float
-    """By the count that all have in common."""
+    """Tokens served, counted from a start that all workspaces share; in deficit round robin, the credit left."""
     served_at: float
-    """When it was served last."""
+    """Monotonic time in seconds at which it was last served."""
 
 
 @dataclass(slots=True)
 class StartTimeFairScheduler(WorkspaceScheduler):
-    """Start-time fair queueing: next is the workspace that was served the fewest tokens.
+    """Start-time fair queueing: the workspace that was served the fewest tokens is next.
 
-    One that comes anew begins where the one with the fewest is, so that nobody saves up turns by being silent. On a
-    played VM whose places bear 5 requests a second, with four workspaces of which one sends 2, 4 and 8 times its usual
-    request a second, the others got 0.86, 0.80 and 0.79 of theirs in time; first come first served 0.83, 0.61 and 0.42,
-    in rounds 0.82, 0.66 and 0.51 (means of five plays).
+    A new workspace starts at the lowest count, so that none gains precedence by being idle.
     """
 
     _accounts: dict[WorkspaceName | None, _Account] = field(default_factory=dict)
 
     def __len__(self) -> int:
-        """Return how many workspaces are known."""
+        """Return the number of workspaces with an account."""
         return len(self._accounts)
 
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
-        """Move a workspace on by its tokens, but not further ahead than may be."""
-        least = self._compute_min_tokens(now)
-        account = self._accounts.setdefault(owner, _Account(least, now))
-        account.tokens = max(account.tokens, least) + tokens
+        """Add the tokens to the workspace's count, limited to ``MAX_LEAD_TOKENS`` above the lowest."""
+        min_tokens = self._compute_min_tokens(now)
+        account = self._accounts.setdefault(owner, _Account(min_tokens, now))
+        account.tokens = max(account.tokens, min_tokens) + tokens
         account.served_at = now
         limit = self._compute_min_tokens(now) + MAX_LEAD_TOKENS
         for each in self._accounts.values():
             each.tokens = min(each.tokens, limit)
 
     def rank(self, owners: Iterable[WorkspaceName | None], now: float) -> Sequence[WorkspaceName | None]:
-        """Return those with the fewest tokens first."""
-        least = self._compute_min_tokens(now)
-        return sorted(dict.fromkeys(owners), key=lambda owner: self._get_tokens(owner, least))
+        """Return the workspaces ordered by their tokens, the fewest first."""
+        min_tokens = self._compute_min_tokens(now)
+        return sorted(dict.fromkeys(owners), key=lambda owner: self._get_tokens(owner, min_tokens))
 
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
-        """Return by how many tokens one is ahead of another."""
-        least = self._compute_min_tokens(now)
-        return self._get_tokens(owner, least) - self._get_tokens(other, least)
+        """Return by how many tokens ``owner`` is ahead of ``other``."""
+        min_tokens = self._compute_min_tokens(now)
+        return self._get_tokens(owner, min_tokens) - self._get_tokens(other, min_tokens)
 
-    def _get_tokens(self, owner: WorkspaceName | None, least: float) -> float:
+    def _get_tokens(self, owner: WorkspaceName | None, min_tokens: float) -> float:
         account = self._accounts.get(owner)
-        return least if account is None else account.tokens
+        return min_tokens if account is None else account.tokens
 
     def _compute_min_tokens(self, now: float) -> float:
-        """Return the fewest tokens of those that were served of late; forget the others."""
+        """Delete idle accounts, and return the fewest tokens of the remaining ones."""
         for owner in [
             owner for owner, account in self._accounts.items() if now - account.served_at > ACCOUNT_RETENTION_S
         ]:
@@ -121,17 +115,17 @@
 
 @dataclass(slots=True)
 class DeficitRoundRobinScheduler(WorkspaceScheduler):
-    """Deficit round robin: workspaces take turns, each as soon as its rounds have paid for what it was served."""
+    """Deficit round robin: a workspace is next once its credit covers what it was served."""
 
     _accounts: dict[WorkspaceName | None, _Account] = field(default_factory=dict)
-    """What each has left, that which was served longest ago first."""
+    """The credit of each workspace, the one served longest ago first."""
 
     def __len__(self) -> int:
-        """Return how many workspaces are known."""
+        """Return the number of workspaces with an account."""
         return len(self._accounts)
 
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
-        """Take the tokens off what a workspace has left, after rounds for all that bring it into credit."""
+        """Credit rounds to all workspaces until this one is out of debt, then deduct the tokens from its credit."""
         self._evict_idle(now)
         account = self._accounts.pop(owner, None) or _Account(0.0, now)
         rounds = _count_rounds(account)
@@ -142,7 +136,7 @@
         self._accounts[owner] = account
 
     def rank(self, owners: Iterable[WorkspaceName | None], now: float) -> Sequence[WorkspaceName | None]:
-        """Return those first that need the fewest rounds, and among them by their place in the ring."""
+        """Return new workspaces first, then by rounds needed, then those served longest ago."""
         self._evict_idle(now)
         waiting = set(owners)
         known = [owner for owner in self._accounts if owner in waiting]
@@ -150,7 +144,7 @@
         return unknown + sorted(known, key=lambda owner: _count_rounds(self._accounts[owner]))
 
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
-        """Return by how many tokens one is ahead of another."""
+        """Return by how many tokens ``owner`` is ahead of ``other``."""
         self._evict_idle(now)
         ours, theirs = self._accounts.get(owner), self._accounts.get(other)
         return (theirs.tokens if theirs else 0.0) - (ours.tokens if ours else 0.0)
@@ -164,5 +158,5 @@
 
 
 def _count_rounds(account: _Account) -> int:
-    """Return the rounds after which a workspace has paid for what it was served."""
+    """Return the number of rounds after which the account is no longer in debt."""
     return max(0, math.ceil(-account.tokens / QUANTUM_TOKENS))
