--- a/tests/relay/requests/__init__.py
+++ b/tests/relay/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of requests."""
+"""Tests of the relaying of requests."""
--- a/tests/relay/requests/test_fingerprint.py
+++ b/tests/relay/requests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Requests that ask for the same work are told apart from all others."""
+"""Fingerprints are equal for repeats of a request, and differ for all others."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     return IncomingRequest(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def test_a_request_that_is_sent_again_keeps_its_fingerprint() -> None:
-    again = make_incoming(
+def test_a_retry_has_the_same_fingerprint() -> None:
+    retry = make_incoming(
         headers=[("host", "DESK.example"), ("Request-Id", "q2"), ("Deadline-Ms", "9000")], arrived=7.0
     )
-    assert compute_fingerprint(make_incoming(), ALPHA) == compute_fingerprint(again, ALPHA)
+    assert compute_fingerprint(make_incoming(), ALPHA) == compute_fingerprint(retry, ALPHA)
     assert len(compute_fingerprint(make_incoming(), ALPHA)) == FINGERPRINT_BYTES
 
 
@@ -41,10 +41,12 @@
         {"target": "/a/b?c=dalpha", "body": b""},
     ],
 )
-def test_another_request_has_another(changes: dict[str, object]) -> None:
+def test_a_different_request_has_a_different_fingerprint(changes: dict[str, object]) -> None:
     assert compute_fingerprint(make_incoming(**changes), ALPHA) != compute_fingerprint(make_incoming(), ALPHA)
 
 
-def test_the_same_request_of_another_caller_has_another() -> None:
-    found = {compute_fingerprint(make_incoming(), workspace) for workspace in (ALPHA, WorkspaceName("beta"), None)}
-    assert len(found) == 3
+def test_the_same_request_of_another_workspace_has_a_different_fingerprint() -> None:
+    fingerprints = {
+        compute_fingerprint(make_incoming(), workspace) for workspace in (ALPHA, WorkspaceName("beta"), None)
+    }
+    assert len(fingerprints) == 3
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -1,4 +1,4 @@
-"""What a request tells the chooser that it needs."""
+"""The needs of a request, as passed to the chooser."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class RecordingChooser(LeastCost):
-    """Keeps what it was asked for."""
+    """A chooser that records the needs it is called with."""
 
     def __init__(self) -> None:
         super().__init__(Standings(), "a")
@@ -64,21 +64,21 @@
         return super().choose_decode(usable, need, tried, now, handle=handle, kv_tokens=kv_tokens)
 
 
-def test_tells_the_bytes_of_its_cache_its_body_and_its_answer() -> None:
+def test_need_has_the_sizes_of_cache_body_and_output() -> None:
     need = make_request().need
     assert need.cache == find_cache(ENGINE, 5000)
     assert need.body_bytes == 700
     assert need.answer_bytes == 40 * EVENT_BYTES
 
 
-def test_tells_where_it_has_memory() -> None:
+def test_need_has_the_hall_of_the_reservation() -> None:
     request = make_request()
     assert request.need.decode_hall == ""
     request.record_reserved(Reservation("v", make_upstream("u", "b"), NOW + 2))
     assert request.need.decode_hall == "b"
 
 
-def test_tells_the_halls_of_the_engines_that_refused_it() -> None:
+def test_need_has_the_halls_of_engines_without_memory() -> None:
     request, chooser, budget = make_request(), RecordingChooser(), RetryBudget(RetryBudgetTerms())
     usable = [make_upstream("u1", "a"), make_upstream("u2", "a"), make_upstream("u3", "b")]
     for _ in range(3):
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -1,4 +1,4 @@
-"""The request aggregate and the listing under every interleaving of what may become of sends and news."""
+"""The request state machine and the listing under any interleaving of outcomes and updates."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """Carries out what the request plans, with any outcome, and keeps a naive record of what upstreams did."""
+    """A model that executes the planned steps with any outcome, and records what upstreams may have run."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -136,7 +136,7 @@
 
 
 class ListingMachine(RuleBasedStateMachine):
-    """Tells two listings the same news in different orders, and whole lists in between."""
+    """A model that applies the same updates to two listings, in different orders and with snapshots in between."""
 
     names = st.sampled_from(["a", "b", "c"])
 
@@ -218,7 +218,7 @@
 TestListing = ListingMachine.TestCase
 
 
-def test_the_budget_allows_a_share_of_requests_and_of_the_slack() -> None:
+def test_the_retry_budget_allows_a_share_of_requests_and_of_the_slack() -> None:
     budget = RetryBudget(RetryBudgetTerms(ratio=0.2, slack=60, window_s=10))
     for number in range(100):
         budget.record_request(number * 0.01)
@@ -230,7 +230,7 @@
     assert budget.allows(12.0, vm_count=10)
 
 
-def test_a_split_route_keeps_its_shares_and_its_callers() -> None:
+def test_a_route_with_shares_keeps_them_and_its_choice_per_caller() -> None:
     shares = (Share(ServiceName("a"), 90), Share(ServiceName("b"), 10))
     route = Route("r", "h", "/", RouteKind.SAFE, shares, 1, 1)
     chosen = [route.choose_service(f"q{number}") for number in range(2000)]
@@ -238,8 +238,8 @@
     assert chosen == [route.choose_service(f"q{number}") for number in range(2000)]
 
 
-def test_vms_that_all_restart_do_not_spend_the_slack_twice() -> None:
-    """What was sent before the restart and what is sent behind it fall into one window."""
+def test_vms_that_restart_together_do_not_use_the_slack_twice() -> None:
+    """Retries before and after a restart that fall into one window must not exceed the slack."""
     terms = RetryBudgetTerms(ratio=0.2, slack=56, window_s=10)
     sent = 0
     for started in (-1e9, 1.0):
