--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -60,7 +60,7 @@
 """Maximum time to retry, as a share of the time that the caller has left; it would not wait for longer."""
 
 MIN_RETRY_AFTER_S = 0.15
-"""Minimum time to retry, in which the state of this VM reaches the others."""
+"""Minimum time to retry, long enough for other VMs to receive updates from this one."""
 
 MIN_COLD_WAIT_S = 0.02
 """Minimum wait for a cold upstream, which bounds how often a waiting request is planned."""
@@ -174,9 +174,9 @@
             )
         self._release_unusable()
         usable = self._list_usable()
-        answering = any(one.phase is not Phase.PREFILL for one in usable)
-        may_go_on = answering or request.reservation is not None
-        shortage = None if may_go_on else self.core.find_lack(service, request.regions)
+        can_respond = any(one.phase is not Phase.PREFILL for one in usable)
+        can_proceed = can_respond or request.reservation is not None
+        shortage = None if can_proceed else self.core.find_lack(service, request.regions)
         if shortage is not None:
             self.core.tally.count("shut_total", shortage.obstacle.name.lower())
             self.core.find_demand(service).drop_prompt(request.facts.prompt_tokens)
@@ -221,7 +221,7 @@
 
         A plan uses an existing reservation without checking its upstream again, so without this a stream could begin in
         a hall that was evacuated meanwhile. A reservation at a cold or limited engine stays usable with its permit. A
-        KV cache may be taken out of an evacuated hall, but not out of an allowed region.
+        KV cache in an evacuated hall stays usable, but not one outside the allowed regions.
         """
         request = self.request
         handle, held = request.handle, request.reservation
@@ -510,7 +510,7 @@
         elif step.retry_after_is_minimum:
             self._end_with_error(503, step.reason, step.retry_after_s)
         else:
-            self._refuse(step.reason, full=step.memory_full, retry_after=step.retry_after_s)
+            self._refuse(step.reason, memory_full=step.memory_full, retry_after_s=step.retry_after_s)
 
     def _compute_cold_deadline(self) -> float:
         """Return the monotonic time up to which the request may wait for a cold upstream."""
@@ -523,12 +523,14 @@
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _refuse(self, reason: str, *, full: bool = False, retry_after: float | None = None) -> None:
-        if retry_after is not None:
-            retry_after = min(retry_after, MAX_RETRY_AFTER_SHARE * max(0.0, self.deadline - self.core.clock.now()))
+    def _refuse(self, reason: str, *, memory_full: bool = False, retry_after_s: float | None = None) -> None:
+        if retry_after_s is not None:
+            retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_SHARE * max(0.0, self.deadline - self.core.clock.now()))
         else:
-            retry_after = self._predict_memory_wait() if full else RETRY_AFTER_SHARE * self.request.route.target_latency
-        self._end_with_error(503, reason, round(max(MIN_RETRY_AFTER_S, retry_after), 2))
+            retry_after_s = (
+                self._predict_memory_wait() if memory_full else RETRY_AFTER_SHARE * self.request.route.target_latency
+            )
+        self._end_with_error(503, reason, round(max(MIN_RETRY_AFTER_S, retry_after_s), 2))
 
     def _predict_memory_wait(self) -> float:
         """Return the time in which decode memory should be freed, from how long streams hold it, with jitter."""
@@ -550,7 +552,7 @@
         else:
             self._refuse("request timed out")
 
-    def _end_with_error(self, status: int, reason: str, retry_after: float | None) -> None:
+    def _end_with_error(self, status: int, reason: str, retry_after_s: float | None) -> None:
         if self._ended:
             return
         self.write_log(
@@ -566,7 +568,7 @@
         if self._responder.begun:
             self._responder.abort()
         else:
-            send_error(self._responder, status, reason, retry_after)
+            send_error(self._responder, status, reason, retry_after_s)
         self._end()
 
     def abort(self, reason: str) -> None:
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -150,9 +150,9 @@
         self.told = Listing()
         self.drained: set[str] = set()
         self.went_at: dict[str, float] = {}
-        """When upstreams whose entries are gone went."""
+        """Time at which each deleted upstream was deleted."""
         self.best: dict[UpstreamId, Entry] = {}
-        """The newest news that were heard of each upstream."""
+        """The newest entry of each upstream that the second listing has received."""
 
     @rule(name=names, draining=st.booleans(), gone=st.booleans())
     def change(self, name: str, draining: bool, gone: bool) -> None:
