--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -99,9 +99,9 @@
     route: Route
     service: Service
     may_have_run: bool = False
-    """True once a send may have run."""
+    """Whether an upstream may have run the request."""
     possible_runs: int = 0
-    """Sends that may have run."""
+    """Number of sends that an upstream may have run."""
     sends: int = 0
     handle: Handle | None = None
     """KV cache that is held for this request and not yet taken by a decode engine."""
