--- /dev/null
+++ b/src/beamhatch/relay/requests/memory_queues.py
@@ -0,0 +1,156 @@
+"""The queues for decode memory of one VM, and the timers at which waiting requests ask for memory again."""
+
+from __future__ import annotations
+
+import random
+from abc import ABC, abstractmethod
+from collections import defaultdict
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from beamhatch.relay.model import Regions, ServiceName
+from beamhatch.relay.requests.memory_queue import DEFAULT_CLAIM, Claim, MemoryQueue
+from beamhatch.relay.requests.workspace_scheduler import FifoScheduler, StartTimeFairScheduler, WorkspaceScheduler
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from beamhatch.clock import Clock
+    from beamhatch.relay.choosing.eligibility import Eligibility
+
+POLL_INTERVAL_S = 0.04
+"""Interval at which the next request in a queue asks for decode memory."""
+
+LATE_POLL_INTERVAL_S = 0.2
+"""The same interval if the next request is late already.
+
+It is longer so that VMs with requests that can still be on time get most of the freed slots.
+"""
+
+FREED_DELAY_S = 0.003
+"""Time that an engine takes to free memory after the end of a stream."""
+
+LATE_FREED_DELAY_S = 0.06
+"""Time after which a late request asks for freed memory; longer than the poll interval of requests on time."""
+
+
+class QueuedRequest(ABC):
+    """A request that can wait in a queue for decode memory."""
+
+    @abstractmethod
+    def advance(self) -> None:
+        """Carry out the next step: the request is next, or its waiting time is over."""
+
+    @abstractmethod
+    def handle_displaced(self, claim: Claim) -> None:
+        """Leave the queue in favour of a request of a workspace that was served less."""
+
+    @property
+    @abstractmethod
+    def has_attempt(self) -> bool:
+        """Return whether a call to an upstream is under way for it."""
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingPoll:
+    """The next time at which the requests of a queue ask for decode memory."""
+
+    due: float
+    """Monotonic time in seconds."""
+    timer: Any
+
+
+class QueueKey(NamedTuple):
+    """The key of a queue.
+
+    Requests bound to different regions wait separately, so that a region without memory does not block the others.
+    """
+
+    service: ServiceName
+    regions: Regions
+
+
+@dataclass(frozen=True, slots=True)
+class QueueTerms:
+    """The terms on which a request waits; times are monotonic, in seconds."""
+
+    on_time_until: float
+    """Time from which on its response is late."""
+    waits_until: float
+    """Time up to which it waits."""
+    precedes_late: bool
+    """Whether it is treated as late, but served before other late requests of its workspace."""
+    claim: Claim = DEFAULT_CLAIM
+
+
+class MemoryQueues:
+    """The queues by service and regions."""
+
+    def __init__(self, clock: Clock, eligibility: Eligibility, *, fair: bool) -> None:
+        """Create an empty set of queues.
+
+        :param fair: whether decode memory is shared fairly between workspaces; otherwise first in, first out
+        """
+        self._clock = clock
+        self._eligibility = eligibility
+        self._queues: dict[QueueKey, MemoryQueue[QueuedRequest]] = {}
+        self._schedulers: defaultdict[ServiceName, WorkspaceScheduler] = defaultdict(
+            StartTimeFairScheduler if fair else FifoScheduler
+        )
+        """The scheduler of each service, shared by its queues."""
+        self._pending_polls: dict[QueueKey, _PendingPoll] = {}
+        """The next poll of each queue."""
+
+    def list_all(self) -> Sequence[tuple[QueueKey, MemoryQueue[QueuedRequest]]]:
+        """Return all queues with their keys."""
+        return list(self._queues.items())
+
+    def get(self, service: ServiceName, regions: Regions = None) -> MemoryQueue[QueuedRequest]:
+        """Return the queue for the decode memory of a service in some regions; create it if needed."""
+        key = QueueKey(service, regions)
+        queue = self._queues.get(key)
+        if queue is None:
+            queue = self._queues[key] = MemoryQueue(self._schedulers[service])
+        return queue
+
+    def enqueue(self, waiter: QueuedRequest, key: QueueKey, terms: QueueTerms) -> None:
+        """Queue a request; its ``advance`` is called when it is next, or when its waiting time is over."""
+        now = self._clock.now()
+        queue = self.get(key.service, key.regions)
+        queue.join(
+            waiter, terms.on_time_until, terms.waits_until, now, precedes_late=terms.precedes_late, claim=terms.claim
+        )
+        self._schedule_poll(key)
+
+    def record_freed(self, service: ServiceName, hall: str = "") -> None:
+        """Record that one of this VM's streams freed memory in a hall, and poll the queues that may use it."""
+        now = self._clock.now()
+        self.get(service)
+        for key, queue in self._queues.items():
+            if key.service == service and (key.regions is None or self._eligibility.places.lies_in(hall, key.regions)):
+                queue.record_freed(now)
+                self._schedule_poll_within(FREED_DELAY_S if queue.has_on_time(now) else LATE_FREED_DELAY_S, key)
+
+    def _poll(self, key: QueueKey) -> None:
+        self._pending_polls.pop(key, None)
+        for waiter in self._queues[key].list_due(self._clock.now()):
+            waiter.advance()
+        self._schedule_poll(key)
+
+    def _schedule_poll(self, key: QueueKey) -> None:
+        """Schedule the next regular poll, unless the queue is empty."""
+        on_time = self._queues[key].has_on_time(self._clock.now())
+        interval = POLL_INTERVAL_S if on_time else LATE_POLL_INTERVAL_S
+        self._schedule_poll_within(interval * random.uniform(0.6, 1.4), key)
+
+    def _schedule_poll_within(self, seconds: float, key: QueueKey) -> None:
+        """Poll after some seconds at the latest, unless the queue is empty."""
+        if not len(self._queues[key]):
+            return
+        due = self._clock.now() + seconds
+        pending = self._pending_polls.get(key)
+        if pending is not None and pending.due <= due:
+            return
+        if pending is not None:
+            pending.timer.cancel()
+        self._pending_polls[key] = _PendingPoll(due, self._clock.call_later(seconds, self._poll, key))
--- /dev/null
+++ b/src/beamhatch/relay/requests/response.py
@@ -0,0 +1,20 @@
+"""A buffered upstream response, and the statuses that say a request has not run."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from beamhatch.relay.upstreams.http_client import Head
+
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee to a caller that its request has not run."""
+
+
+@dataclass(frozen=True, slots=True)
+class BufferedResponse:
+    """A complete response of an upstream."""
+
+    head: Head
+    body: bytes
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -19,7 +19,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Distance, Places, RegionName
-from beamhatch.relay.requests.request import RESERVE_TRIES
+from beamhatch.relay.requests.request import MAX_RESERVE_ATTEMPTS
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -172,7 +172,7 @@
     def _answer(self, request: _Request, engine: Upstream, now: float) -> None:
         if self.running[engine.id] >= SLOTS or self._is_unlisted(engine.hall, now):
             request.refused.append(engine)
-            if len(request.refused) < RESERVE_TRIES:
+            if len(request.refused) < MAX_RESERVE_ATTEMPTS:
                 self._attempt(request, now)
             else:
                 self._wait(request, now)
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -1,4 +1,4 @@
-"""What a request tells the chooser that it needs."""
+"""The needs of a request, as passed to the chooser."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     Upstream,
     UpstreamId,
 )
-from beamhatch.relay.requests.budget import Budget, BudgetTerms
 from beamhatch.relay.requests.request import RelayRequest, Reserve
+from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -36,7 +36,7 @@
 def make_request() -> RelayRequest:
     route = Route("r", "h", "/", RouteKind.STREAMING, (Share(SERVICE, 1),), 14.0, 0.9)
     facts = RequestFacts("q", None, None, 5000, 100)
-    return RelayRequest(facts, route, Service(SERVICE, ENGINE), answer_room=80, body_bytes=700)
+    return RelayRequest(facts, route, Service(SERVICE, ENGINE), reserve_output_tokens=80, body_bytes=700)
 
 
 def make_upstream(name: str, hall: str) -> Upstream:
@@ -44,7 +44,7 @@
 
 
 class RecordingChooser(LeastCostChooser):
-    """Keeps what it was asked for."""
+    """A chooser that records the needs it is called with."""
 
     def __init__(self) -> None:
         super().__init__(UpstreamStatsRegistry(), "a")
@@ -64,25 +64,25 @@
         return super().choose_decode(usable, need, tried, now, handle=handle, kv_tokens=kv_tokens)
 
 
-def test_tells_the_bytes_of_its_cache_its_body_and_its_answer() -> None:
+def test_need_has_the_sizes_of_cache_body_and_output() -> None:
     need = make_request().need
     assert need.cache == compute_cache_transfer(ENGINE, 5000)
     assert need.body_bytes == 700
     assert need.answer_bytes == 40 * EVENT_BYTES
 
 
-def test_tells_where_it_has_memory() -> None:
+def test_need_has_the_hall_of_the_reservation() -> None:
     request = make_request()
     assert request.need.decode_hall == ""
-    request.note_reserved(Reservation("v", make_upstream("u", "b"), NOW + 2))
+    request.record_reserved(Reservation("v", make_upstream("u", "b"), NOW + 2))
     assert request.need.decode_hall == "b"
 
 
-def test_tells_the_halls_of_the_engines_that_refused_it() -> None:
-    request, chooser, budget = make_request(), RecordingChooser(), Budget(BudgetTerms())
+def test_need_has_the_halls_of_engines_without_memory() -> None:
+    request, chooser, budget = make_request(), RecordingChooser(), RetryBudget(RetryBudgetTerms())
     usable = [make_upstream("u1", "a"), make_upstream("u2", "a"), make_upstream("u3", "b")]
     for _ in range(3):
         step = request.plan(usable, chooser, budget, 1, NOW)
         assert isinstance(step, Reserve)
-        request.note_full(step.upstream.id)
+        request.record_full(step.upstream.id)
     assert [sorted(need.refused_halls) for need in chooser.needs] == [[], ["a"], ["a", "a"]]
