--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -73,7 +73,7 @@
         lambda: all(vm.core.quarantine.count(vm.clock.now()) == 1 for vm in platform.vms.values()), 20.0
     )
     sent = count_bytes(platform, "quarantine")
-    runs = [sum(len(end.runs) for end in vm.core.quarantine.ends) for vm in platform.vms.values()]
+    runs = [sum(len(end.run_durations) for end in vm.core.quarantine.crashes) for vm in platform.vms.values()]
     return {
         "vms": vms,
         "ends": len(platform.ledger.crashes),
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -16,16 +16,16 @@
 from beamhatch.relay.choosing.peer_work import PeerWork
 from beamhatch.relay.choosing.read_times import ReadTimes
 from beamhatch.relay.choosing.standing import Standings
-from beamhatch.relay.engines.changing import ChangeNews, Changes
-from beamhatch.relay.engines.demand import Demand
+from beamhatch.relay.engines.demand_estimation import DemandEstimator
+from beamhatch.relay.engines.phase_changes import PendingPhaseChanges, PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.limits.returns import PacedReturns
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
 from beamhatch.relay.places import Places
+from beamhatch.relay.quarantine.gossip import QuarantineGossip, QuarantineGossipDependencies
 from beamhatch.relay.quarantine.quarantine import Quarantine
-from beamhatch.relay.quarantine.talk import QuarantineTalk, TalkNeeds
 from beamhatch.relay.requests.budget import Budget, BudgetTerms
 from beamhatch.relay.requests.exchange import HELD, REGION_RETRY, RelayExchange
 from beamhatch.relay.requests.fingerprint import find_fingerprint
@@ -135,9 +135,9 @@
     listing: Listing = field(default_factory=Listing)
     announcements: Announcements = field(init=False)
     eligibility: Eligibility = field(init=False)
-    changes: Changes = field(default_factory=Changes)
+    changes: PendingPhaseChanges = field(default_factory=PendingPhaseChanges)
     quarantine: Quarantine = field(default_factory=Quarantine)
-    quarantine_talk: QuarantineTalk = field(init=False)
+    quarantine_talk: QuarantineGossip = field(init=False)
     paces: EnginePaces = field(default_factory=EnginePaces)
     work: PeerWork = field(default_factory=PeerWork)
     document: Document | None = None
@@ -161,7 +161,7 @@
     places: Places = field(default_factory=Places)
     _budgets: dict[ServiceName, Budget] = field(default_factory=dict)
     lines: MemoryLines = field(init=False)
-    _demands: defaultdict[ServiceName, Demand] = field(default_factory=lambda: defaultdict(Demand))
+    _demands: defaultdict[ServiceName, DemandEstimator] = field(default_factory=lambda: defaultdict(DemandEstimator))
     _lengths: defaultdict[ServiceName, AnswerLengths] = field(default_factory=lambda: defaultdict(AnswerLengths))
     _read_times: defaultdict[ServiceName, ReadTimes] = field(default_factory=lambda: defaultdict(ReadTimes))
     _returns: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
@@ -187,8 +187,10 @@
         self.announcements.limits.count_vms = lambda: self.vms
         self.chooser.find_cold_cost = self.find_cold_cost
         self.lines = MemoryLines(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
-        self.quarantine_talk = QuarantineTalk(
-            TalkNeeds(self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits)
+        self.quarantine_talk = QuarantineGossip(
+            QuarantineGossipDependencies(
+                self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits
+            )
         )
 
     @property
@@ -259,7 +261,7 @@
             changed = [entry for entry in entries if listing.take(entry, now)]
         for entry in changed:
             self.journal.write("LISTING", _describe(entry), upstream=entry.id, revision=entry.revision, source=source)
-            self.changes.end(entry.id, None if entry.upstream is None else entry.upstream.phase)
+            self.changes.record_entry(entry.id, None if entry.upstream is None else entry.upstream.phase)
             last = before.get(entry.id)
             if entry.upstream is not None and last is not None and not entry.upstream.is_same_life(last):
                 self._note_restart(entry.upstream, last)
@@ -274,7 +276,7 @@
         """Forget what was believed of an upstream that has started again under its id."""
         self.journal.write("LISTING", "started again", upstream=upstream.id, born=upstream.born, before=before.born)
         self.standings.get(upstream.id).begin_life()
-        self.changes.end(upstream.id, None)
+        self.changes.record_entry(upstream.id, None)
 
     def is_over(self, upstream: Upstream) -> bool:
         """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
@@ -294,7 +296,7 @@
 
     def _list_staying(self, service: ServiceName, now: float) -> list[Upstream]:
         """Return the upstreams of a service that are listed and not away for a change of their part."""
-        return self.changes.pass_over(self.listing.list_usable(service, now), now)
+        return self.changes.exclude_changing(self.listing.list_usable(service, now), now)
 
     def _note_cold(self, entries: Sequence[Entry], source: str) -> None:
         """Write one line on the upstreams that turned cold, and look in a while which of them are warm."""
@@ -431,14 +433,14 @@
         """Return how many requests are still under way at upstreams of emptied halls."""
         return sum(self.count_in(hall) for hall in self.eligibility.evacuations.list_emptied())
 
-    def take_change(self, upstream: UpstreamId, news: ChangeNews, source: str) -> None:
+    def take_change(self, upstream: UpstreamId, news: PhaseChangeUpdate, source: str) -> None:
         """Take in that an engine was ordered to play another part."""
         found = self.listing.find(upstream)
         if found is None or found.phase is news.phase:
             return
-        if self.changes.take(upstream, news, self.clock.now()):
+        if self.changes.apply_update(upstream, news, self.clock.now()):
             self.journal.write(
-                "LISTING", "changing", upstream=upstream, phase=news.phase.value, certain=news.certain, source=source
+                "LISTING", "changing", upstream=upstream, phase=news.phase.value, certain=news.confirmed, source=source
             )
             self.on_change()
 
@@ -456,7 +458,7 @@
         budget.terms = self.terms.budget
         return budget
 
-    def find_demand(self, service: ServiceName) -> Demand:
+    def find_demand(self, service: ServiceName) -> DemandEstimator:
         """Return what this VM's streams ask of a service."""
         return self._demands[service]
 
@@ -480,11 +482,11 @@
         reading = self.paces.get_reading(service)
         whole = self.paces.get_whole(service)
         return DemandReport(
-            prompt_rate=round(demand.count_prompt_rate(now)),
-            wait_rate=round(demand.count_wait_rate(now), 2),
-            prompt=round(demand.prompt),
-            answer=round(demand.answer),
-            residence=round(demand.find_residence(now), 2),
+            prompt_rate=round(demand.compute_prompt_rate(now)),
+            wait_rate=round(demand.compute_wait_rate(now), 2),
+            prompt=round(demand.mean_prompt_tokens),
+            answer=round(demand.mean_answer_tokens),
+            residence=round(demand.estimate_residence(now), 2),
             read_rate=round(reading.pace.rate) if reading.learned else 0.0,
             read_overhead=round(reading.pace.overhead, 3),
             whole_rate=round(whole.pace.rate) if whole.learned else 0.0,
@@ -515,7 +517,7 @@
         self.find_budget(place.service.name).note_request(self.clock.now())
         if place.service.engine is not None:
             answer = self.find_lengths(place.service.name).find_mean(facts)
-            self.find_demand(place.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
+            self.find_demand(place.service.name).record_prompt(facts.prompt_tokens, answer, self.clock.now())
         exchange = RelayExchange(
             self,
             incoming,
@@ -557,7 +559,7 @@
 
     def _refuse_held(self, fingerprint: Fingerprint) -> _Refusal | None:
         """Return how a request is refused that ends what runs it, None where it does not."""
-        hold = self.quarantine.find_hold(fingerprint, self.clock.now())
+        hold = self.quarantine.get_hold(fingerprint, self.clock.now())
         if hold is None:
             return None
         self.tally.count("quarantine_refusals_total")
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -17,7 +17,7 @@
 from beamhatch.relay.choosing.turns import TurnGate
 from beamhatch.relay.core import Core, Terms
 from beamhatch.relay.engines.leadership import Leadership
-from beamhatch.relay.engines.ordering import Ordering
+from beamhatch.relay.engines.phase_controller import PhaseController
 from beamhatch.relay.fleet.departure_talk import DepartureTalk
 from beamhatch.relay.fleet.gossip import Gossip
 from beamhatch.relay.fleet.membership import Member, Membership
@@ -26,7 +26,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Address, CallerLimits
 from beamhatch.relay.places import Places
-from beamhatch.relay.quarantine.keeping import QuarantineKeeping
+from beamhatch.relay.quarantine.persistence import QuarantinePersistence
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.upstreams.listing import DRAIN_TIME, GONE_GRACE_SHARE, Listing
 from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
@@ -142,9 +142,9 @@
         self._watchers = self._make_watchers(store)
         if self._gossip is not None:
             self._gossip.is_turned_away = self._is_turned_away
-        keeping = QuarantineKeeping(self.core, store)
-        self.core.quarantine_talk.on_hold = keeping.keep
-        self.core.quarantine_talk.on_clear = keeping.end
+        keeping = QuarantinePersistence(self.core, store)
+        self.core.quarantine_talk.on_hold = keeping.add
+        self.core.quarantine_talk.on_clear = keeping.remove
         self._usage = self._make_usage()
         if self._gossip is not None and Mechanism.TOLD_DEPARTURES not in settings.without:
             departures = DepartureTalk(clock, self.core.announcements)
@@ -162,14 +162,14 @@
         self.core.eligibility.gate = self._make_cold_gate()
         self.core.admission.may_be_behind = self._may_be_behind
         self.leadership: Leadership | None = None
-        self._ordering: Ordering | None = None
+        self._ordering: PhaseController | None = None
         if self._gossip is not None:
             self.leadership = Leadership(self.core, store, settings.vm, self._gossip.membership.count_ahead)
-            self.leadership.tenure.turn_time = settings.turn_time
-            self.leadership.on_regained = self._renew_watches
-            self.leadership.on_quarantine = self.core.quarantine_talk.take_kept
-            self.leadership.on_restored_quarantine = self.core.quarantine_talk.restore_kept
-            self._ordering = Ordering(self.core, self.leadership, settings.vm, self._gossip.find_pressure)
+            self.leadership.lease.handover_time = settings.turn_time
+            self.leadership.on_store_recovered = self._renew_watches
+            self.leadership.on_quarantines = self.core.quarantine_talk.apply_stored
+            self.leadership.on_quarantines_restored = self.core.quarantine_talk.apply_restored
+            self._ordering = PhaseController(self.core, self.leadership, settings.vm, self._gossip.find_pressure)
         self._ports: list[Any] = []
         self._caller_port: Any = None
         self._stopping_since: float | None = None
--- a/src/beamhatch/relay/engines/balancing.py
+++ b/src/beamhatch/relay/engines/balancing.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.engines.throughput import EngineFigures, find_best_split, find_capacity
+from beamhatch.relay.engines.throughput import CapacityParameters, compute_capacity, find_best_split
 from beamhatch.relay.model import Phase, Upstream
 
 if TYPE_CHECKING:
@@ -18,43 +18,43 @@
 
     from beamhatch.relay.model import UpstreamId
 
-HORIZON = 25.0
+HORIZON_S = 25.0
 """Seconds for which a split is taken to stay: some times what a change takes."""
 
-HEADROOM = 3.0
+DEMAND_FACTOR = 3.0
 """Times the demand of late that is to be expected within the horizon.
 
 The users' bursts are of 1.6 to 2.3 times; with 3 engines change in calm times, when nobody misses them (trials).
 """
 
-WORTHWHILE = 0.01
+MIN_GAIN_SHARE = 0.01
 """Share of the expected prompt tokens that a change has to bring."""
 
-MOST_AT_ONCE = 0.15
+MAX_CHANGING_SHARE = 0.15
 """Share of a service's engines that are away for a change at a time: what is learned of them is never exact.
 
 Up to it, engines follow a first one at once. Where one order was given every 9 s instead, 45 engines had their best
 split 16 s late; a day's worth went from 0.392 to 0.515 and from 0.430 to 0.452 (two days, one run each).
 """
 
-REVERSAL_PAUSE = 9.0
+REVERSAL_DELAY_S = 9.0
 """Seconds behind a change to one part before one to the other: the first has to show before there is evidence."""
 
 
 @dataclass(frozen=True, slots=True)
-class Pressure:
+class ServiceDemand:
     """What all VMs together ask of a service's engines, as far as it is known."""
 
     prompt_rate: float
     """Prompt tokens a second of late."""
     wait_rate: float
     """Requests a second that find decode memory full."""
-    figures: EngineFigures
+    parameters: CapacityParameters
 
     @property
     def expected_rate(self) -> float:
         """Return the prompt tokens a second that are to be expected within the horizon."""
-        return HEADROOM * self.prompt_rate
+        return DEMAND_FACTOR * self.prompt_rate
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weighed:
+class ChangeEvaluation:
     """What the best change of a split would bring."""
 
     prefills: int
@@ -87,18 +87,18 @@
     """Engines that would change to the part, 0 where the split is the best already."""
     gain: float = 0.0
     """Prompt tokens that would be served more within the horizon."""
-    needed: float = 0.0
+    min_gain: float = 0.0
     """Prompt tokens that a change has to bring at the least."""
 
     @property
-    def due(self) -> bool:
+    def is_due(self) -> bool:
         """Tell whether the change is worth making."""
-        return self.count > 0 and self.gain >= self.needed
+        return self.count > 0 and self.gain >= self.min_gain
 
 
-def weigh_changes(
-    engines: Sequence[Upstream], pressure: Pressure, switch_time: float, changing: Collection[UpstreamId] = ()
-) -> Weighed:
+def evaluate_changes(
+    engines: Sequence[Upstream], demand: ServiceDemand, switch_time: float, changing: Collection[UpstreamId] = ()
+) -> ChangeEvaluation:
     """Return what the best change would bring.
 
     :param engines: all that are there, those that are changing with the part that they will play
@@ -107,16 +107,16 @@
     """
     split = _count_split(engines)
     away = _count_split([one for one in engines if one.id in changing])
-    if not pressure.prompt_rate or len(engines) < 2:
+    if not demand.prompt_rate or len(engines) < 2:
         # At the start engines are listed one by one: a part may just not be there yet.
-        return Weighed(split.prefills, split.decodes, Phase.DECODE)
-    wanted = find_best_split(len(engines), pressure.figures)
-    phase = Phase.DECODE if wanted < split.prefills else Phase.PREFILL
-    most = min(abs(split.prefills - wanted), _count_free(split, len(changing)))
-    gains = {count: predict_gain(split, count, phase, pressure, switch_time, away) for count in range(1, most + 1)}
+        return ChangeEvaluation(split.prefills, split.decodes, Phase.DECODE)
+    best_prefills = find_best_split(len(engines), demand.parameters)
+    phase = Phase.DECODE if best_prefills < split.prefills else Phase.PREFILL
+    max_count = min(abs(split.prefills - best_prefills), _count_available_changes(split, len(changing)))
+    gains = {count: predict_gain(split, count, phase, demand, switch_time, away) for count in range(1, max_count + 1)}
     best = max(gains, key=lambda count: gains[count], default=0)
-    needed = WORTHWHILE * HORIZON * pressure.expected_rate
-    return Weighed(split.prefills, split.decodes, phase, best, gains.get(best, 0.0), needed)
+    needed = MIN_GAIN_SHARE * HORIZON_S * demand.expected_rate
+    return ChangeEvaluation(split.prefills, split.decodes, phase, best, gains.get(best, 0.0), needed)
 
 
 def _count_split(engines: Sequence[Upstream]) -> Split:
@@ -124,62 +124,64 @@
     return Split(prefills, len(engines) - prefills)
 
 
-def _count_free(split: Split, changing: int) -> int:
+def _count_available_changes(split: Split, changing: int) -> int:
     """Return how many more engines may be away: one in any case where a part has none, and none is on the way."""
     engines = split.prefills + split.decodes
-    lacking = not split.prefills or not split.decodes
-    return max(1 if lacking else 0, max(1, int(MOST_AT_ONCE * engines)) - changing)
+    is_phase_missing = not split.prefills or not split.decodes
+    return max(1 if is_phase_missing else 0, max(1, int(MAX_CHANGING_SHARE * engines)) - changing)
 
 
-def choose_changes(engines: Sequence[Upstream], weighed: Weighed, movable: Collection[UpstreamId]) -> list[PhaseChange]:
+def choose_changes(
+    engines: Sequence[Upstream], evaluation: ChangeEvaluation, movable: Collection[UpstreamId]
+) -> list[PhaseChange]:
     """Return the changes that are due, all in one direction.
 
     :param movable: the engines that can be had to change now
     """
-    if not weighed.due:
+    if not evaluation.is_due:
         return []
     prefills = [one for one in engines if one.phase is Phase.PREFILL]
     decodes = [one for one in engines if one.phase is Phase.DECODE]
-    if weighed.phase is Phase.DECODE:
-        return _choose_from(prefills, decodes, movable, weighed.count, weighed.phase)
-    return _choose_from(decodes, prefills, movable, weighed.count, weighed.phase)
+    if evaluation.phase is Phase.DECODE:
+        return _choose_engines(prefills, decodes, movable, evaluation.count, evaluation.phase)
+    return _choose_engines(decodes, prefills, movable, evaluation.count, evaluation.phase)
 
 
 def predict_gain(
-    split: Split, count: int, phase: Phase, pressure: Pressure, switch_time: float, away: Split = NONE_AWAY
+    split: Split, count: int, phase: Phase, demand: ServiceDemand, switch_time: float, away: Split = NONE_AWAY
 ) -> float:
     """Return the prompt tokens that are served more within the horizon where some engines change to a part.
 
     :param split: today's engines, those that are away counted as what they will be
     :param away: the engines among these that serve nobody until their own change is done
     """
-    figures = pressure.figures
+    parameters = demand.parameters
     to_decode = count if phase is Phase.DECODE else 0
     to_prefill = count - to_decode
     prefills, decodes = split.prefills, split.decodes
-    today = find_capacity(prefills, decodes, figures)
-    then = find_capacity(prefills + to_prefill - to_decode, decodes + to_decode - to_prefill, figures)
+    before = compute_capacity(prefills, decodes, parameters)
+    after = compute_capacity(prefills + to_prefill - to_decode, decodes + to_decode - to_prefill, parameters)
     present_prefills, present_decodes = prefills - away.prefills, decodes - away.decodes
-    present = find_capacity(present_prefills, present_decodes, figures)
-    meanwhile = find_capacity(present_prefills - to_decode, present_decodes - to_prefill, figures)
-    away_time = min(HORIZON, switch_time + figures.residence)
-    lost = min(pressure.prompt_rate, present) - min(pressure.prompt_rate, meanwhile)
-    won = min(pressure.expected_rate, then) - min(pressure.expected_rate, today)
-    return (HORIZON - away_time) * won - away_time * lost
+    present = compute_capacity(present_prefills, present_decodes, parameters)
+    meanwhile = compute_capacity(present_prefills - to_decode, present_decodes - to_prefill, parameters)
+    away_time = min(HORIZON_S, switch_time + parameters.residence_s)
+    lost = min(demand.prompt_rate, present) - min(demand.prompt_rate, meanwhile)
+    gained = min(demand.expected_rate, after) - min(demand.expected_rate, before)
+    return (HORIZON_S - away_time) * gained - away_time * lost
 
 
-def _choose_from(
+def _choose_engines(
     engines: Sequence[Upstream], others: Sequence[Upstream], movable: Collection[UpstreamId], count: int, phase: Phase
 ) -> list[PhaseChange]:
     """Return changes of engines in halls that keep one of their part, and have few of the other."""
-    here = Counter(one.hall for one in engines)
-    there = Counter(one.hall for one in others)
-    free = [one for one in engines if one.id in movable]
+    own_phase = Counter(one.hall for one in engines)
+    other_phase = Counter(one.hall for one in others)
+    candidates = [one for one in engines if one.id in movable]
     changes: list[PhaseChange] = []
-    while free and len(changes) < count:
-        chosen = min(free, key=lambda one: (there[one.hall] - here[one.hall], one.id))
-        free.remove(chosen)
-        here[chosen.hall] -= 1
-        there[chosen.hall] += 1
+    while candidates and len(changes) < count:
+        chosen = min(candidates, key=lambda one: (other_phase[one.hall] - own_phase[one.hall], one.id))
+        candidates.remove(chosen)
+        own_phase[chosen.hall] -= 1
+        other_phase[chosen.hall] += 1
         changes.append(PhaseChange(chosen, phase))
     return changes
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.pace import PRIOR_RATE, WHOLE_SHARE
-from beamhatch.relay.engines.balancing import Pressure
-from beamhatch.relay.engines.throughput import EngineFigures
+from beamhatch.relay.engines.balancing import ServiceDemand
+from beamhatch.relay.engines.throughput import CapacityParameters
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.fleet.peer_words import PeerWords
 
@@ -23,7 +23,9 @@
 
     __slots__ = ()
 
-    def find_pressure(self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float) -> Pressure:
+    def compute_service_demand(
+        self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float
+    ) -> ServiceDemand:
         """Return what all VMs ask of a service; those that were not heard are taken to ask as much as the others.
 
         :param own: what this VM's own streams ask
@@ -33,24 +35,24 @@
         scale = max(1.0, vms / len(reports))
         prompt_rate = scale * sum(report.prompt_rate for report in reports)
         wait_rate = scale * sum(report.wait_rate for report in reports)
-        return Pressure(prompt_rate, wait_rate, _find_figures(engine, reports))
+        return ServiceDemand(prompt_rate, wait_rate, _compute_parameters(engine, reports))
 
 
-def _find_figures(engine: Engine, reports: Sequence[DemandReport]) -> EngineFigures:
+def _compute_parameters(engine: Engine, reports: Sequence[DemandReport]) -> CapacityParameters:
     """Return what is known of the engines and of streams: means by traffic, and what most VMs found of the engines."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
     if not total:
         weights, total = [1.0] * len(reports), float(len(reports))
-    weighed = list(zip(weights, reports, strict=True))
-    read_rates = [report.read_rate for report in reports if report.read_rate]
-    read_rate = median(read_rates) if read_rates else PRIOR_RATE
-    whole_rates = [report.whole_rate for report in reports if report.whole_rate]
-    return EngineFigures(
+    weighted = list(zip(weights, reports, strict=True))
+    prefill_rates = [report.read_rate for report in reports if report.read_rate]
+    prefill_rate = median(prefill_rates) if prefill_rates else PRIOR_RATE
+    local_prefill_rates = [report.whole_rate for report in reports if report.whole_rate]
+    return CapacityParameters(
         kv_tokens=engine.kv_tokens,
-        prompt=sum(weight * report.prompt for weight, report in weighed) / total,
-        answer=sum(weight * report.answer for weight, report in weighed) / total,
-        residence=max(0.001, sum(weight * report.residence for weight, report in weighed) / total),
-        read_rate=read_rate,
-        whole_rate=median(whole_rates) if whole_rates else WHOLE_SHARE * read_rate,
+        prompt_tokens=sum(weight * report.prompt for weight, report in weighted) / total,
+        answer_tokens=sum(weight * report.answer for weight, report in weighted) / total,
+        residence_s=max(0.001, sum(weight * report.residence for weight, report in weighted) / total),
+        prefill_rate=prefill_rate,
+        local_prefill_rate=median(local_prefill_rates) if local_prefill_rates else WHOLE_SHARE * prefill_rate,
     )
--- /dev/null
+++ b/src/beamhatch/relay/engines/phase_controller.py
@@ -0,0 +1,225 @@
+"""Have engines change their part, from the one VM that leads."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet import defer
+
+from beamhatch.relay.engines.balancing import (
+    REVERSAL_DELAY_S,
+    ChangeEvaluation,
+    PhaseChange,
+    ServiceDemand,
+    choose_changes,
+    evaluate_changes,
+)
+from beamhatch.relay.engines.phase_changes import MAX_CHANGE_S, PhaseChangeUpdate
+from beamhatch.relay.model import Phase, UpstreamId
+from beamhatch.relay.upstreams.http_fetch import fetch
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from beamhatch.relay.core import Core
+    from beamhatch.relay.engines.leadership import Leadership
+    from beamhatch.relay.model import Service, ServiceName
+
+EVALUATION_INTERVAL_S = 0.5
+"""Seconds between two looks at the demand: as often as peers tell of it."""
+
+LOG_INTERVAL_S = 5.0
+"""Seconds between two lines on why nothing is ordered."""
+
+ORDER_TIMEOUT_S = 0.8
+"""Seconds for the answer to an order: many times what an engine takes that is well."""
+
+RESUMED_ORDER_TTL_S = 10.0
+"""Seconds for which an order from before the start of this VM is thought to be under way."""
+
+STATUS_ACCEPTED = 202
+"""The status of an engine that begins to change its part."""
+
+
+@dataclass(frozen=True, slots=True)
+class _LoggedDecision:
+    """What was last written to the log on a service."""
+
+    decision: tuple[object, ...]
+    at: float
+
+
+@dataclass(frozen=True, slots=True)
+class _LastOrdered:
+    """The part that engines of a service were ordered to play last."""
+
+    phase: Phase
+    at: float
+
+
+class PhaseController:
+    """Looks at the demand, and orders what is due."""
+
+    def __init__(
+        self, core: Core, leadership: Leadership, vm: str, compute_demand: Callable[[Service], ServiceDemand]
+    ) -> None:
+        self.core = core
+        self._leadership = leadership
+        self._vm = vm
+        self._compute_demand = compute_demand
+        self._last_ordered: dict[ServiceName, _LastOrdered] = {}
+        """What this VM ordered last."""
+        self._last_logged: dict[ServiceName, _LoggedDecision] = {}
+        self._leaving_counts: dict[ServiceName, int] = {}
+        """How many engines of each service had said that they leave at the last look."""
+
+    def start(self) -> None:
+        """Begin to look."""
+        self._leadership.on_last_order = self._resume_order
+        self.core.on_evacuation = self._handle_evacuation
+        self.core.clock.call_later(EVALUATION_INTERVAL_S, self._evaluate_periodically)
+
+    def _handle_evacuation(self) -> None:
+        """Look at once at the engines that are left, before their load arrives."""
+        self._last_ordered.clear()  # what was ordered was right for other engines
+        self._evaluate_all()
+
+    def _resume_order(self, order: str) -> None:
+        """Take in an order from before this VM started: its engine may still be changing."""
+        resumed = parse_orders(order)
+        if order and not resumed:
+            self.core.journal.write("LEADER", "last order unreadable", order=order[:200])
+        for upstream, phase in resumed:
+            self.core.take_change(upstream, PhaseChangeUpdate(phase, RESUMED_ORDER_TTL_S, confirmed=False), "store")
+
+    def _evaluate_periodically(self) -> None:
+        self.core.clock.call_later(EVALUATION_INTERVAL_S, self._evaluate_periodically)
+        self._evaluate_all()
+
+    def _evaluate_all(self) -> None:
+        now = self.core.clock.now()
+        table = self.core.table
+        if table is None or not self._leadership.lease.may_order(now):
+            return
+        for service in table.services.values():
+            if service.engine is not None:
+                self._evaluate(service, now)
+
+    def _evaluate(self, service: Service, now: float) -> None:
+        listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_silent(now))
+        available = self.core.eligibility.evacuations.list_outside(listed)
+        engines = [
+            one for one in self.core.changes.with_expected_phases(available, now) if one.phase is not Phase.PLAIN
+        ]
+        leaving = self.core.listing.count_left(service.name)
+        if leaving > self._leaving_counts.get(service.name, 0):
+            self._last_ordered.pop(service.name, None)  # what was learned before an engine left holds no longer
+        self._leaving_counts[service.name] = leaving
+        demand = self._compute_demand(service)
+        assert service.engine is not None
+        changing = {one.id for one in engines if self.core.changes.is_pending(one.id, now)}
+        evaluation = evaluate_changes(engines, demand, service.engine.switch_time, changing)
+        self._log_evaluation(service, demand, evaluation, now)
+        if self._is_early_reversal(service, evaluation.phase, now):
+            return
+        changes = choose_changes(engines, evaluation, self._list_movable(service, now))
+        if changes:
+            self._last_ordered[service.name] = _LastOrdered(evaluation.phase, now)
+            defer.ensureDeferred(self._order_all(changes, demand)).addErrback(self._log_failure)
+
+    def _is_early_reversal(self, service: Service, phase: Phase, now: float) -> bool:
+        """Tell whether a change would undo one that had no time to show."""
+        last = self._last_ordered.get(service.name)
+        return last is not None and last.phase is not phase and now < last.at + REVERSAL_DELAY_S
+
+    def _log_evaluation(
+        self, service: Service, demand: ServiceDemand, evaluation: ChangeEvaluation, now: float
+    ) -> None:
+        """Write what a decision rests on: one line where it changed, and else some seconds apart."""
+        current = _LoggedDecision((evaluation.prefills, evaluation.decodes, evaluation.phase, evaluation.is_due), now)
+        last = self._last_logged.get(service.name)
+        repeats = last is not None and last.decision == current.decision and now - last.at < LOG_INTERVAL_S
+        if repeats or not demand.prompt_rate:
+            return
+        self._last_logged[service.name] = current
+        self.core.journal.write(
+            "LEADER",
+            "weighed",
+            service=service.name,
+            prefills=evaluation.prefills,
+            decodes=evaluation.decodes,
+            phase=evaluation.phase.value,
+            count=evaluation.count,
+            gain=round(evaluation.gain),
+            needed=round(evaluation.min_gain),
+            **describe_demand(demand),
+        )
+
+    def _list_movable(self, service: Service, now: float) -> set[UpstreamId]:
+        """Return the engines that answer and play the part that they are listed with."""
+        return {
+            one.id
+            for one in self.core.list_usable(service.name)
+            if now >= self.core.standings.get(one.id).silent_until and not self.core.changes.is_pending(one.id, now)
+        }
+
+    async def _order_all(self, changes: list[PhaseChange], demand: ServiceDemand) -> None:
+        if await self._leadership.confirm(format_orders(changes)):
+            for change in changes:
+                defer.ensureDeferred(self._order(change, demand)).addErrback(self._log_failure)
+
+    async def _order(self, change: PhaseChange, demand: ServiceDemand) -> None:
+        upstream = change.upstream
+        if self.core.eligibility.evacuations.is_emptied(upstream.hall):
+            return  # while the order was written down
+        token = self._leadership.lease.token
+        phase = change.phase.value
+        self.core.journal.write(
+            "LEADER", "orders", upstream=upstream.id, phase=phase, token=token, **describe_demand(demand)
+        )
+        self.core.tally.count("orders_total", change.phase.value)
+        call = self.core.dialect.make_order(upstream, change.phase, self._vm, token)
+        ordered_at = self.core.clock.now()
+        self.core.eligibility.limits.spend(upstream.life, ordered_at)
+        answer = await fetch(self.core.client, self.core.clock, upstream.address, call, ORDER_TIMEOUT_S)
+        answered = not isinstance(answer, str)
+        if not isinstance(answer, str):
+            self.core.announcements.read(upstream, answer.head, ordered_at)
+        if isinstance(answer, str) or answer.head.status == STATUS_ACCEPTED:
+            self.core.take_change(
+                upstream.id, PhaseChangeUpdate(change.phase, MAX_CHANGE_S, confirmed=answered), "order"
+            )
+        outcome = answer if isinstance(answer, str) else f"status {answer.head.status}"
+        self.core.journal.write("LEADER", "order answered", upstream=upstream.id, outcome=outcome)
+
+    def _log_failure(self, failure: Any) -> None:
+        self.core.journal.write("LEADER", "failed", error=failure.getTraceback())
+
+
+def describe_demand(demand: ServiceDemand) -> dict[str, float]:
+    """Return what decides on orders, as it is written to the log."""
+    parameters = demand.parameters
+    return {
+        "prompt_rate": round(demand.prompt_rate),
+        "wait_rate": round(demand.wait_rate, 2),
+        "residence": round(parameters.residence_s, 2),
+        "prompt": round(parameters.prompt_tokens),
+        "answer": round(parameters.answer_tokens),
+        "read_rate": round(parameters.prefill_rate),
+        "whole_rate": round(parameters.local_prefill_rate),
+    }
+
+
+def format_orders(changes: Sequence[PhaseChange]) -> str:
+    """Return orders that are given together as they are written down in the store."""
+    return "\n".join(f"{change.upstream.id} {change.phase.value}" for change in changes)
+
+
+def parse_orders(text: str) -> list[tuple[UpstreamId, Phase]]:
+    """Return the engines and the parts of orders that were written down; none where they can't be read."""
+    pairs = [line.partition(" ") for line in text.splitlines()]
+    try:
+        return [(UpstreamId(name), Phase(phase)) for name, _, phase in pairs]
+    except ValueError:
+        return []
--- a/src/beamhatch/relay/fleet/far_words.py
+++ b/src/beamhatch/relay/fleet/far_words.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from beamhatch.relay.engines.changing import ChangeNews
+    from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.fleet.membership import Member
     from beamhatch.relay.model import Life
@@ -74,7 +74,7 @@
     _demands: dict[str, DemandReport] = field(default_factory=dict)
     _faulty: dict[str, tuple[float, float]] = field(default_factory=dict)
     """Share and time by upstream."""
-    _changing: dict[str, tuple[ChangeNews, float]] = field(default_factory=dict)
+    _changing: dict[str, tuple[PhaseChangeUpdate, float]] = field(default_factory=dict)
     _evacuations: dict[str, int] | None = None
     """Revision by hall; None before any were told."""
     departures: set[Life] = field(default_factory=set)
@@ -124,11 +124,11 @@
         told = self._faulty.get(upstream)
         return told is None or share >= told[0] + FAULT_CHANGE or now - told[1] >= REPEAT_TIME
 
-    def _is_change_news(self, upstream: str, change: ChangeNews, now: float) -> bool:
+    def _is_change_news(self, upstream: str, change: PhaseChangeUpdate, now: float) -> bool:
         told = self._changing.get(upstream)
         if told is None or now - told[1] >= REPEAT_TIME:
             return True
-        return (told[0].phase, told[0].certain) != (change.phase, change.certain)
+        return (told[0].phase, told[0].confirmed) != (change.phase, change.confirmed)
 
     def _pick_evacuations(self, whole: Beat) -> list[Evacuation] | None:
         """Return all evacuations where any is news: what is told is of all halls, so that one that lacks has ended."""
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -44,7 +44,7 @@
     from beamhatch.relay.api import Documents
     from beamhatch.relay.choosing.pace import Reading
     from beamhatch.relay.core import Core
-    from beamhatch.relay.engines.balancing import Pressure
+    from beamhatch.relay.engines.balancing import ServiceDemand
     from beamhatch.relay.fleet.departure_talk import DepartureTalk
     from beamhatch.relay.fleet.membership import Membership, Mention
     from beamhatch.relay.limits.talk import LimitTalk
@@ -114,7 +114,7 @@
         self.membership = membership
         core.quarantine_talk.list_connections = self.list_connections
         core.quarantine_talk.hall = membership.own.hall
-        core.quarantine_talk.hands_on = self.adds_up
+        core.quarantine_talk.forwards_updates = self.adds_up
         self._documents = documents
         self._vm = vm
         self._traffic = PeerTraffic(core.tally, membership.own.hall, core.places)
@@ -343,12 +343,12 @@
 
     # --- what is known of the others ---------------------------------------------------------------------------------
 
-    def find_pressure(self, service: Service) -> Pressure:
+    def find_pressure(self, service: Service) -> ServiceDemand:
         """Return what all VMs ask of a service, worked out from those that were heard of late."""
         assert service.engine is not None
         own = self.core.report_demand(service.name)
         now = self.clock.now()
-        return self._fleet.find_pressure(service.name, service.engine, own, self.membership.size, now)
+        return self._fleet.compute_service_demand(service.name, service.engine, own, self.membership.size, now)
 
     def find_share(self) -> float:
         """Return the part of all VMs that hear of each other and of this one, as of the last regular beat."""
@@ -379,7 +379,7 @@
         """Take in what is said of single upstreams, and of requests that end them."""
         match message:
             case QuarantineNews():
-                self.core.quarantine_talk.take(connection, message)
+                self.core.quarantine_talk.handle_message(connection, message)
             case DepartureNews():
                 if self.departures is not None:
                     self.departures.take(connection, message)
@@ -430,7 +430,7 @@
             self.membership.take(mention.member, mention.age, now)
         self.core.vms = self.membership.size
         if is_new:
-            self.core.quarantine_talk.tell_all(connection)
+            self.core.quarantine_talk.send_all(connection)
             if self.departures is not None:
                 self.departures.tell_all(connection)
             if self.limits is not None:
@@ -496,7 +496,7 @@
             core.revision,
             core.report_demands(),
             core.standings.list_faulty(LEAST_FAULTS, now),
-            core.changes.list_news(now),
+            core.changes.list_updates(now),
             core.standings.list_reading(),
             list(readings),
             evacuations.list_news() if evacuations.complete and not evacuations.lacks_room else None,
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from beamhatch.relay.choosing.pace import Reading
-from beamhatch.relay.engines.changing import ChangeNews
+from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
 from beamhatch.relay.limits.words import LimitWord, Spent
 from beamhatch.relay.model import Life
-from beamhatch.relay.quarantine.ends import EndNews
-from beamhatch.relay.quarantine.quarantine import ClearNews, HoldNews
+from beamhatch.relay.quarantine.crashes import CrashUpdate
+from beamhatch.relay.quarantine.quarantine import ClearUpdate, HoldUpdate
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.usage import HallUsage, RatesByWorkspace
 
@@ -76,7 +76,7 @@
     """By service."""
     faulty: dict[str, float] = {}
     """Upstreams that failed the sender's requests of late, with the share that they failed."""
-    changing: dict[str, ChangeNews] = {}
+    changing: dict[str, PhaseChangeUpdate] = {}
     """Engines that were ordered to play another part."""
     reading: dict[str, int] | None = None
     """Tokens of the sender's prompts that engines have still to read; to another hall, that hall's engines only."""
@@ -112,11 +112,11 @@
 class QuarantineNews(msgspec.Struct, tag="quarantine", frozen=True):
     """What the sender knows, and the receiver may not, of requests that end upstreams."""
 
-    ends: list[EndNews]
+    ends: list[CrashUpdate]
     """Ends of upstreams, with runs that broke there."""
-    cleared: list[ClearNews]
+    cleared: list[ClearUpdate]
     """Requests that came to a good end."""
-    holds: list[HoldNews]
+    holds: list[HoldUpdate]
     """Requests whose quarantine the store keeps."""
 
 
--- a/src/beamhatch/relay/quarantine/attribution.py
+++ b/src/beamhatch/relay/quarantine/attribution.py
@@ -15,18 +15,18 @@
     from collections.abc import Iterable, Mapping
 
     from beamhatch.relay.model import Fingerprint
-    from beamhatch.relay.quarantine.ends import UpstreamEnd
+    from beamhatch.relay.quarantine.crashes import UpstreamCrash
 
-LEAST_ENDS = 3
+MIN_CRASHES = 3
 """Ends from which on a request is taken to cause them: the users bear three, and few more.
 
 At two, a stream that stands beside a deadly request twice would be kept away too; see ``CoverAttribution``.
 """
 
-LEAST_UNEXPLAINED = 2
+MIN_UNEXPLAINED_CRASHES = 2
 """Ends among these that no other request may explain: two deadly requests share an end now and then."""
 
-SAME_CAUSE = 0.05
+SAME_CAUSE_WINDOW_S = 0.05
 """Seconds within which ends have one cause.
 
 Upstreams that lose power, or a hall, end within milliseconds of each other; a request that ends them one by one takes
@@ -41,17 +41,17 @@
     """Finds which requests caused some ends."""
 
     @abstractmethod
-    def find_causes(self, ends: Iterable[UpstreamEnd]) -> Causes:
+    def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
         """Return the requests that explain enough ends, by ends that are in the order of time."""
 
 
 class CountAttribution(Attribution):
     """Takes each request that had a part in enough ends, whoever ran beside it."""
 
-    def find_causes(self, ends: Iterable[UpstreamEnd]) -> Causes:
+    def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
         """Return all with enough ends."""
-        parts, _ = _list_parts(ends)
-        return {found: len(moments) for found, moments in parts.items() if len(moments) >= LEAST_ENDS}
+        groups, _ = _group_crashes(crashes)
+        return {found: len(moments) for found, moments in groups.items() if len(moments) >= MIN_CRASHES}
 
 
 class CoverAttribution(Attribution):
@@ -61,32 +61,37 @@
     2,489 streams broke beside it; ``CountAttribution`` held 52 of them, this none (played from seeds, in its test).
     """
 
-    def find_causes(self, ends: Iterable[UpstreamEnd]) -> Causes:
+    def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
         """Return those that are needed to explain what can be explained."""
-        parts, ran = _list_parts(ends)
-        left = {found: set(moments) for found, moments in parts.items() if len(moments) >= LEAST_ENDS}
+        groups, total_durations = _group_crashes(crashes)
+        unexplained = {found: set(moments) for found, moments in groups.items() if len(moments) >= MIN_CRASHES}
         causes: Causes = {}
-        while left:
+        while unexplained:
             # who ran the shortest goes first among equals: a request ends its upstream soon behind its begin
-            best = min(left, key=lambda found: (-len(left[found]), ran[found] / len(parts[found]), found))
-            explained = left.pop(best)
-            causes[best] = len(parts[best])
-            rests = {found: moments - explained for found, moments in left.items()}
-            left = {found: rest for found, rest in rests.items() if len(rest) >= LEAST_UNEXPLAINED}
+            best = min(
+                unexplained,
+                key=lambda found: (-len(unexplained[found]), total_durations[found] / len(groups[found]), found),
+            )
+            explained = unexplained.pop(best)
+            causes[best] = len(groups[best])
+            remaining = {found: moments - explained for found, moments in unexplained.items()}
+            unexplained = {found: rest for found, rest in remaining.items() if len(rest) >= MIN_UNEXPLAINED_CRASHES}
         return causes
 
 
-def _list_parts(ends: Iterable[UpstreamEnd]) -> tuple[Mapping[Fingerprint, set[int]], Mapping[Fingerprint, float]]:
+def _group_crashes(
+    crashes: Iterable[UpstreamCrash],
+) -> tuple[Mapping[Fingerprint, set[int]], Mapping[Fingerprint, float]]:
     """Return the moments at which each request had a part in an end, by number, and the seconds that it ran in all."""
-    parts: defaultdict[Fingerprint, set[int]] = defaultdict(set)
-    ran: defaultdict[Fingerprint, float] = defaultdict(float)
-    moment = -1
-    begun_at = float("-inf")
-    for end in ends:
-        if end.at - begun_at >= SAME_CAUSE:
-            moment += 1
-            begun_at = end.at
-        for fingerprint, seconds in end.runs.items():
-            parts[fingerprint].add(moment)
-            ran[fingerprint] += seconds
-    return parts, ran
+    groups: defaultdict[Fingerprint, set[int]] = defaultdict(set)
+    total_durations: defaultdict[Fingerprint, float] = defaultdict(float)
+    group = -1
+    group_start = float("-inf")
+    for crash in crashes:
+        if crash.at - group_start >= SAME_CAUSE_WINDOW_S:
+            group += 1
+            group_start = crash.at
+        for fingerprint, seconds in crash.run_durations.items():
+            groups[fingerprint].add(group)
+            total_durations[fingerprint] += seconds
+    return groups, total_durations
--- a/src/beamhatch/relay/quarantine/ends.py
+++ b/src/beamhatch/relay/quarantine/crashes.py
@@ -16,19 +16,19 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-SAME_END = 1.0
+SAME_CRASH_WINDOW_S = 1.0
 """Seconds within which parts tell of one end of an upstream: peers hear in 0.3 s, and a restart takes 2 s or more."""
 
-MEMORY = 3600.0
+RETENTION_S = 3600.0
 """Seconds for which an end is remembered: longer than two quarantines, so that what breaks behind the first counts."""
 
-MOST_ENDS = 256
+MAX_CRASHES = 256
 """Ends that are remembered: an hour's at ten times the rate of the size to design for, 620 restarts a day."""
 
-MOST_RUNS = 64
+MAX_RUNS = 64
 """Runs of one end that are kept, the youngest first: the streams that an engine of the size to design for has."""
 
-MOST_TOLD = 8
+MAX_ANNOUNCED_RUNS = 8
 """Runs of one end that one VM tells, the youngest first: at the size to design for it has one or two there."""
 
 
@@ -36,11 +36,11 @@
     """A run that broke when its upstream ended."""
 
     fingerprint: Fingerprint
-    ran: int
+    duration_ms: int
     """Milliseconds that it had run."""
 
 
-class EndNews(msgspec.Struct, frozen=True, array_like=True):
+class CrashUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What one VM knows of the end of an upstream."""
 
     upstream: str
@@ -50,70 +50,72 @@
 
 
 @dataclass(slots=True)
-class UpstreamEnd:
+class UpstreamCrash:
     """The end of an upstream, as far as it is known."""
 
     upstream: UpstreamId
     at: float
     """Monotonic seconds of this VM."""
-    runs: dict[Fingerprint, float] = field(default_factory=dict)
+    run_durations: dict[Fingerprint, float] = field(default_factory=dict)
     """The seconds that each request had run there."""
 
-    def tell(self, now: float) -> EndNews:
+    def to_update(self, now: float) -> CrashUpdate:
         """Return it as peers are told."""
-        runs = [BrokenRun(fingerprint, round(1000 * ran)) for fingerprint, ran in self.runs.items()]
-        return EndNews(self.upstream, round(max(0.0, now - self.at), 3), runs)
+        broken = [
+            BrokenRun(fingerprint, round(1000 * duration)) for fingerprint, duration in self.run_durations.items()
+        ]
+        return CrashUpdate(self.upstream, round(max(0.0, now - self.at), 3), broken)
 
 
 @dataclass(slots=True)
-class UpstreamEnds:
+class UpstreamCrashes:
     """All ends that are remembered, oldest first."""
 
-    _ends: list[UpstreamEnd] = field(default_factory=list)
+    _crashes: list[UpstreamCrash] = field(default_factory=list)
 
-    def __iter__(self) -> Iterator[UpstreamEnd]:
+    def __iter__(self) -> Iterator[UpstreamCrash]:
         """Return the ends, oldest first."""
-        return iter(self._ends)
+        return iter(self._crashes)
 
     def __len__(self) -> int:
         """Return how many are remembered."""
-        return len(self._ends)
+        return len(self._crashes)
 
-    def take(self, news: EndNews, now: float) -> EndNews | None:
+    def apply_update(self, update: CrashUpdate, now: float) -> CrashUpdate | None:
         """Take in what a VM saw of an end; return the part that was not known."""
-        at = now - max(0.0, news.age)
-        if news.age > MEMORY:
+        at = now - max(0.0, update.age)
+        if update.age > RETENTION_S:
             return None
-        end = self._find(UpstreamId(news.upstream), at)
-        fresh = []
-        for run in news.runs:
-            if run.fingerprint not in end.runs and len(end.runs) < MOST_RUNS:
-                end.runs[run.fingerprint] = max(0, run.ran) / 1000
-                fresh.append(run)
-        return EndNews(news.upstream, news.age, fresh) if fresh else None
+        crash = self._get_or_add(UpstreamId(update.upstream), at)
+        added = []
+        for run in update.runs:
+            if run.fingerprint not in crash.run_durations and len(crash.run_durations) < MAX_RUNS:
+                crash.run_durations[run.fingerprint] = max(0, run.duration_ms) / 1000
+                added.append(run)
+        return CrashUpdate(update.upstream, update.age, added) if added else None
 
     def forget(self, fingerprint: Fingerprint, until: float) -> bool:
         """Forget a request's part in all ends up to a time; return whether it had any."""
         found = False
-        for end in self._ends:
-            if end.at <= until and end.runs.pop(fingerprint, None) is not None:
+        for crash in self._crashes:
+            if crash.at <= until and crash.run_durations.pop(fingerprint, None) is not None:
                 found = True
         return found
 
     def count(self, fingerprint: Fingerprint) -> int:
         """Return at how many ends a run of a request broke."""
-        return sum(fingerprint in end.runs for end in self._ends)
+        return sum(fingerprint in end.run_durations for end in self._crashes)
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop ends that were long ago, and those in which nobody has a part any more."""
-        self._ends = [end for end in self._ends if now - end.at <= MEMORY and end.runs]
-
-    def _find(self, upstream: UpstreamId, at: float) -> UpstreamEnd:
-        for end in reversed(self._ends):
-            if end.upstream == upstream and abs(end.at - at) < SAME_END:
-                return end
-        end = UpstreamEnd(upstream, at)
-        self._ends.append(end)
-        self._ends.sort(key=lambda one: one.at)
-        del self._ends[:-MOST_ENDS]
-        return end
+        self._crashes = [end for end in self._crashes if now - end.at <= RETENTION_S and end.run_durations]
+
+    def _get_or_add(self, upstream: UpstreamId, at: float) -> UpstreamCrash:
+        for crash in reversed(self._crashes):
+            if crash.upstream == upstream and abs(crash.at - at) < SAME_CRASH_WINDOW_S:
+                return crash
+        crash = UpstreamCrash(upstream, at)
+        self._crashes.append(crash)
+        self._crashes.sort(key=lambda one: one.at)
+        del self._crashes[:-MAX_CRASHES]
+        return crash
--- a/src/beamhatch/relay/quarantine/detection.py
+++ b/src/beamhatch/relay/quarantine/detection.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.quarantine.ends import MOST_TOLD, BrokenRun, EndNews
+from beamhatch.relay.quarantine.crashes import MAX_ANNOUNCED_RUNS, BrokenRun, CrashUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Set
@@ -14,10 +14,10 @@
     from beamhatch.relay.model import Address, Fingerprint, Upstream, UpstreamId
     from beamhatch.relay.upstreams.http_client import Connection
 
-SETTLE_TIME = 0.02
+SETTLE_S = 0.02
 """Seconds in which all connections to an upstream that has ended break: they do so at once, some round trips apart."""
 
-END_SHARE = 0.9
+MIN_CLOSED_SHARE = 0.9
 """Share of the connections that were open when the first run broke, and read from, which are gone when one has ended.
 
 An end takes all of them; a tenth is left for what a busy VM has not been told of within the settle time. Where a part
@@ -25,7 +25,7 @@
 upstream that is back in 5 ms, or a busy VM, has as many again by then. While these were counted, 1 of 72 ends was told.
 """
 
-LEAST_RUN = 0.01
+MIN_RUN_S = 0.01
 """Seconds behind which a send that was never answered may have been begun.
 
 Before, its connection was closed as the send crossed the close, or refused as there were too many.
@@ -33,42 +33,45 @@
 
 
 @dataclass(slots=True)
-class _Broken:
+class _PendingCrash:
     address: Address
     since: float
-    before: Set[Connection]
+    open_before: Set[Connection]
     """Connections that were open, and read from, when the first run broke; without that run's own."""
     runs: list[BrokenRun] = field(default_factory=list)
 
 
-class EndDetection:
+class CrashDetector:
     """Collects the runs that break at an upstream, and tells of its end where most connections to it are gone."""
 
     def __init__(
-        self, clock: Clock, list_open: Callable[[Address], Set[Connection]], on_end: Callable[[EndNews], None]
+        self,
+        clock: Clock,
+        list_open_connections: Callable[[Address], Set[Connection]],
+        on_crash: Callable[[CrashUpdate], None],
     ) -> None:
         self._clock = clock
-        self._list_open = list_open
-        self._on_end = on_end
-        self._broken: dict[UpstreamId, _Broken] = {}
+        self._list_open_connections = list_open_connections
+        self._on_crash = on_crash
+        self._pending: dict[UpstreamId, _PendingCrash] = {}
 
-    def note_broken(self, upstream: Upstream, fingerprint: Fingerprint, ran: float) -> None:
+    def record_broken_run(self, upstream: Upstream, fingerprint: Fingerprint, duration: float) -> None:
         """Note that the connection of a run that was begun, or may have been, has ended.
 
         :param ran: seconds that it had run
         """
-        broken = self._broken.get(upstream.id)
-        if broken is None:
-            before = {one for one in self._list_open(upstream.address) if not one.paused}
-            broken = self._broken[upstream.id] = _Broken(upstream.address, self._clock.now(), before)
-            self._clock.call_later(SETTLE_TIME, self._decide, upstream.id)
-        broken.runs.append(BrokenRun(fingerprint, round(1000 * ran)))
+        pending = self._pending.get(upstream.id)
+        if pending is None:
+            open_before = {one for one in self._list_open_connections(upstream.address) if not one.paused}
+            pending = self._pending[upstream.id] = _PendingCrash(upstream.address, self._clock.now(), open_before)
+            self._clock.call_later(SETTLE_S, self._decide, upstream.id)
+        pending.runs.append(BrokenRun(fingerprint, round(1000 * duration)))
 
     def _decide(self, upstream: UpstreamId) -> None:
-        broken = self._broken.pop(upstream)
-        lasting = broken.before & self._list_open(broken.address)
-        open_then = 1 + len(broken.before)
-        if open_then - len(lasting) < END_SHARE * open_then:
+        pending = self._pending.pop(upstream)
+        still_open = pending.open_before & self._list_open_connections(pending.address)
+        open_count = 1 + len(pending.open_before)
+        if open_count - len(still_open) < MIN_CLOSED_SHARE * open_count:
             return
-        youngest = sorted(broken.runs, key=lambda run: run.ran)[:MOST_TOLD]
-        self._on_end(EndNews(upstream, round(self._clock.now() - broken.since, 3), youngest))
+        shortest = sorted(pending.runs, key=lambda run: run.duration_ms)[:MAX_ANNOUNCED_RUNS]
+        self._on_crash(CrashUpdate(upstream, round(self._clock.now() - pending.since, 3), shortest))
--- /dev/null
+++ b/src/beamhatch/relay/quarantine/gossip.py
@@ -0,0 +1,300 @@
+"""What this VM sees, hears and says of requests that end upstreams.
+
+Each VM tells its peers what it saw of an end; these tell theirs what is news to them. So all VMs that can reach each
+other know the same, whichever VM a request came to. A peer that is met is told everything, behind a restart or a cut.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from beamhatch.relay.fleet.gossip_message import QuarantineNews
+from beamhatch.relay.fleet.throttle import Throttle
+from beamhatch.relay.quarantine.crashes import SAME_CRASH_WINDOW_S, CrashUpdate
+from beamhatch.relay.quarantine.detection import MIN_RUN_S, CrashDetector
+from beamhatch.relay.quarantine.quarantine import HOLD_S, ClearUpdate, HoldUpdate
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Sequence, Set
+
+    from beamhatch.clock import Clock
+    from beamhatch.observe.journal import Journal
+    from beamhatch.observe.tally import Tally
+    from beamhatch.relay.fleet.peer_connection import PeerConnection
+    from beamhatch.relay.model import Address, Fingerprint, Upstream
+    from beamhatch.relay.quarantine.quarantine import Hold, Quarantine
+    from beamhatch.relay.upstreams.http_client import Connection
+
+SEND_INTERVAL_S = 0.1
+"""Seconds between two words to each peer: at 300 VMs an end takes a few of them, and not one for each stream."""
+
+ATTRIBUTION_DELAY_S = 0.3
+"""Seconds behind news of an end in which the parts of other VMs come in, before it is attributed.
+
+News cross four VMs at the most; who stood beside the request that ended the upstream is known by then.
+"""
+
+ANNOUNCE_SUCCESS_MIN_CRASHES = 2
+"""Ends of a request from which on its good end is told at once.
+
+Most that stood beside once are streams that nobody asks for again: telling each would cost more than the ends. Whoever
+knows of a good end says so when the request is named again, so that no three ends add up with a good end between them.
+"""
+
+MAX_ANNOUNCED_CRASHES = 64
+"""Ends that a peer is told of when it is met, the newest: 60 KB at the most."""
+
+MAX_LOGGED_UPSTREAMS = 8
+"""Upstreams that one line names."""
+
+Item = CrashUpdate | ClearUpdate | HoldUpdate
+
+
+@dataclass(frozen=True, slots=True)
+class _Unsent:
+    item: Item
+    source: PeerConnection | None
+    """The connection on which it was told to this VM; None where it is this VM's own."""
+    received_at: float
+
+
+@dataclass(frozen=True, slots=True)
+class QuarantineGossipDependencies:
+    """What the talk needs of the VM."""
+
+    clock: Clock
+    journal: Journal
+    tally: Tally
+    quarantine: Quarantine
+    list_open_connections: Callable[[Address], Set[Connection]]
+    """Returns the connections to an upstream that are open."""
+    reject_waiting: Callable[[Fingerprint], None]
+    """Has all who wait with a request that is held be told so."""
+
+
+class QuarantineGossip:
+    """Keeps the quarantine of one VM, and what is said of it."""
+
+    def __init__(self, dependencies: QuarantineGossipDependencies) -> None:
+        self._clock = dependencies.clock
+        self._journal = dependencies.journal
+        self._tally = dependencies.tally
+        self.quarantine = dependencies.quarantine
+        self._reject_waiting = dependencies.reject_waiting
+        self.list_connections: Callable[[], Iterable[PeerConnection]] = list
+        """Returns the connections to peers that are up."""
+        self.hall = ""
+        """The hall of this VM."""
+        self.forwards_updates: Callable[[], bool] = lambda: True
+        """Tells whether this VM hands on what peers tell: it watches the store, and all of its hall talk to it."""
+        self.on_hold: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
+        """Called with a request that is held by ends that this VM saw itself, and whether it saw the last of them."""
+        self.on_clear: Callable[[Fingerprint], None] = lambda fingerprint: None
+        """Called with a request that came to a good end here, and whose quarantine the store keeps."""
+        self._detector = CrashDetector(dependencies.clock, dependencies.list_open_connections, self._handle_crash)
+        self._throttle = Throttle(dependencies.clock, SEND_INTERVAL_S, self._send_pending)
+        self._unsent: list[_Unsent] = []
+        self._last_local_crash: dict[Fingerprint, float] = {}
+        """When a run of each request broke here last at an upstream's end."""
+        self._attribution_scheduled = False
+
+    # --- what this VM sees -------------------------------------------------------------------------------------------
+
+    def record_broken_run(
+        self, upstream: Upstream, fingerprint: Fingerprint, duration: float, *, answering: bool
+    ) -> None:
+        """Note that the connection of a run has ended before its answer.
+
+        :param begun: whether the upstream had begun to answer; where it never does before it is done, time must tell
+        """
+        if not answering and duration < MIN_RUN_S:
+            return
+        if self.quarantine.succeeded_recently(fingerprint, self._clock.now()):
+            self._tally.count("quarantine_excused_total")
+            return
+        self._detector.record_broken_run(upstream, fingerprint, duration)
+
+    def record_success(self, fingerprint: Fingerprint) -> None:
+        """Note that a run came to a good end."""
+        now = self._clock.now()
+        was_stored = self.quarantine.is_stored(fingerprint, now)
+        result = self.quarantine.record_success(fingerprint, now)
+        if result is None:
+            return
+        if result.was_held:
+            self._report_clear(fingerprint, "a run here came to a good end")
+        if result.was_held or result.crash_count >= ANNOUNCE_SUCCESS_MIN_CRASHES:
+            self._enqueue(ClearUpdate(fingerprint, 0.0), None)
+        if was_stored:
+            self.on_clear(fingerprint)
+
+    def record_stored(self, fingerprint: Fingerprint) -> None:
+        """Note that the store keeps the quarantine of a request from now on."""
+        self._apply_hold(HoldUpdate(fingerprint, 0.0, HOLD_S), None)
+
+    def apply_stored(self, stored: Sequence[Fingerprint]) -> None:
+        """Take in all requests whose quarantine the store keeps.
+
+        The store does not say since when, so what was cleared within the time of its lease stays cleared.
+        """
+        for fingerprint in stored:
+            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+        self.quarantine.retain_stored(stored)
+
+    def apply_restored(self, stored: Sequence[Fingerprint], first: bool) -> None:
+        """Take in which quarantines a restored store keeps, and have it keep those in force.
+
+        The backup tells nothing of quarantines that began or ended after it, so a missing key ends none.
+
+        :param first: whether this VM writes at once, and not only where others have not
+        """
+        now = self._clock.now()
+        for fingerprint in self.quarantine.mark_missing(stored, now):
+            self.on_hold(fingerprint, first)
+        for fingerprint in self.quarantine.list_cleared_among(stored, now):
+            self.on_clear(fingerprint)
+        for fingerprint in stored:
+            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+
+    def _handle_crash(self, update: CrashUpdate) -> None:
+        now = self._clock.now()
+        self._tally.count("upstream_ends_total")
+        self._journal.write("QUARANTINE", "upstream ended", upstream=update.upstream, runs=len(update.runs))
+        for run in update.runs:
+            self._last_local_crash[run.fingerprint] = now
+        self._apply_crash(update, None)
+
+    # --- what peers tell ---------------------------------------------------------------------------------------------
+
+    def handle_message(self, connection: PeerConnection, message: QuarantineNews) -> None:
+        """Take in what a peer tells."""
+        for cleared in message.cleared:
+            self._apply_clear(cleared, connection)
+        for hold in message.holds:
+            self._apply_hold(hold, connection)
+        for crash in message.ends:
+            self._apply_crash(crash, connection)
+
+    def send_all(self, connection: PeerConnection) -> None:
+        """Tell a peer that was met all there is."""
+        now = self._clock.now()
+        crashes = [end.to_update(now) for end in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
+        holds = self.quarantine.list_stored(now)
+        if crashes or holds:
+            connection.tell(QuarantineNews(crashes, [], holds))
+
+    def _apply_crash(self, update: CrashUpdate, source: PeerConnection | None) -> None:
+        now = self._clock.now()
+        added = self.quarantine.apply_crash(update, now)
+        if added is None:
+            return
+        self._enqueue(added, source)
+        for cleared in self.quarantine.list_clear_updates(added, now):
+            self._enqueue(cleared, None)
+        if not self._attribution_scheduled:
+            self._attribution_scheduled = True
+            self._clock.call_later(ATTRIBUTION_DELAY_S, self._attribute)
+
+    def _apply_clear(self, update: ClearUpdate, source: PeerConnection) -> None:
+        now = self._clock.now()
+        was_held = self.quarantine.get_hold(update.fingerprint, now) is not None
+        if self.quarantine.clear(update.fingerprint, now - update.age):
+            self._enqueue(update, source)
+        if was_held and self.quarantine.get_hold(update.fingerprint, now) is None:
+            self._report_clear(update.fingerprint, f"peer {source.vm}")
+
+    def _apply_hold(self, update: HoldUpdate, source: PeerConnection | None) -> None:
+        now = self._clock.now()
+        if self.quarantine.apply_stored_hold(update, now):
+            hold = self.quarantine.get_hold(update.fingerprint, now)
+            self._report_hold(update.fingerprint, hold, "the store" if source is None else f"peer {source.vm}")
+            self._reject_waiting(update.fingerprint)
+            self._enqueue(update, source)
+
+    # --- what is made of it ------------------------------------------------------------------------------------------
+
+    def _attribute(self) -> None:
+        self._attribution_scheduled = False
+        now = self._clock.now()
+        for fingerprint in self.quarantine.attribute(now):
+            self._report_hold(fingerprint, self.quarantine.get_hold(fingerprint, now), "ends")
+            self._reject_waiting(fingerprint)
+            last_local_crash = self._last_local_crash.get(fingerprint)
+            if last_local_crash is not None:
+                self.on_hold(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
+        self._last_local_crash = {
+            found: at for found, at in self._last_local_crash.items() if self.quarantine.crashes.count(found)
+        }
+
+    def _report_hold(self, fingerprint: Fingerprint, hold: Hold | None, source: str) -> None:
+        upstreams = [end.upstream for end in self.quarantine.crashes if fingerprint in end.run_durations]
+        self._tally.count("quarantines_total", "begun")
+        self._journal.write(
+            "QUARANTINE",
+            "begun",
+            fingerprint=fingerprint.hex(),
+            ends=0 if hold is None else hold.crash_count,
+            upstreams=upstreams[-MAX_LOGGED_UPSTREAMS:],
+            seconds=0 if hold is None else round(hold.until - self._clock.now(), 1),
+            source=source,
+        )
+
+    def _report_clear(self, fingerprint: Fingerprint, source: str) -> None:
+        self._tally.count("quarantines_total", "cleared")
+        self._journal.write("QUARANTINE", "cleared", fingerprint=fingerprint.hex(), source=source)
+
+    # --- words -------------------------------------------------------------------------------------------------------
+
+    def _enqueue(self, item: Item, source: PeerConnection | None) -> None:
+        self._unsent.append(_Unsent(item, source, self._clock.now()))
+        self._throttle.ask()
+
+    def _send_pending(self) -> None:
+        unsent, self._unsent = self._unsent, []
+        now = self._clock.now()
+        forwards = self.forwards_updates()
+        for connection in self.list_connections():
+            items = [
+                _add_age(one.item, now - one.received_at)
+                for one in unsent
+                if one.source is not connection and (forwards or self._is_sender_for(connection, one.source))
+            ]
+            if items:
+                connection.tell(_make_message(items))
+
+    def _is_sender_for(self, connection: PeerConnection, source: PeerConnection | None) -> bool:
+        """Tell whether this VM tells a peer something although others hand on: its own, and from afar to the near.
+
+        While all VMs handed everything on, 74 of them sent 10 KB each for the end of an engine with 64 streams.
+        """
+        return source is None or (source.hall != self.hall and connection.hall == self.hall)
+
+
+def _add_age(item: Item, seconds: float) -> Item:
+    """Return an item as it is told some seconds after it was taken in."""
+    aged = msgspec.structs.replace(item, age=round(item.age + seconds, 3))
+    return msgspec.structs.replace(aged, remaining=item.remaining - seconds) if isinstance(item, HoldUpdate) else aged
+
+
+def _make_message(items: list[Item]) -> QuarantineNews:
+    return QuarantineNews(
+        _merge_crashes(item for item in items if isinstance(item, CrashUpdate)),
+        [item for item in items if isinstance(item, ClearUpdate)],
+        [item for item in items if isinstance(item, HoldUpdate)],
+    )
+
+
+def _merge_crashes(updates: Iterable[CrashUpdate]) -> list[CrashUpdate]:
+    """Return news with the parts of each end joined: each part of its own has 45 bytes, of which a run has 14."""
+    merged: dict[str, CrashUpdate] = {}
+    separate = []
+    for one in updates:
+        first = merged.setdefault(one.upstream, one)
+        if abs(first.age - one.age) >= SAME_CRASH_WINDOW_S:
+            separate.append(one)
+        elif first is not one:
+            merged[one.upstream] = CrashUpdate(first.upstream, first.age, [*first.runs, *one.runs])
+    return [*merged.values(), *separate]
--- a/src/beamhatch/relay/quarantine/keeping.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -9,7 +9,7 @@
 
 from beamhatch.clock import sleep
 from beamhatch.relay.api import StoreLost
-from beamhatch.relay.quarantine.quarantine import HOLD_TIME
+from beamhatch.relay.quarantine.quarantine import HOLD_S
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -18,80 +18,80 @@
     from beamhatch.relay.core import Core
     from beamhatch.relay.model import Fingerprint
 
-STAND_IN_WAIT = 1.0, 2.0
+STANDBY_DELAY_S = 1.0, 2.0
 """Seconds for which VMs wait that did not see the last end: the one that did has written it down by then."""
 
-FIRST_PAUSE = 0.5
+MIN_RETRY_DELAY_S = 0.5
 """Seconds before the next try at a store that gave no answer; each pause is twice the last."""
 
-LONGEST_PAUSE = 8.0
+MAX_RETRY_DELAY_S = 8.0
 """Seconds between two tries at the most: a store that is down is asked by one or two VMs only."""
 
 
-class QuarantineKeeping:
+class QuarantinePersistence:
     """Writes to the store which requests are held, as often as it takes."""
 
     def __init__(self, core: Core, store: Store) -> None:
         self.core = core
         self._store = store
-        self._keeping: set[Fingerprint] = set()
+        self._writing: set[Fingerprint] = set()
         """Those that are being written, or wait for it: a restored store is read several times meanwhile."""
 
-    def keep(self, fingerprint: Fingerprint, first: bool) -> None:
+    def add(self, fingerprint: Fingerprint, immediately: bool) -> None:
         """Have a quarantine kept, unless another VM has.
 
         :param first: whether this VM is the one to begin with
         """
-        if fingerprint in self._keeping:
+        if fingerprint in self._writing:
             return
-        self._keeping.add(fingerprint)
-        wait = 0.0 if first else random.uniform(*STAND_IN_WAIT)
-        self.core.clock.call_later(wait, self._run, self._keep, fingerprint)
+        self._writing.add(fingerprint)
+        delay = 0.0 if immediately else random.uniform(*STANDBY_DELAY_S)
+        self.core.clock.call_later(delay, self._run, self._add, fingerprint)
 
-    def end(self, fingerprint: Fingerprint) -> None:
+    def remove(self, fingerprint: Fingerprint) -> None:
         """Have a quarantine kept no longer."""
-        self._run(self._end, fingerprint)
+        self._run(self._remove, fingerprint)
 
     def _run(self, work: Callable[[Fingerprint], Awaitable[None]], fingerprint: Fingerprint) -> None:
         running = defer.ensureDeferred(work(fingerprint))
         running.addErrback(self._report_failure)
 
-    async def _keep(self, fingerprint: Fingerprint) -> None:
+    async def _add(self, fingerprint: Fingerprint) -> None:
         try:
             await self._write(fingerprint)
         finally:
-            self._keeping.discard(fingerprint)
+            self._writing.discard(fingerprint)
 
     async def _write(self, fingerprint: Fingerprint) -> None:
         quarantine = self.core.quarantine
-        pause = FIRST_PAUSE
-        while not quarantine.is_told(fingerprint, now := self.core.clock.now()):
-            hold = quarantine.find_hold(fingerprint, now)
+        delay = MIN_RETRY_DELAY_S
+        while not quarantine.is_stored(fingerprint, now := self.core.clock.now()):
+            hold = quarantine.get_hold(fingerprint, now)
             if hold is None:
                 return  # cleared, or another request explains the ends
-            lost = await self._store.keep_quarantine(fingerprint, min(HOLD_TIME, hold.until - now))
+            lost = await self._store.keep_quarantine(fingerprint, min(HOLD_S, hold.until - now))
             if lost is None:
                 self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
-                self.core.quarantine_talk.note_held(fingerprint)
+                self.core.quarantine_talk.record_stored(fingerprint)
                 return
-            pause = await self._wait_again(fingerprint, lost, pause)
+            delay = await self._wait_before_retry(fingerprint, lost, delay)
 
-    async def _end(self, fingerprint: Fingerprint) -> None:
+    async def _remove(self, fingerprint: Fingerprint) -> None:
         """Remove the key, as VMs that start would hold the request by it; behind its lease there is none."""
-        until = self.core.clock.now() + HOLD_TIME
-        pause = FIRST_PAUSE
-        while self.core.quarantine.find_hold(fingerprint, now := self.core.clock.now()) is None and now < until:
+        until = self.core.clock.now() + HOLD_S
+        pause = MIN_RETRY_DELAY_S
+        while self.core.quarantine.get_hold(fingerprint, now := self.core.clock.now()) is None and now < until:
             lost = await self._store.end_quarantine(fingerprint)
             if lost is None:
                 return
-            pause = await self._wait_again(fingerprint, lost, pause)
+            pause = await self._wait_before_retry(fingerprint, lost, pause)
 
-    async def _wait_again(self, fingerprint: Fingerprint, lost: StoreLost, pause: float) -> float:
+    async def _wait_before_retry(self, fingerprint: Fingerprint, lost: StoreLost, delay: float) -> float:
         """Wait before the next try; return the seconds to wait before the one behind it."""
         self.core.tally.count("store_failures_total", "quarantine")
         self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=lost.detail)
-        await sleep(self.core.clock, pause * random.uniform(0.7, 1.3))
-        return min(LONGEST_PAUSE, 2 * pause)
+        await sleep(self.core.clock, delay * random.uniform(0.7, 1.3))
+        return min(MAX_RETRY_DELAY_S, 2 * delay)
 
     def _report_failure(self, failure: Any) -> None:
         self.core.journal.write("QUARANTINE", "keeping failed", error=failure.getTraceback())
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -162,7 +162,7 @@
     def _plan(self, now: float) -> Step:
         request = self.request
         service = request.service.name
-        hold = self.core.quarantine.find_hold(self.fingerprint, now)
+        hold = self.core.quarantine.get_hold(self.fingerprint, now)
         if hold is not None:  # its run under way goes on: what comes to a good end clears it
             self.core.tally.count("quarantine_refusals_total")
             wait = math.ceil(hold.until - now)
@@ -174,7 +174,7 @@
         lack = None if may_go_on else self.core.find_lack(service, request.regions)
         if lack is not None:
             self.core.tally.count("shut_total", lack.obstacle.name.lower())
-            self.core.find_demand(service).drop_prompt(request.facts.prompt_tokens)
+            self.core.find_demand(service).discard_last_prompt(request.facts.prompt_tokens)
             if lack.obstacle is Obstacle.LIMITED:
                 back = self.core.promise_turn(service, lack)
             else:
@@ -325,7 +325,7 @@
             self._carry_out(self.request.refuse_full())
             return
         if not self._in_line:
-            self.core.find_demand(self.request.service.name).note_wait(now)
+            self.core.find_demand(self.request.service.name).record_wait(now)
         began_to_wait = self.request.displaced or self.request.doubt or self._cold_since is not None
         owed = self._returns or self.request.begun or began_to_wait
         if not self._in_line and not owed and not line.has_room(in_time, now):
@@ -520,7 +520,7 @@
     def _predict_memory(self) -> float:
         """Return after how many seconds there should be decode memory: by then the streams of now have ended."""
         now = self.core.clock.now()
-        residence = self.core.find_demand(self.request.service.name).find_residence(now)
+        residence = self.core.find_demand(self.request.service.name).estimate_residence(now)
         time_left = self.limit - now
         return min(residence * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD), LONGEST_RETRY_SHARE * time_left)
 
@@ -645,7 +645,7 @@
         """Learn how long decode memory is held before the first event."""
         if self._memory_since is not None and not self.request.begun:
             seconds = self.core.clock.now() - self._memory_since
-            self.core.find_demand(self.request.service.name).note_first_event(seconds)
+            self.core.find_demand(self.request.service.name).record_first_event(seconds)
 
     @property
     def hall(self) -> str | None:
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -184,7 +184,7 @@
         """Tell of a run whose upstream may have ended; a prompt that is only read runs nothing."""
         begun = self.head is not None
         self.core.tally.count("broken_runs_total", "begun" if begun else "unanswered")
-        self.core.quarantine_talk.note_broken(self.send.upstream, self.exchange.fingerprint, ran, begun=begun)
+        self.core.quarantine_talk.record_broken_run(self.send.upstream, self.exchange.fingerprint, ran, answering=begun)
 
     def take_not_run(self) -> None:
         """Go on elsewhere behind an upstream that turned the request away."""
@@ -225,7 +225,7 @@
         now = self.core.clock.now()
         self.standing.note_success(now - self._started_at, now)
         if self.send.stage is not Stage.PREFILL:
-            self.core.quarantine_talk.note_good(self.exchange.fingerprint)
+            self.core.quarantine_talk.record_success(self.exchange.fingerprint)
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
 
     def fail(self, detail: str) -> None:
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -127,7 +127,7 @@
             self.exchange.note_first_event()
         else:
             events = last - (self.request.last_event or 0)
-            demand.note_tokens(events * service.engine.event_tokens, now - before, now)
+            demand.record_tokens(events * service.engine.event_tokens, now - before, now)
 
     def _take_failure(self) -> None:
         assert self.head is not None
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -10,9 +10,9 @@
 from beamhatch.platform.epochs import Epoch, make_position
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.platform.standin.upstream import StandInEngine
-from beamhatch.relay.engines.balancing import PhaseChange, Pressure
-from beamhatch.relay.engines.ordering import _Ordered
-from beamhatch.relay.engines.throughput import EngineFigures
+from beamhatch.relay.engines.balancing import PhaseChange, ServiceDemand
+from beamhatch.relay.engines.phase_controller import _LastOrdered
+from beamhatch.relay.engines.throughput import CapacityParameters
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
 from beamhatch.relay.places import Places, RegionName
@@ -383,7 +383,7 @@
         platform.add_engine(f"prefill-{number}", "prefill", hall="hall-a")
         platform.add_engine(f"decode-{number}", "decode", hall="hall-b")
     platform.add_vm()
-    platform.network.run_until(lambda: platform.vms["vm1"].leadership.tenure.holds(platform.clock.now()), 30.0)  # type: ignore[union-attr]
+    platform.network.run_until(lambda: platform.vms["vm1"].leadership.lease.holds(platform.clock.now()), 30.0)  # type: ignore[union-attr]
     platform.network.run(12.0)
     return platform
 
@@ -391,8 +391,8 @@
 def press(platform: Platform, rate: float) -> None:
     ordering = platform.vms["vm1"]._ordering
     assert ordering is not None
-    figures = EngineFigures(60_000, 5000.0, 100.0, 3.0)
-    ordering._find_pressure = lambda _: Pressure(rate, 0.0, figures)
+    figures = CapacityParameters(60_000, 5000.0, 100.0, 3.0)
+    ordering._compute_demand = lambda _: ServiceDemand(rate, 0.0, figures)
 
 
 def list_ordered(platform: Platform) -> list[str]:
@@ -418,7 +418,7 @@
     press(platform, 10_000.0)
     ordering = platform.vms["vm1"]._ordering
     assert ordering is not None
-    ordering._ordered[ServiceName(MODEL)] = _Ordered(Phase.PREFILL, platform.clock.now())
+    ordering._last_ordered[ServiceName(MODEL)] = _LastOrdered(Phase.PREFILL, platform.clock.now())
     platform.empty("hall-b")
     platform.network.run(0.1)
     assert list_ordered(platform)
@@ -431,7 +431,7 @@
     engine = vm.core.listing.find(UpstreamId("decode-0"))
     assert engine is not None
     assert vm._ordering is not None
-    pressure = Pressure(0.0, 0.0, EngineFigures(60_000, 5000.0, 600.0, 3.0))
+    pressure = ServiceDemand(0.0, 0.0, CapacityParameters(60_000, 5000.0, 600.0, 3.0))
     defer.ensureDeferred(vm._ordering._order_all([PhaseChange(engine, Phase.PREFILL)], pressure))
     revision = make_position(Epoch(platform.store.epoch), platform.store.revision + 100)
     vm.core.take_evacuations([Evacuation("hall-b", revision, True)], "test", as_of=revision, whole=False)
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beamhatch.relay.engines.changing import ChangeNews
+from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
 from beamhatch.relay.places import Places, RegionName
 from beamhatch.relay.workspaces.workspace import WorkspaceName
@@ -161,15 +161,15 @@
     assert far
     for _ in range(6):
         teller.core.standings.get(UpstreamId("plain-1")).note_fault(teller.clock.now())
-    teller.core.find_demand(ServiceName(MODEL)).note_prompt(5000, 70, teller.clock.now())
-    teller.core.take_change(UpstreamId("engine-0"), ChangeNews(Phase.PREFILL, 5.0, True), "test")
+    teller.core.find_demand(ServiceName(MODEL)).record_prompt(5000, 70, teller.clock.now())
+    teller.core.take_change(UpstreamId("engine-0"), PhaseChangeUpdate(Phase.PREFILL, 5.0, True), "test")
     teller.core.on_change()
     platform.network.run(0.1)
     for connection in far:
         hearer = platform.vms[connection.vm]
         now = hearer.clock.now()
         assert hearer.core.standings.get(UpstreamId("plain-1")).get_faults(now) > 0.5
-        assert hearer.core.changes.is_under_way(UpstreamId("engine-0"), now)
+        assert hearer.core.changes.is_pending(UpstreamId("engine-0"), now)
         assert hearer._gossip is not None
         reports = [told.get(ServiceName(MODEL)) for told in hearer._gossip._fleet.list_values(now)]
         assert any(report is not None and report.prompt_rate > 0 for report in reports)
@@ -178,7 +178,7 @@
 def test_demand_that_does_not_change_stays_known_across_halls() -> None:
     platform = make_fleet(12)
     for vm in platform.vms.values():
-        vm.core.find_demand(ServiceName(MODEL)).note_prompt(5000, 70, vm.clock.now())
+        vm.core.find_demand(ServiceName(MODEL)).record_prompt(5000, 70, vm.clock.now())
     platform.network.run(8.0)
     for vm in platform.vms.values():
         assert vm._gossip is not None
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beamhatch.platform.standin.upstream import StandInEngine, UpstreamFault
-from beamhatch.relay.engines.changing import ChangeNews
+from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.model import Phase, UpstreamId
 from tests.support.platform import MODEL, PLAIN, Platform, make_platform
 
@@ -77,7 +77,7 @@
 def test_an_engine_that_was_to_change_its_part_is_used_in_the_part_that_it_starts_with() -> None:
     platform = make_platform(prefill=1, decode=1)
     core = platform.vms["vm1"].core
-    core.take_change(UpstreamId("decode-0"), ChangeNews(Phase.PREFILL, 15.0, certain=True), "a test")
+    core.take_change(UpstreamId("decode-0"), PhaseChangeUpdate(Phase.PREFILL, 15.0, confirmed=True), "a test")
     assert serve(platform, "/resumable/x", "q1") == 503
     start_again(platform, "decode-0")
     assert serve(platform, "/resumable/x", "q2") == 200
@@ -88,7 +88,7 @@
     platform.add_vm("vm2", ["vm1:8002"], "hall-b")
     platform.network.run(2.0)
     for vm in platform.vms.values():
-        vm.core.take_change(UpstreamId("decode-0"), ChangeNews(Phase.PREFILL, 15.0, certain=True), "a test")
+        vm.core.take_change(UpstreamId("decode-0"), PhaseChangeUpdate(Phase.PREFILL, 15.0, confirmed=True), "a test")
     platform.network.run(1.0)
     start_again(platform, "decode-0")
     platform.network.run(2.0)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -8,8 +8,8 @@
 
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.platform.standin.upstream import StandInEngine
-from beamhatch.relay.engines.balancing import PhaseChange, Pressure
-from beamhatch.relay.engines.throughput import EngineFigures
+from beamhatch.relay.engines.balancing import PhaseChange, ServiceDemand
+from beamhatch.relay.engines.throughput import CapacityParameters
 from beamhatch.relay.model import Phase, UpstreamId
 from tests.support.platform import MODEL, Platform, make_platform
 
@@ -75,7 +75,7 @@
 def find_leaders(platform: Platform) -> list[str]:
     """Return the VMs that hold the lease."""
     now = platform.clock.now()
-    return [name for name, vm in platform.vms.items() if vm.leadership is not None and vm.leadership.tenure.holds(now)]
+    return [name for name, vm in platform.vms.items() if vm.leadership is not None and vm.leadership.lease.holds(now)]
 
 
 def test_another_vm_leads_soon_after_the_leader_stops() -> None:
@@ -112,8 +112,8 @@
     (leader,) = find_leaders(platform)
     ordering = platform.vms[leader]._ordering
     assert ordering is not None
-    slow = EngineFigures(60_000, 11_000.0, 10.0, 1.0, read_rate=5_000.0, whole_rate=1_000.0)
-    ordering._find_pressure = lambda _: Pressure(14_000, 0.0, slow)
+    slow = CapacityParameters(60_000, 11_000.0, 10.0, 1.0, prefill_rate=5_000.0, local_prefill_rate=1_000.0)
+    ordering._compute_demand = lambda _: ServiceDemand(14_000, 0.0, slow)
     asked: list[int] = []
 
     def ask() -> None:
@@ -151,9 +151,9 @@
     assert ordering is not None
     engine = platform.vms[leader].core.listing.find(UpstreamId("decode-0"))
     assert engine is not None
-    pressure = Pressure(0.0, 0.0, EngineFigures(60_000, 5000.0, 600.0, 3.0))
+    pressure = ServiceDemand(0.0, 0.0, CapacityParameters(60_000, 5000.0, 600.0, 3.0))
     defer.ensureDeferred(ordering._order_all([PhaseChange(engine, Phase.PREFILL)], pressure))
-    ordering._find_pressure = lambda _: pressure  # without demand no other order comes into the way
+    ordering._compute_demand = lambda _: pressure  # without demand no other order comes into the way
     return engine.id
 
 
@@ -218,10 +218,10 @@
     platform.network.run_until(lambda: find_leaders(platform), 30.0)
     platform.network.run(12.0)
     (ordering,) = [vm._ordering for vm in platform.vms.values() if vm._ordering is not None]
-    figures = EngineFigures(13_000, 5000.0, 600.0, 3.0)
+    figures = CapacityParameters(13_000, 5000.0, 600.0, 3.0)
     counts = []
     for rate in (6_000, 200_000, 200_000):
-        ordering._find_pressure = lambda _, rate=rate: Pressure(rate, 0.0, figures)  # type: ignore[misc]
+        ordering._compute_demand = lambda _, rate=rate: ServiceDemand(rate, 0.0, figures)  # type: ignore[misc]
         platform.network.run(2.0)
         counts.append(len(platform.ledger.orders))
     assert counts == [1, 4, 4]  # 0.15 of the 28 engines are away at a time
@@ -242,6 +242,6 @@
     platform = make_platform()
     ordering = platform.vms["vm1"]._ordering
     assert ordering is not None
-    ordering._recall("nonsense")
+    ordering._resume_order("nonsense")
     lines = platform.journals["vm1"].lines
     assert [line["order"] for line in lines if line["event"] == "last order unreadable"] == ["nonsense"]
--- a/tests/platform/test_restore.py
+++ b/tests/platform/test_restore.py
@@ -178,7 +178,7 @@
         for name, vm in platform.vms.items():
             assert vm.leadership is not None
             confirmed = defer.ensureDeferred(vm.leadership.confirm("engine decode"))
-            confirmed.addCallback(note(name, vm.leadership.tenure.token))
+            confirmed.addCallback(note(name, vm.leadership.lease.token))
         platform.network.run(0.1)
     return orders
 
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -99,10 +99,10 @@
     vm = platform.add_vm(clock=clock)
     leadership = vm.leadership
     assert leadership is not None
-    platform.network.run_until(lambda: leadership.tenure.may_order(clock.now()), 30.0)
+    platform.network.run_until(lambda: leadership.lease.may_order(clock.now()), 30.0)
     clock.suspended += 4.0
-    assert not leadership.tenure.may_order(clock.now())
-    assert not leadership.tenure.holds(clock.now())
+    assert not leadership.lease.may_order(clock.now())
+    assert not leadership.lease.holds(clock.now())
 
 
 def test_nothing_on_the_request_path_reads_the_time_of_day() -> None:
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -82,7 +82,7 @@
 
 def list_tokens(platform: Platform) -> list[int]:
     """Return the tokens of all VMs that hold the lease."""
-    tenures = [vm.leadership.tenure for vm in platform.vms.values() if vm.leadership is not None]
+    tenures = [vm.leadership.lease for vm in platform.vms.values() if vm.leadership is not None]
     return [tenure.token for tenure in tenures if tenure.holds(platform.clock.now())]
 
 
--- a/tests/relay/engines/test_balancing.py
+++ b/tests/relay/engines/test_balancing.py
@@ -6,14 +6,26 @@
 
 import pytest
 
-from beamhatch.relay.engines.balancing import PhaseChange, Pressure, Split, choose_changes, predict_gain, weigh_changes
-from beamhatch.relay.engines.throughput import EngineFigures, find_best_split
+from beamhatch.relay.engines.balancing import (
+    PhaseChange,
+    ServiceDemand,
+    Split,
+    choose_changes,
+    evaluate_changes,
+    predict_gain,
+)
+from beamhatch.relay.engines.throughput import CapacityParameters, find_best_split
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 
-FIGURES = EngineFigures(
-    kv_tokens=60_000, prompt=5000.0, answer=800.0, residence=3.2, read_rate=52_000.0, whole_rate=20_000.0
+FIGURES = CapacityParameters(
+    kv_tokens=60_000,
+    prompt_tokens=5000.0,
+    answer_tokens=800.0,
+    residence_s=3.2,
+    prefill_rate=52_000.0,
+    local_prefill_rate=20_000.0,
 )
-SLOW_READERS = replace(FIGURES, read_rate=8_000.0, whole_rate=3_000.0)
+SLOW_READERS = replace(FIGURES, prefill_rate=8_000.0, local_prefill_rate=3_000.0)
 SMALL_MEMORY = replace(FIGURES, kv_tokens=18_000)
 SWITCH = 6.0
 
@@ -28,12 +40,12 @@
     ]
 
 
-def change(engines: list[Upstream], pressure: Pressure) -> list[PhaseChange]:
-    return choose_changes(engines, weigh_changes(engines, pressure, SWITCH), {one.id for one in engines})
+def change(engines: list[Upstream], pressure: ServiceDemand) -> list[PhaseChange]:
+    return choose_changes(engines, evaluate_changes(engines, pressure, SWITCH), {one.id for one in engines})
 
 
-def choose(prefills: int, decodes: int, rate: float, figures: EngineFigures = FIGURES) -> Phase | None:
-    changes = change(make_engines(prefills, decodes), Pressure(rate, 0.0, figures))
+def choose(prefills: int, decodes: int, rate: float, figures: CapacityParameters = FIGURES) -> Phase | None:
+    changes = change(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
     return changes[0].phase if changes else None
 
 
@@ -66,14 +78,14 @@
 
 
 @pytest.mark.parametrize("figures", [FIGURES, SLOW_READERS, SMALL_MEMORY])
-def test_a_split_that_is_the_best_stays_under_any_pressure(figures: EngineFigures) -> None:
+def test_a_split_that_is_the_best_stays_under_any_pressure(figures: CapacityParameters) -> None:
     best = find_best_split(7, figures)
     for rate in (5_000, 50_000, 500_000):
         assert choose(best, 7 - best, rate, figures) is None
 
 
 @pytest.mark.parametrize("figures", [FIGURES, SLOW_READERS, SMALL_MEMORY])
-def test_a_change_does_not_bring_about_the_next(figures: EngineFigures) -> None:
+def test_a_change_does_not_bring_about_the_next(figures: CapacityParameters) -> None:
     for rate in (10_000, 40_000, 90_000):
         for engines in range(2, 12):
             prefills = 1
@@ -86,7 +98,7 @@
 
 
 def test_what_is_not_served_while_an_engine_is_away_counts() -> None:
-    calm, pressed = Pressure(6_000, 0.0, FIGURES), Pressure(60_000, 0.0, FIGURES)
+    calm, pressed = ServiceDemand(6_000, 0.0, FIGURES), ServiceDemand(60_000, 0.0, FIGURES)
     assert predict_gain(Split(2, 3), 1, Phase.DECODE, calm, SWITCH) >= predict_gain(
         Split(2, 3), 1, Phase.DECODE, calm, 3 * SWITCH
     )
@@ -98,13 +110,13 @@
 
 def test_only_an_engine_that_can_be_had_changes() -> None:
     engines = make_engines(2, 1)
-    weighed = weigh_changes(engines, Pressure(26_000, 0.0, FIGURES), SWITCH)
+    weighed = evaluate_changes(engines, ServiceDemand(26_000, 0.0, FIGURES), SWITCH)
     assert choose_changes(engines, weighed, {engines[1].id}) == [PhaseChange(engines[1], Phase.DECODE)]
     assert choose_changes(engines, weighed, set()) == []
 
 
 def test_a_large_service_goes_to_its_best_split_in_few_steps() -> None:
-    pressure = Pressure(400_000, 0.0, FIGURES)
+    pressure = ServiceDemand(400_000, 0.0, FIGURES)
     phases = [one.phase for one in make_engines(24, 46)]
     rounds = 0
     while True:
@@ -122,23 +134,23 @@
 
 def test_no_more_change_at_once_than_the_others_bear() -> None:
     engines = make_engines(40, 30)
-    light, heavy = (change(engines, Pressure(rate, 0.0, FIGURES)) for rate in (300_000, 2_400_000))
+    light, heavy = (change(engines, ServiceDemand(rate, 0.0, FIGURES)) for rate in (300_000, 2_400_000))
     assert len(light) == 10
     assert 1 <= len(heavy) <= 10
-    pressure = Pressure(2_400_000, 0.0, FIGURES)
+    pressure = ServiceDemand(2_400_000, 0.0, FIGURES)
     gain = predict_gain(Split(40, 30), len(heavy), Phase.DECODE, pressure, SWITCH)
     assert all(gain >= predict_gain(Split(40, 30), count, Phase.DECODE, pressure, SWITCH) for count in range(1, 11))
 
 
 def test_halls_keep_engines_of_both_parts() -> None:
     engines = make_engines(15, 15)
-    changes = change(engines, Pressure(200_000, 0.0, FIGURES))
+    changes = change(engines, ServiceDemand(200_000, 0.0, FIGURES))
     assert len(changes) >= 3
     assert len({one.upstream.hall for one in changes}) == 3
 
 
 def test_nothing_changes_before_anybody_asks() -> None:
-    assert change(make_engines(0, 3), Pressure(0.0, 0.0, FIGURES)) == []
+    assert change(make_engines(0, 3), ServiceDemand(0.0, 0.0, FIGURES)) == []
 
 
 def make_changing(count: int) -> tuple[list[Upstream], set[UpstreamId]]:
@@ -149,10 +161,10 @@
 
 
 def test_more_engines_of_a_large_service_follow_a_first_one_while_it_changes() -> None:
-    pressure = Pressure(160_000, 0.0, SMALL_MEMORY)
+    pressure = ServiceDemand(160_000, 0.0, SMALL_MEMORY)
     engines, changing = make_changing(1)
-    weighed = weigh_changes(engines, pressure, SWITCH, changing)
-    assert weighed.due
+    weighed = evaluate_changes(engines, pressure, SWITCH, changing)
+    assert weighed.is_due
     assert weighed.phase is Phase.DECODE
     assert weighed.count == 5
 
@@ -160,15 +172,15 @@
 @pytest.mark.parametrize("count", [6, 7, 9])
 def test_no_more_engines_are_away_at_a_time_than_the_others_bear(count: int) -> None:
     engines, changing = make_changing(count)
-    assert not weigh_changes(engines, Pressure(160_000, 0.0, SMALL_MEMORY), SWITCH, changing).due
+    assert not evaluate_changes(engines, ServiceDemand(160_000, 0.0, SMALL_MEMORY), SWITCH, changing).is_due
 
 
 def test_a_part_without_engines_gets_one_whatever_is_away() -> None:
     engines = make_engines(0, 6)
-    assert weigh_changes(engines, Pressure(30_000, 0.0, FIGURES), SWITCH, {engines[0].id}).count == 1
+    assert evaluate_changes(engines, ServiceDemand(30_000, 0.0, FIGURES), SWITCH, {engines[0].id}).count == 1
 
 
 def test_engines_that_are_away_serve_nobody_meanwhile() -> None:
-    pressure = Pressure(26_000, 0.0, FIGURES)
+    pressure = ServiceDemand(26_000, 0.0, FIGURES)
     change_alone = predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH)
     assert predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH, away=Split(0, 2)) < change_alone
--- a/tests/relay/engines/test_demand.py
+++ b/tests/relay/engines/test_demand_estimation.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from beamhatch.relay.engines.demand import Demand
+from beamhatch.relay.engines.demand_estimation import DemandEstimator
 
 
 def test_long_streams_count_before_they_have_ended() -> None:
-    demand = Demand()
+    demand = DemandEstimator()
     for start in range(12):
         demand.begin_stream(100.0 + start)
     for start in range(12):
@@ -16,73 +16,73 @@
             demand.end_stream(100.0 + start, 113.0)
     # Six streams ended after 7 s in the mean and six go on. Each of these counts as long as those that were longer;
     # with the prior of 3 s, which counts for three streams, the mean is still more than 7 s.
-    assert 7.0 < demand.find_residence(113.0) < 10.0
+    assert 7.0 < demand.estimate_residence(113.0) < 10.0
 
 
 @pytest.mark.parametrize("guess", [0.7, 1.0, 1.4])
 @pytest.mark.parametrize("seconds", [1.0, 2.0, 4.0, 6.0])
 def test_the_time_of_streams_is_known_before_one_has_ended(seconds: float, guess: float) -> None:
-    demand = Demand()
+    demand = DemandEstimator()
     began: list[float] = []
     tokens = 600
     for step in range(120):
         now = 100.0 + 0.2 * step
-        demand.note_prompt(3000, guess * tokens, now)
+        demand.record_prompt(3000, guess * tokens, now)
         demand.begin_stream(now)
-        demand.note_first_event(0.3)
+        demand.record_first_event(0.3)
         began.append(now)
         while began and began[0] + seconds + 0.3 <= now:
             demand.end_stream(began.pop(0), now)
         for _ in began:
-            demand.note_tokens(int(0.2 * tokens / seconds), 0.2, now)
+            demand.record_tokens(int(0.2 * tokens / seconds), 0.2, now)
         if step >= 7:
-            assert demand.find_residence(now) == pytest.approx(seconds + 0.3, rel=0.5), step
-    assert demand.find_residence(now) == pytest.approx(seconds + 0.3, rel=0.2)
+            assert demand.estimate_residence(now) == pytest.approx(seconds + 0.3, rel=0.5), step
+    assert demand.estimate_residence(now) == pytest.approx(seconds + 0.3, rel=0.2)
 
 
 def test_finds_the_mean_of_a_steady_flow() -> None:
-    demand = Demand()
+    demand = DemandEstimator()
     for step in range(400):
         now = 100.0 + step * 0.5
-        demand.note_prompt(5000, 500, now)
+        demand.record_prompt(5000, 500, now)
         demand.begin_stream(now)
         if step >= 8:
-            demand.note_tokens(500, 4.0, now)
+            demand.record_tokens(500, 4.0, now)
             demand.end_stream(now - 4.0, now)
-    assert demand.find_residence(299.5) == pytest.approx(4.0, rel=0.15)
-    assert demand.answer == pytest.approx(500, rel=0.05)
+    assert demand.estimate_residence(299.5) == pytest.approx(4.0, rel=0.15)
+    assert demand.mean_answer_tokens == pytest.approx(500, rel=0.05)
 
 
 def test_what_was_long_ago_is_forgotten() -> None:
-    demand = Demand()
+    demand = DemandEstimator()
     for step in range(200):
-        demand.note_prompt(1000, 20, 100.0 + step)
+        demand.record_prompt(1000, 20, 100.0 + step)
         demand.begin_stream(100.0 + step)
-        demand.note_first_event(0.01)
-        demand.note_tokens(20, 0.1, 100.0 + step)
+        demand.record_first_event(0.01)
+        demand.record_tokens(20, 0.1, 100.0 + step)
         demand.end_stream(100.0 + step, 100.0 + step + 0.1)
-    assert demand.find_residence(300.0) < 0.5
+    assert demand.estimate_residence(300.0) < 0.5
     for step in range(60):
         demand.begin_stream(400.0 + 10 * step)
         demand.end_stream(400.0 + 10 * step, 408.0 + 10 * step)
-    assert demand.find_residence(1000.0) > 5.0
+    assert demand.estimate_residence(1000.0) > 5.0
 
 
 def test_rates_are_those_of_late() -> None:
-    demand = Demand()
+    demand = DemandEstimator()
     for step in range(8):
-        demand.note_prompt(1000, 500, 100.0 + step)
-        demand.note_wait(100.0 + step)
-    assert demand.count_prompt_rate(107.0) == 1250.0
-    assert demand.count_wait_rate(107.0) == 1.25
-    assert demand.count_prompt_rate(120.0) == 0.0
+        demand.record_prompt(1000, 500, 100.0 + step)
+        demand.record_wait(100.0 + step)
+    assert demand.compute_prompt_rate(107.0) == 1250.0
+    assert demand.compute_wait_rate(107.0) == 1.25
+    assert demand.compute_prompt_rate(120.0) == 0.0
 
 
 def test_a_vm_that_has_just_begun_counts_over_the_time_that_it_served() -> None:
-    demand = Demand()
+    demand = DemandEstimator()
     for step in range(12):
-        demand.note_prompt(1000, 500, 100.0 + 0.2 * step)
-    assert demand.count_prompt_rate(102.4) == pytest.approx(5000.0)
-    alone = Demand()
-    alone.note_prompt(1000, 500, 100.0)
-    assert alone.count_prompt_rate(100.1) == 500.0
+        demand.record_prompt(1000, 500, 100.0 + 0.2 * step)
+    assert demand.compute_prompt_rate(102.4) == pytest.approx(5000.0)
+    alone = DemandEstimator()
+    alone.record_prompt(1000, 500, 100.0)
+    assert alone.compute_prompt_rate(100.1) == 500.0
--- a/tests/relay/engines/test_leadership.py
+++ b/tests/relay/engines/test_leadership.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from beamhatch.relay.engines.leadership import LEASE_TIME, ORDER_TIME, LastOrder, Tenure
+from beamhatch.relay.engines.leadership import LEASE_TTL_S, ORDER_MARGIN_S, LastOrder, LeaseState
 
 TURN = 3.0
 VMS = 3
@@ -33,7 +33,7 @@
             return None
         self.revision += 1
         self.token = self.revision
-        self.holder, self.ends_at = vm, now + LEASE_TIME
+        self.holder, self.ends_at = vm, now + LEASE_TTL_S
         return self.revision
 
     def keep(self, vm: int, now: float) -> bool:
@@ -41,7 +41,7 @@
             return True
         if self.holder != vm or now >= self.ends_at:
             return False
-        self.ends_at = now + LEASE_TIME
+        self.ends_at = now + LEASE_TTL_S
         return True
 
 
@@ -73,7 +73,7 @@
         super().__init__()
         self.now = 0.0
         self.store = LeaseStore()
-        self.tenures = [Tenure(turn_time=TURN) for _ in range(VMS)]
+        self.tenures = [LeaseState(handover_time=TURN) for _ in range(VMS)]
         self.seen = [LastOrder() for _ in range(VMS)]
         self.late: list[LateAnswer] = []
         self.orders: list[Given] = []
@@ -86,7 +86,7 @@
     def look(self, vm: int, delay: float) -> None:
         revision = self.store.last_order
         self.now += delay
-        self.seen[vm].take(revision, self.now)
+        self.seen[vm].record(revision, self.now)
 
     @rule(vm=vms, delay=st.floats(0, 1.0), answered=st.booleans())
     def claim(self, vm: int, delay: float, answered: bool) -> None:
@@ -134,8 +134,8 @@
             self.store.revision += 1
             self.store.last_order = self.store.revision
         self.now += delay
-        if stands and delay < ORDER_TIME / 2 and tenure.may_order(self.now):
-            assert self.now - sent_at < ORDER_TIME
+        if stands and delay < ORDER_MARGIN_S / 2 and tenure.may_order(self.now):
+            assert self.now - sent_at < ORDER_MARGIN_S
             self.orders.append(Given(self.now, vm, tenure.token))
 
     @invariant()
@@ -151,9 +151,9 @@
 
 
 def test_a_holder_orders_a_lease_and_a_turn_behind_the_last_order_and_not_at_the_end_of_its_lease() -> None:
-    tenure = Tenure(turn_time=TURN)
+    tenure = LeaseState(handover_time=TURN)
     last = LastOrder()
-    last.take(5, 99.0)
+    last.record(5, 99.0)
     tenure.begin(7, 100.0, last)
     assert not tenure.may_order(101.9)
     for second in range(101, 120):
@@ -167,28 +167,28 @@
 
 
 def test_a_holder_orders_at_once_where_no_order_was_ever_given() -> None:
-    tenure = Tenure(turn_time=TURN)
+    tenure = LeaseState(handover_time=TURN)
     last = LastOrder()
-    last.take(0, 100.0)
+    last.record(0, 100.0)
     tenure.begin(7, 100.0, last)
     assert tenure.may_order(100.1)
 
 
 def test_an_order_is_no_older_than_when_it_was_first_seen() -> None:
     last = LastOrder()
-    last.take(5, 100.0)
-    last.take(5, 110.0)
-    assert last.find_turn(TURN) == 100.0 + LEASE_TIME + TURN + 0.5
-    last.take(8, 120.0)
-    assert last.find_turn(TURN) == 120.0 + LEASE_TIME + TURN + 0.5
+    last.record(5, 100.0)
+    last.record(5, 110.0)
+    assert last.compute_handover(TURN) == 100.0 + LEASE_TTL_S + TURN + 0.5
+    last.record(8, 120.0)
+    assert last.compute_handover(TURN) == 120.0 + LEASE_TTL_S + TURN + 0.5
 
 
 def test_an_order_that_a_restore_lost_counts_as_given_when_that_is_seen() -> None:
     """The VM may have looked before any order was given, and again when the store had lost it: both times none."""
     last = LastOrder()
-    last.take(0, 100.0)
-    assert last.find_turn(TURN) < 100.0
-    last.take(0, 200.0, may_be_lost=True)
-    assert last.find_turn(TURN) >= 200.0 + LEASE_TIME + TURN
-    last.take(0, 203.0)
-    assert last.find_turn(TURN) >= 200.0 + LEASE_TIME + TURN
+    last.record(0, 100.0)
+    assert last.compute_handover(TURN) < 100.0
+    last.record(0, 200.0, may_be_lost=True)
+    assert last.compute_handover(TURN) >= 200.0 + LEASE_TTL_S + TURN
+    last.record(0, 203.0)
+    assert last.compute_handover(TURN) >= 200.0 + LEASE_TTL_S + TURN
--- a/tests/relay/fleet/test_far_words.py
+++ b/tests/relay/fleet/test_far_words.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from beamhatch.relay.engines.changing import ChangeNews
+from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.far_words import DEMAND_CHANGE, REPEAT_TIME, SIGN_OF_LIFE, HeardWords, ToldWords
 from beamhatch.relay.fleet.gossip_message import Beat, DemandReport, decode, encode
@@ -89,17 +89,20 @@
 
 def test_a_change_of_an_engine_is_told_once_and_again_once_it_is_certain_or_lasts() -> None:
     told, heard = ToldWords(), HeardWords()
-    first = {"e": ChangeNews(Phase.DECODE, 9.0, False)}
-    certain = {"e": ChangeNews(Phase.DECODE, 8.0, True)}
+    first = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, False)}
+    certain = {"e": PhaseChangeUpdate(Phase.DECODE, 8.0, True)}
     assert carry(told, heard, change(WHOLE, changing=first), 0.0).changing == first
-    assert carry(told, heard, change(WHOLE, changing={"e": ChangeNews(Phase.DECODE, 8.5, False)}), 0.5).changing == {}
+    assert (
+        carry(told, heard, change(WHOLE, changing={"e": PhaseChangeUpdate(Phase.DECODE, 8.5, False)}), 0.5).changing
+        == {}
+    )
     assert carry(told, heard, change(WHOLE, changing=certain), 1.0).changing == certain
     assert carry(told, heard, change(WHOLE, changing=certain), 1.0 + REPEAT_TIME).changing == certain
 
 
 def test_an_engine_that_changes_anew_is_told_of_anew() -> None:
     told, heard = ToldWords(), HeardWords()
-    news = {"e": ChangeNews(Phase.DECODE, 9.0, True)}
+    news = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, True)}
     carry(told, heard, change(WHOLE, changing=news), 0.0)
     carry(told, heard, WHOLE, 0.5)
     assert carry(told, heard, change(WHOLE, changing=news), 1.0).changing == news
--- a/tests/relay/quarantine/test_attribution.py
+++ b/tests/relay/quarantine/test_attribution.py
@@ -10,21 +10,21 @@
 
 from beamhatch.relay.model import Fingerprint, UpstreamId
 from beamhatch.relay.quarantine.attribution import (
-    LEAST_ENDS,
-    LEAST_UNEXPLAINED,
+    MIN_CRASHES,
+    MIN_UNEXPLAINED_CRASHES,
     Attribution,
     CountAttribution,
     CoverAttribution,
 )
-from beamhatch.relay.quarantine.ends import UpstreamEnd
+from beamhatch.relay.quarantine.crashes import UpstreamCrash
 
 DEADLY = Fingerprint(b"deadly")
 BOTH = (CountAttribution(), CoverAttribution())
 
 
-def make_end(number: int, at: float, **ran: float) -> UpstreamEnd:
+def make_end(number: int, at: float, **ran: float) -> UpstreamCrash:
     runs = {Fingerprint(name.encode()): seconds for name, seconds in ran.items()}
-    return UpstreamEnd(UpstreamId(f"engine-{number}"), at, runs)
+    return UpstreamCrash(UpstreamId(f"engine-{number}"), at, runs)
 
 
 def test_a_request_is_held_behind_three_ends_and_not_before() -> None:
@@ -65,8 +65,8 @@
 def test_whoever_is_held_explains_enough_ends_that_nobody_else_does(aboard: list[set[str]]) -> None:
     ends = [make_end(number, float(number), **dict.fromkeys(sorted(one), 0.1)) for number, one in enumerate(aboard)]
     causes = CoverAttribution().find_causes(ends)
-    assert all(count >= LEAST_ENDS for count in causes.values())
-    assert LEAST_UNEXPLAINED * len(causes) <= len(ends)
+    assert all(count >= MIN_CRASHES for count in causes.values())
+    assert MIN_UNEXPLAINED_CRASHES * len(causes) <= len(ends)
     assert set(causes) <= set(CountAttribution().find_causes(ends))
 
 
@@ -87,7 +87,7 @@
     """Nine engines, streams of 2.2 s, and a request that comes four at a time each 3.5 s and ends what runs it."""
 
     seed: int
-    ends: list[UpstreamEnd] = field(default_factory=list)
+    ends: list[UpstreamCrash] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Play it."""
@@ -133,7 +133,7 @@
         self._back_at[number] = now + RESTART * self._random.uniform(0.8, 1.2)
         runs, self._runs[number] = self._runs[number], {}
         ran = {name: now - begun for name, begun in runs.items()}
-        self.ends.append(UpstreamEnd(UpstreamId(f"engine-{number}-{len(self.ends)}"), now, ran))
+        self.ends.append(UpstreamCrash(UpstreamId(f"engine-{number}-{len(self.ends)}"), now, ran))
         for name in runs:
             self._tries[name] = self._tries.get(name, 0) + 1
             if name != DEADLY and self._tries[name] < TRIES:
@@ -144,7 +144,7 @@
         held: set[Fingerprint] = set()
         for count in range(1, len(self.ends) + 1):
             held |= set(attribution.find_causes(self.ends[:count]))
-        return len(held - {DEADLY}), len({name for end in self.ends for name in end.runs} - {DEADLY})
+        return len(held - {DEADLY}), len({name for end in self.ends for name in end.run_durations} - {DEADLY})
 
 
 def test_in_a_storm_the_deadly_request_is_held_and_next_to_nobody_beside_it() -> None:
--- a/tests/relay/quarantine/test_detection.py
+++ b/tests/relay/quarantine/test_detection.py
@@ -5,8 +5,8 @@
 import pytest
 
 from beamhatch.relay.model import Address, Fingerprint, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.quarantine.detection import SETTLE_TIME, EndDetection
-from beamhatch.relay.quarantine.ends import MOST_TOLD, EndNews
+from beamhatch.relay.quarantine.crashes import MAX_ANNOUNCED_RUNS, CrashUpdate
+from beamhatch.relay.quarantine.detection import SETTLE_S, CrashDetector
 from beamhatch.relay.upstreams.http_client import Connection
 from tests.support.network import Network, PausedClock
 
@@ -26,26 +26,26 @@
     def __init__(self, connections: int = 0) -> None:
         self.network = Network()
         self.open = {Wire() for _ in range(connections)}
-        self.told: list[EndNews] = []
-        self.detection = EndDetection(PausedClock(self.network), lambda _: frozenset(self.open), self.told.append)
+        self.told: list[CrashUpdate] = []
+        self.detection = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.told.append)
 
     def break_runs(self, count: int) -> None:
         """Break the connections of some runs one after the other; more than there are open were known to nobody."""
         for number in range(count):
             if self.open:
                 self.open.pop()
-            self.detection.note_broken(ENGINE, Fingerprint(bytes([number])), 0.1 * number)
+            self.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1 * number)
 
 
 def test_all_that_break_at_once_are_one_end_told_once() -> None:
     watch = Watch(3)
     watch.break_runs(3)
-    watch.network.advance(SETTLE_TIME / 2)
+    watch.network.advance(SETTLE_S / 2)
     assert not watch.told
-    watch.network.advance(SETTLE_TIME)
+    watch.network.advance(SETTLE_S)
     (news,) = watch.told
-    assert [run.ran for run in news.runs] == [0, 100, 200]
-    assert news.age >= SETTLE_TIME
+    assert [run.duration_ms for run in news.runs] == [0, 100, 200]
+    assert news.age >= SETTLE_S
 
 
 @pytest.mark.parametrize(("connections", "broken"), [(5, 2), (64, 1), (64, 32), (64, 48), (64, 57), (2, 1)])
@@ -79,13 +79,13 @@
     watch.open.add(Wire(paused=True))
     for number, one in enumerate(read):
         watch.open.remove(one)
-        watch.detection.note_broken(ENGINE, Fingerprint(bytes([number])), 0.1)
+        watch.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
     watch.network.advance(1.0)
     assert len(watch.told) == 1
 
 
 def test_of_many_runs_the_youngest_are_told() -> None:
-    watch = Watch(3 * MOST_TOLD)
-    watch.break_runs(3 * MOST_TOLD)
+    watch = Watch(3 * MAX_ANNOUNCED_RUNS)
+    watch.break_runs(3 * MAX_ANNOUNCED_RUNS)
     watch.network.advance(1.0)
-    assert [run.fingerprint[0] for run in watch.told[0].runs] == list(range(MOST_TOLD))
+    assert [run.fingerprint[0] for run in watch.told[0].runs] == list(range(MAX_ANNOUNCED_RUNS))
