--- a/src/beamhatch/relay/quarantine/__init__.py
+++ b/src/beamhatch/relay/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the upstreams that run them: how they are found, and kept from the rest."""
+"""Detection and quarantine of requests that crash the upstreams that run them."""
--- a/src/beamhatch/relay/quarantine/attribution.py
+++ b/src/beamhatch/relay/quarantine/attribution.py
@@ -1,8 +1,7 @@
-"""Attribute the ends of upstreams to the requests that caused them.
+"""Attribute crashes of upstreams to the requests that caused them.
 
-All requests that ran at an upstream break when it ends; the one that ended it and those beside it look alike. What
-tells them apart is which other ends they had a part in. This answers the load of a request that is sent again and again
-while streams that have nothing to do with it run on the same engines.
+Every request that runs on an upstream breaks when it crashes. The cause is told apart from co-running requests by the
+other crashes that each was part of.
 """
 
 from __future__ import annotations
@@ -18,56 +17,58 @@
     from beamhatch.relay.quarantine.crashes import UpstreamCrash
 
 MIN_CRASHES = 3
-"""Ends from which on a request is taken to cause them: the users bear three, and few more.
+"""Minimum number of crashes for a request to be taken as their cause.
 
-At two, a stream that stands beside a deadly request twice would be kept away too; see ``CoverAttribution``.
+Two would also quarantine a stream that ran beside a crash-inducing request twice.
 """
 
 MIN_UNEXPLAINED_CRASHES = 2
-"""Ends among these that no other request may explain: two deadly requests share an end now and then."""
+"""Minimum number of these crashes that no other request explains.
+
+Two crash-inducing requests may run on the same upstream when it crashes.
+"""
 
 SAME_CAUSE_WINDOW_S = 0.05
-"""Seconds within which ends have one cause.
+"""Crashes that start within this time of each other have one cause, such as a power loss.
 
-Upstreams that lose power, or a hall, end within milliseconds of each other; a request that ends them one by one takes
-the time to be read and begun in between, 0.1 s or more.
+A request that crashes upstreams one after the other needs longer to be processed in between.
 """
 
 Causes = dict["Fingerprint", int]
-"""The requests that are taken to end what runs them, with the number of ends that each had a part in."""
+"""The requests taken as causes, with the number of crashes that each was part of."""
 
 
 class Attribution(ABC):
-    """Finds which requests caused some ends."""
+    """Finds the requests that caused a sequence of crashes."""
 
     @abstractmethod
     def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
-        """Return the requests that explain enough ends, by ends that are in the order of time."""
+        """Return the requests that explain enough of the crashes, which must be ordered by time."""
 
 
 class CountAttribution(Attribution):
-    """Takes each request that had a part in enough ends, whoever ran beside it."""
+    """Attribution to every request that was part of enough crashes, regardless of co-running requests."""
 
     def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
-        """Return all with enough ends."""
+        """Return all requests that were part of at least ``MIN_CRASHES`` crashes."""
         groups, _ = _group_crashes(crashes)
         return {found: len(moments) for found, moments in groups.items() if len(moments) >= MIN_CRASHES}
 
 
 class CoverAttribution(Attribution):
-    """Takes the request that explains the most ends, then the one that explains the most of the rest, and so on.
+    """Attribution by a greedy set cover of the crashes.
 
-    An end that is explained says nothing of who ran beside it. In 60 storms in which a request ended 1,164 engines,
-    2,489 streams broke beside it; ``CountAttribution`` held 52 of them, this none (played from seeds, in its test).
+    Selects the request that explains the most crashes, then the one that explains the most of those left. A crash that
+    is explained counts against no other request.
     """
 
     def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
-        """Return those that are needed to explain what can be explained."""
+        """Return the requests that the greedy cover selects."""
         groups, total_durations = _group_crashes(crashes)
         unexplained = {found: set(moments) for found, moments in groups.items() if len(moments) >= MIN_CRASHES}
         causes: Causes = {}
         while unexplained:
-            # who ran the shortest goes first among equals: a request ends its upstream soon behind its begin
+            # On a tie, prefer the shortest mean run: a crash-inducing request has short runs.
             best = min(
                 unexplained,
                 key=lambda found: (-len(unexplained[found]), total_durations[found] / len(groups[found]), found),
@@ -82,7 +83,10 @@
 def _group_crashes(
     crashes: Iterable[UpstreamCrash],
 ) -> tuple[Mapping[Fingerprint, set[int]], Mapping[Fingerprint, float]]:
-    """Return the moments at which each request had a part in an end, by number, and the seconds that it ran in all."""
+    """Return the crash groups that each request was part of, and the total seconds that it ran.
+
+    Crashes within ``SAME_CAUSE_WINDOW_S`` form one group, identified by its index.
+    """
     groups: defaultdict[Fingerprint, set[int]] = defaultdict(set)
     total_durations: defaultdict[Fingerprint, float] = defaultdict(float)
     group = -1
--- a/src/beamhatch/relay/quarantine/crashes.py
+++ b/src/beamhatch/relay/quarantine/crashes.py
@@ -1,7 +1,7 @@
-"""The ends of upstreams that VMs saw, each with the requests whose runs broke at it.
+"""Known crashes of upstreams, each with the requests whose runs broke there.
 
-An upstream's end is one fact, which several VMs see a part of: each tells the runs that it had there, and all VMs put
-the parts together. No part is ever taken back but by a run of the same request that came to a good end later.
+Each VM announces the runs of its own that broke; all VMs merge these. A run is removed only when the same request
+succeeds later, or with its crash.
 """
 
 from __future__ import annotations
@@ -17,50 +17,50 @@
     from collections.abc import Iterator
 
 SAME_CRASH_WINDOW_S = 1.0
-"""Seconds within which parts tell of one end of an upstream: peers hear in 0.3 s, and a restart takes 2 s or more."""
+"""Updates on an upstream whose crash times differ by less than this belong to one crash."""
 
 RETENTION_S = 3600.0
-"""Seconds for which an end is remembered: longer than two quarantines, so that what breaks behind the first counts."""
+"""Time for which a crash is kept; also the longest quarantine."""
 
 MAX_CRASHES = 256
-"""Ends that are remembered: an hour's at ten times the rate of the size to design for, 620 restarts a day."""
+"""Maximum number of crashes kept, the newest first."""
 
 MAX_RUNS = 64
-"""Runs of one end that are kept, the youngest first: the streams that an engine of the size to design for has."""
+"""Maximum number of runs kept per crash."""
 
 MAX_ANNOUNCED_RUNS = 8
-"""Runs of one end that one VM tells, the youngest first: at the size to design for it has one or two there."""
+"""Maximum number of runs that a VM announces of one crash, the shortest first."""
 
 
 class BrokenRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run that broke when its upstream ended."""
+    """A run that broke when its upstream crashed."""
 
     fingerprint: Fingerprint
     duration_ms: int
-    """Milliseconds that it had run."""
+    """Time that it had run, in milliseconds."""
 
 
 class CrashUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What one VM knows of the end of an upstream."""
+    """What a VM announces of the crash of an upstream."""
 
     upstream: str
     age: float
-    """Seconds since."""
+    """Seconds since the crash."""
     runs: list[BrokenRun]
 
 
 @dataclass(slots=True)
 class UpstreamCrash:
-    """The end of an upstream, as far as it is known."""
+    """A crash of an upstream, with the runs known to have broken."""
 
     upstream: UpstreamId
     at: float
-    """Monotonic seconds of this VM."""
+    """Time of the crash on this VM's monotonic clock."""
     run_durations: dict[Fingerprint, float] = field(default_factory=dict)
-    """The seconds that each request had run there."""
+    """Seconds that each request had run there."""
 
     def to_update(self, now: float) -> CrashUpdate:
-        """Return it as peers are told."""
+        """Return the update that peers are sent."""
         broken = [
             BrokenRun(fingerprint, round(1000 * duration)) for fingerprint, duration in self.run_durations.items()
         ]
@@ -69,20 +69,20 @@
 
 @dataclass(slots=True)
 class UpstreamCrashes:
-    """All ends that are remembered, oldest first."""
+    """The known crashes, oldest first."""
 
     _crashes: list[UpstreamCrash] = field(default_factory=list)
 
     def __iter__(self) -> Iterator[UpstreamCrash]:
-        """Return the ends, oldest first."""
+        """Iterate over the crashes, oldest first."""
         return iter(self._crashes)
 
     def __len__(self) -> int:
-        """Return how many are remembered."""
+        """Return the number of crashes kept."""
         return len(self._crashes)
 
     def apply_update(self, update: CrashUpdate, now: float) -> CrashUpdate | None:
-        """Take in what a VM saw of an end; return the part that was not known."""
+        """Merge what a VM announced; return the part that was not known, or None."""
         at = now - max(0.0, update.age)
         if update.age > RETENTION_S:
             return None
@@ -95,7 +95,7 @@
         return CrashUpdate(update.upstream, update.age, added) if added else None
 
     def forget(self, fingerprint: Fingerprint, until: float) -> bool:
-        """Forget a request's part in all ends up to a time; return whether it had any."""
+        """Remove a request from all crashes up to a time; return whether it was part of any."""
         found = False
         for crash in self._crashes:
             if crash.at <= until and crash.run_durations.pop(fingerprint, None) is not None:
@@ -103,11 +103,11 @@
         return found
 
     def count(self, fingerprint: Fingerprint) -> int:
-        """Return at how many ends a run of a request broke."""
+        """Return the number of crashes that a request was part of."""
         return sum(fingerprint in end.run_durations for end in self._crashes)
 
     def remove_expired(self, now: float) -> None:
-        """Drop ends that were long ago, and those in which nobody has a part any more."""
+        """Remove crashes older than ``RETENTION_S`` and those without runs."""
         self._crashes = [end for end in self._crashes if now - end.at <= RETENTION_S and end.run_durations]
 
     def _get_or_add(self, upstream: UpstreamId, at: float) -> UpstreamCrash:
--- a/src/beamhatch/relay/quarantine/detection.py
+++ b/src/beamhatch/relay/quarantine/detection.py
@@ -1,4 +1,4 @@
-"""Tell the end of an upstream from a broken connection, by what this VM sees of it."""
+"""Distinguish a crash of an upstream from single broken connections."""
 
 from __future__ import annotations
 
@@ -15,20 +15,19 @@
     from beamhatch.relay.upstreams.http_client import Connection
 
 SETTLE_S = 0.02
-"""Seconds in which all connections to an upstream that has ended break: they do so at once, some round trips apart."""
+"""Time to wait after the first broken run for the other connections to the upstream to close."""
 
 MIN_CLOSED_SHARE = 0.9
-"""Share of the connections that were open when the first run broke, and read from, which are gone when one has ended.
+"""Minimum share of the connections open at the first broken run that must be closed for a crash.
 
-An end takes all of them; a tenth is left for what a busy VM has not been told of within the settle time. Where a part
-is reset, by a limit or a fault on the way, more last. What was opened since tells nothing: a proxy in front, an
-upstream that is back in 5 ms, or a busy VM, has as many again by then. While these were counted, 1 of 72 ends was told.
+Connections that are not read from and those opened since are not counted. A fault or limit on the network path closes
+fewer of them; the margin allows for closes that this VM has not processed yet.
 """
 
 MIN_RUN_S = 0.01
-"""Seconds behind which a send that was never answered may have been begun.
+"""Minimum run time after which an unanswered request may have been started by the upstream.
 
-Before, its connection was closed as the send crossed the close, or refused as there were too many.
+Before, the upstream may have closed or refused its connection without reading the request.
 """
 
 
@@ -37,12 +36,12 @@
     address: Address
     since: float
     open_before: Set[Connection]
-    """Connections that were open, and read from, when the first run broke; without that run's own."""
+    """Connections that were open and read from when the first run broke, without that run's own."""
     runs: list[BrokenRun] = field(default_factory=list)
 
 
 class CrashDetector:
-    """Collects the runs that break at an upstream, and tells of its end where most connections to it are gone."""
+    """Detector of crashes, by the share of an upstream's connections that close at once."""
 
     def __init__(
         self,
@@ -56,9 +55,9 @@
         self._pending: dict[UpstreamId, _PendingCrash] = {}
 
     def record_broken_run(self, upstream: Upstream, fingerprint: Fingerprint, duration: float) -> None:
-        """Note that the connection of a run that was begun, or may have been, has ended.
+        """Record a run whose connection closed after it was, or may have been, started.
 
-        :param ran: seconds that it had run
+        :param duration: seconds that it had run
         """
         pending = self._pending.get(upstream.id)
         if pending is None:
--- a/src/beamhatch/relay/quarantine/gossip.py
+++ b/src/beamhatch/relay/quarantine/gossip.py
@@ -1,7 +1,7 @@
-"""What this VM sees, hears and says of requests that end upstreams.
+"""Gossip between VMs on crashes of upstreams and quarantines.
 
-Each VM tells its peers what it saw of an end; these tell theirs what is news to them. So all VMs that can reach each
-other know the same, whichever VM a request came to. A peer that is met is told everything, behind a restart or a cut.
+Each VM sends its peers the crashes that it saw; these forward what is new to them. A peer that connects is sent
+everything.
 """
 
 from __future__ import annotations
@@ -29,26 +29,22 @@
     from beamhatch.relay.upstreams.http_client import Connection
 
 SEND_INTERVAL_S = 0.1
-"""Seconds between two words to each peer: at 300 VMs an end takes a few of them, and not one for each stream."""
+"""Minimum interval between two messages to each peer, in seconds."""
 
 ATTRIBUTION_DELAY_S = 0.3
-"""Seconds behind news of an end in which the parts of other VMs come in, before it is attributed.
-
-News cross four VMs at the most; who stood beside the request that ended the upstream is known by then.
-"""
+"""Delay between the first update on a crash and its attribution, for updates of other VMs to arrive."""
 
 ANNOUNCE_SUCCESS_MIN_CRASHES = 2
-"""Ends of a request from which on its good end is told at once.
+"""Minimum number of crashes of a request for its success to be announced at once.
 
-Most that stood beside once are streams that nobody asks for again: telling each would cost more than the ends. Whoever
-knows of a good end says so when the request is named again, so that no three ends add up with a good end between them.
+Below it, a success is announced only when a later crash names the request, which saves messages on co-running streams.
 """
 
 MAX_ANNOUNCED_CRASHES = 64
-"""Ends that a peer is told of when it is met, the newest: 60 KB at the most."""
+"""Maximum number of crashes that a newly connected peer is sent, the newest."""
 
 MAX_LOGGED_UPSTREAMS = 8
-"""Upstreams that one line names."""
+"""Maximum number of upstreams in one log line."""
 
 Item = CrashUpdate | ClearUpdate | HoldUpdate
 
@@ -57,26 +53,26 @@
 class _Unsent:
     item: Item
     source: PeerConnection | None
-    """The connection on which it was told to this VM; None where it is this VM's own."""
+    """The connection on which it was received; None for this VM's own."""
     received_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineGossipDependencies:
-    """What the talk needs of the VM."""
+    """Dependencies of ``QuarantineGossip``."""
 
     clock: Clock
     journal: Journal
     tally: Tally
     quarantine: Quarantine
     list_open_connections: Callable[[Address], Set[Connection]]
-    """Returns the connections to an upstream that are open."""
+    """Returns the open connections to an upstream."""
     reject_waiting: Callable[[Fingerprint], None]
-    """Has all who wait with a request that is held be told so."""
+    """Rejects all callers that wait with a quarantined request."""
 
 
 class QuarantineGossip:
-    """Keeps the quarantine of one VM, and what is said of it."""
+    """Gossip on the quarantine of one VM."""
 
     def __init__(self, dependencies: QuarantineGossipDependencies) -> None:
         self._clock = dependencies.clock
@@ -85,30 +81,30 @@
         self.quarantine = dependencies.quarantine
         self._reject_waiting = dependencies.reject_waiting
         self.list_connections: Callable[[], Iterable[PeerConnection]] = list
-        """Returns the connections to peers that are up."""
+        """Returns the established connections to peers."""
         self.hall = ""
-        """The hall of this VM."""
+        """Hall of this VM."""
         self.forwards_updates: Callable[[], bool] = lambda: True
-        """Tells whether this VM hands on what peers tell: it watches the store, and all of its hall talk to it."""
+        """Returns whether this VM forwards updates of peers."""
         self.on_hold: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
-        """Called with a request that is held by ends that this VM saw itself, and whether it saw the last of them."""
+        """Called with a request quarantined by crashes seen here, and whether this VM saw the last one."""
         self.on_clear: Callable[[Fingerprint], None] = lambda fingerprint: None
-        """Called with a request that came to a good end here, and whose quarantine the store keeps."""
+        """Called with a request that succeeded here and whose quarantine is stored."""
         self._detector = CrashDetector(dependencies.clock, dependencies.list_open_connections, self._handle_crash)
         self._throttle = Throttle(dependencies.clock, SEND_INTERVAL_S, self._send_pending)
         self._unsent: list[_Unsent] = []
         self._last_local_crash: dict[Fingerprint, float] = {}
-        """When a run of each request broke here last at an upstream's end."""
+        """Time at which a run of each request last broke here by a crash."""
         self._attribution_scheduled = False
 
-    # --- what this VM sees -------------------------------------------------------------------------------------------
+    # --- local events -------------------------------------------------------------------------------------------------
 
     def record_broken_run(
         self, upstream: Upstream, fingerprint: Fingerprint, duration: float, *, answering: bool
     ) -> None:
-        """Note that the connection of a run has ended before its answer.
+        """Record that a run's connection closed before its response was complete.
 
-        :param begun: whether the upstream had begun to answer; where it never does before it is done, time must tell
+        :param answering: whether the upstream had started to respond; if not, runs below ``MIN_RUN_S`` are ignored
         """
         if not answering and duration < MIN_RUN_S:
             return
@@ -118,7 +114,7 @@
         self._detector.record_broken_run(upstream, fingerprint, duration)
 
     def record_success(self, fingerprint: Fingerprint) -> None:
-        """Note that a run came to a good end."""
+        """Record a success, and announce it if it clears a quarantine or several crashes."""
         now = self._clock.now()
         was_stored = self.quarantine.is_stored(fingerprint, now)
         result = self.quarantine.record_success(fingerprint, now)
@@ -132,24 +128,24 @@
             self.on_clear(fingerprint)
 
     def record_stored(self, fingerprint: Fingerprint) -> None:
-        """Note that the store keeps the quarantine of a request from now on."""
+        """Record that the quarantine of a request was stored."""
         self._apply_hold(HoldUpdate(fingerprint, 0.0, HOLD_S), None)
 
     def apply_stored(self, stored: Sequence[Fingerprint]) -> None:
-        """Take in all requests whose quarantine the store keeps.
+        """Apply the complete list of stored quarantines.
 
-        The store does not say since when, so what was cleared within the time of its lease stays cleared.
+        The store does not return when each was written, so requests cleared within ``HOLD_S`` stay cleared.
         """
         for fingerprint in stored:
             self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
         self.quarantine.retain_stored(stored)
 
     def apply_restored(self, stored: Sequence[Fingerprint], first: bool) -> None:
-        """Take in which quarantines a restored store keeps, and have it keep those in force.
+        """Apply the quarantines in a restored store, and write or remove those that differ from the ones in force.
 
-        The backup tells nothing of quarantines that began or ended after it, so a missing key ends none.
+        A backup lacks later changes, so a missing key ends no quarantine.
 
-        :param first: whether this VM writes at once, and not only where others have not
+        :param first: whether this VM writes without delay
         """
         now = self._clock.now()
         for fingerprint in self.quarantine.mark_missing(stored, now):
@@ -167,10 +163,10 @@
             self._last_local_crash[run.fingerprint] = now
         self._apply_crash(update, None)
 
-    # --- what peers tell ---------------------------------------------------------------------------------------------
+    # --- messages of peers --------------------------------------------------------------------------------------------
 
     def handle_message(self, connection: PeerConnection, message: QuarantineNews) -> None:
-        """Take in what a peer tells."""
+        """Apply a message of a peer."""
         for cleared in message.cleared:
             self._apply_clear(cleared, connection)
         for hold in message.holds:
@@ -179,7 +175,7 @@
             self._apply_crash(crash, connection)
 
     def send_all(self, connection: PeerConnection) -> None:
-        """Tell a peer that was met all there is."""
+        """Send a newly connected peer the known crashes and stored quarantines."""
         now = self._clock.now()
         crashes = [end.to_update(now) for end in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
         holds = self.quarantine.list_stored(now)
@@ -214,7 +210,7 @@
             self._reject_waiting(update.fingerprint)
             self._enqueue(update, source)
 
-    # --- what is made of it ------------------------------------------------------------------------------------------
+    # --- attribution --------------------------------------------------------------------------------------------------
 
     def _attribute(self) -> None:
         self._attribution_scheduled = False
@@ -246,7 +242,7 @@
         self._tally.count("quarantines_total", "cleared")
         self._journal.write("QUARANTINE", "cleared", fingerprint=fingerprint.hex(), source=source)
 
-    # --- words -------------------------------------------------------------------------------------------------------
+    # --- sending ------------------------------------------------------------------------------------------------------
 
     def _enqueue(self, item: Item, source: PeerConnection | None) -> None:
         self._unsent.append(_Unsent(item, source, self._clock.now()))
@@ -266,15 +262,15 @@
                 connection.tell(_make_message(items))
 
     def _is_sender_for(self, connection: PeerConnection, source: PeerConnection | None) -> bool:
-        """Tell whether this VM tells a peer something although others hand on: its own, and from afar to the near.
+        """Return whether this VM must send an update even if it does not forward.
 
-        While all VMs handed everything on, 74 of them sent 10 KB each for the end of an engine with 64 streams.
+        It sends its own updates, and those from other halls to peers in its own hall.
         """
         return source is None or (source.hall != self.hall and connection.hall == self.hall)
 
 
 def _add_age(item: Item, seconds: float) -> Item:
-    """Return an item as it is told some seconds after it was taken in."""
+    """Return an item with the seconds since it was received added to its age."""
     aged = msgspec.structs.replace(item, age=round(item.age + seconds, 3))
     return msgspec.structs.replace(aged, remaining=item.remaining - seconds) if isinstance(item, HoldUpdate) else aged
 
@@ -288,7 +284,7 @@
 
 
 def _merge_crashes(updates: Iterable[CrashUpdate]) -> list[CrashUpdate]:
-    """Return news with the parts of each end joined: each part of its own has 45 bytes, of which a run has 14."""
+    """Return updates with those on the same crash merged."""
     merged: dict[str, CrashUpdate] = {}
     separate = []
     for one in updates:
--- a/src/beamhatch/relay/quarantine/persistence.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -1,4 +1,4 @@
-"""Have the store keep quarantines, so that they outlast a restart of all VMs."""
+"""Write quarantines to the store, so that they outlast a restart of all VMs."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
     from beamhatch.relay.model import Fingerprint
 
 STANDBY_DELAY_S = 1.0, 2.0
-"""Seconds for which VMs wait that did not see the last end: the one that did has written it down by then."""
+"""Range of the delay of VMs that did not see the last crash; the VM that did writes first."""
 
 MIN_RETRY_DELAY_S = 0.5
-"""Seconds before the next try at a store that gave no answer; each pause is twice the last."""
+"""Initial delay before a failed call to the store is retried; doubled with each retry."""
 
 MAX_RETRY_DELAY_S = 8.0
-"""Seconds between two tries at the most: a store that is down is asked by one or two VMs only."""
+"""Maximum delay between two retries."""
 
 
 class QuarantinePersistence:
-    """Writes to the store which requests are held, as often as it takes."""
+    """Writer of quarantines to the store, with retries."""
 
     def __init__(self, core: Core, store: Store) -> None:
         self.core = core
         self._store = store
         self._writing: set[Fingerprint] = set()
-        """Those that are being written, or wait for it: a restored store is read several times meanwhile."""
+        """Requests whose write is scheduled or running."""
 
     def add(self, fingerprint: Fingerprint, immediately: bool) -> None:
-        """Have a quarantine kept, unless another VM has.
+        """Schedule a write of a request's quarantine, unless one is scheduled already.
 
-        :param first: whether this VM is the one to begin with
+        :param immediately: write without delay, as this VM saw the last crash
         """
         if fingerprint in self._writing:
             return
@@ -49,7 +49,7 @@
         self.core.clock.call_later(delay, self._run, self._add, fingerprint)
 
     def remove(self, fingerprint: Fingerprint) -> None:
-        """Have a quarantine kept no longer."""
+        """Remove a request's quarantine from the store."""
         self._run(self._remove, fingerprint)
 
     def _run(self, work: Callable[[Fingerprint], Awaitable[None]], fingerprint: Fingerprint) -> None:
@@ -77,7 +77,10 @@
             delay = await self._wait_before_retry(fingerprint, lost, delay)
 
     async def _remove(self, fingerprint: Fingerprint) -> None:
-        """Remove the key, as VMs that start would hold the request by it; behind its lease there is none."""
+        """Remove the key, with retries until its lease has expired.
+
+        VMs that start later would quarantine the request while the key exists.
+        """
         until = self.core.clock.now() + HOLD_S
         pause = MIN_RETRY_DELAY_S
         while self.core.quarantine.get_hold(fingerprint, now := self.core.clock.now()) is None and now < until:
@@ -87,7 +90,7 @@
             pause = await self._wait_before_retry(fingerprint, lost, pause)
 
     async def _wait_before_retry(self, fingerprint: Fingerprint, lost: StoreLost, delay: float) -> float:
-        """Wait before the next try; return the seconds to wait before the one behind it."""
+        """Wait before the next try; return the delay of the one after it."""
         self.core.tally.count("store_failures_total", "quarantine")
         self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=lost.detail)
         await sleep(self.core.clock, delay * random.uniform(0.7, 1.3))
--- a/src/beamhatch/relay/quarantine/quarantine.py
+++ b/src/beamhatch/relay/quarantine/quarantine.py
@@ -1,7 +1,7 @@
-"""The quarantine aggregate: which requests end what runs them, and for how long they are sent to nothing.
+"""Which requests are in quarantine, and until when.
 
-It is worked out anew from the ends that are known, so VMs that know the same keep the same requests away, and one that
-stood beside a deadly request is let go as soon as more is known.
+Quarantines are computed again from the known crashes with each change, so VMs that know the same crashes quarantine the
+same requests, and one that only co-ran is released once more is known.
 """
 
 from __future__ import annotations
@@ -22,63 +22,63 @@
     from beamhatch.relay.quarantine.attribution import Causes
 
 HOLD_S = 600.0
-"""Seconds behind the last end that it caused for which a request is sent to nothing: the longest lease of the store.
+"""Quarantine after the last crash that a request caused, in seconds; also the store's longest lease.
 
-Each try costs an upstream and all that runs there, so the time is doubled with each further end, up to ``RETENTION_S``.
+Doubled with each further crash, up to ``RETENTION_S``.
 """
 
 SUCCESS_GRACE_S = 60.0
-"""Seconds behind a good end of a request in which a run of it that breaks is no sign against it.
+"""Time after a success in which a broken run does not count against the request, in seconds.
 
-A lookup that many callers make is aboard of whatever ends, for whatever reason. Longer than a hall is cut off, so that
-it is protected still when its upstreams are back; short, as an upstream's next version may end by what the last bore.
+It protects requests that many callers make, which run on whatever upstream crashes. It is short since a new version of
+an upstream may crash by a request that the last one served.
 """
 
 MAX_SUCCESSES = 1024
-"""Requests whose good end is remembered, the latest first: 0.2 MB. Popular ones stay among them."""
+"""Maximum number of successes kept, the latest first."""
 
 MAX_CLEARED = 512
-"""Requests of which it is remembered when they were cleared: news of before may still be on their way."""
+"""Maximum number of clearings kept; these void older updates that still arrive."""
 
 MAX_STORED_HOLDS = 256
-"""Requests that are held as others told it."""
+"""Maximum number of quarantines kept that the store or peers reported."""
 
 
 class ClearUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A request came to a good end: what was held against it before is void."""
+    """A request succeeded: crashes before that do not count against it."""
 
     fingerprint: Fingerprint
     age: float
-    """Seconds since."""
+    """Seconds since the success."""
 
 
 class HoldUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A request is in quarantine by what the store keeps, though the ends may be forgotten."""
+    """A request is in quarantine according to the store, whether or not its crashes are known."""
 
     fingerprint: Fingerprint
     age: float
-    """Seconds since it was written to the store, at the most."""
+    """Upper bound on the seconds since it was written to the store."""
     remaining: float
-    """Seconds for which it still holds."""
+    """Seconds until it expires."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """A request that is sent to nothing."""
+    """The quarantine of a request."""
 
     until: float
-    """Monotonic seconds."""
+    """Time of expiry on the monotonic clock."""
     crash_count: int
-    """Ends that it explains; 0 where these are not known here."""
+    """Number of crashes attributed to the request; 0 if none are known here."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClearResult:
-    """What a good end cleared a request of."""
+    """What a success cleared a request of."""
 
     was_held: bool
     crash_count: int
-    """Ends at which a run of it had broken."""
+    """Number of crashes that the request was part of."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,48 +86,48 @@
     stored_at: float
     until: float
     is_stored: bool = True
-    """False where a restored store lacks it."""
+    """False if a restored store does not contain it."""
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """What one VM knows of requests that end upstreams."""
+    """The quarantines and crashes known to one VM."""
 
     crashes: UpstreamCrashes = field(default_factory=UpstreamCrashes)
     attribution: Attribution = field(default_factory=CoverAttribution)
     _attributed: dict[Fingerprint, Hold] = field(default_factory=dict)
-    """By the ends that this VM knows."""
+    """Quarantines computed from the known crashes."""
     _stored: dict[Fingerprint, _StoredHold] = field(default_factory=dict)
-    """By what the store keeps."""
+    """Quarantines that the store or peers reported."""
     _successes: OrderedDict[Fingerprint, float] = field(default_factory=OrderedDict)
     _cleared: OrderedDict[Fingerprint, float] = field(default_factory=OrderedDict)
 
     def get_hold(self, fingerprint: Fingerprint, now: float) -> Hold | None:
-        """Return for how long a request is sent to nothing, None where it may be sent."""
+        """Return the quarantine of a request, or None if it may be sent."""
         found = self._attributed.get(fingerprint)
         stored = self._stored.get(fingerprint)
         until = max(0.0 if found is None else found.until, 0.0 if stored is None else stored.until)
         return Hold(until, 0 if found is None else found.crash_count) if now < until else None
 
     def is_stored(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Tell whether the store keeps the quarantine of a request, as far as this VM knows."""
+        """Return whether the store is known to contain the quarantine of a request."""
         stored = self._stored.get(fingerprint)
         return stored is not None and stored.is_stored and now < stored.until
 
     def count(self, now: float) -> int:
-        """Return how many requests are in quarantine."""
+        """Return the number of requests in quarantine."""
         return sum(self.get_hold(one, now) is not None for one in {*self._attributed, *self._stored})
 
-    # --- ends --------------------------------------------------------------------------------------------------------
+    # --- crashes ------------------------------------------------------------------------------------------------------
 
     def apply_crash(self, update: CrashUpdate, now: float) -> CrashUpdate | None:
-        """Take in what a VM saw of an upstream's end; return the part that was not known."""
+        """Merge an update on a crash; return the part that was not known, or None."""
         at = now - update.age
         runs = [run for run in update.runs if self._cleared.get(run.fingerprint, float("-inf")) < at]
         return self.crashes.apply_update(CrashUpdate(update.upstream, update.age, runs), now) if runs else None
 
     def attribute(self, now: float) -> Causes:
-        """Work out which requests caused the ends; return those that are held from now on and were not."""
+        """Compute the quarantines again; return the requests that are new or have more crashes than before."""
         self.crashes.remove_expired(now)
         before = self._attributed
         causes = self.attribution.find_causes(self.crashes)
@@ -142,10 +142,10 @@
         last = max(end.at for end in self.crashes if fingerprint in end.run_durations)
         return last + min(RETENTION_S, HOLD_S * 2.0 ** min(8, crash_count - MIN_CRASHES))
 
-    # --- good ends ---------------------------------------------------------------------------------------------------
+    # --- successes ----------------------------------------------------------------------------------------------------
 
     def record_success(self, fingerprint: Fingerprint, now: float) -> ClearResult | None:
-        """Note that a run came to a good end; return what that clears its request of, None where there is nothing."""
+        """Record a success; return what it clears the request of, or None if nothing was held against it."""
         _put_newest(self._successes, fingerprint, now, MAX_SUCCESSES)
         was_held = fingerprint in self._attributed or fingerprint in self._stored
         crash_count = self.crashes.count(fingerprint) if len(self.crashes) else 0
@@ -155,7 +155,7 @@
         return ClearResult(was_held, crash_count)
 
     def list_clear_updates(self, update: CrashUpdate, now: float) -> list[ClearUpdate]:
-        """Return which requests that had a part in an end came to a good end here before it."""
+        """Return updates on the requests of a crash that succeeded before it."""
         at = now - update.age
         cleared = []
         for run in update.runs:
@@ -165,11 +165,11 @@
         return cleared
 
     def succeeded_recently(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Tell whether a run of a request came to a good end here of late."""
+        """Return whether a request succeeded here within the last ``SUCCESS_GRACE_S`` seconds."""
         return now - self._successes.get(fingerprint, float("-inf")) < SUCCESS_GRACE_S
 
     def clear(self, fingerprint: Fingerprint, at: float) -> bool:
-        """Void what is held against a request up to a time; return whether there was anything."""
+        """Remove crashes and stored quarantine of a request up to a time; return whether there were any."""
         if self._cleared.get(fingerprint, float("-inf")) >= at:
             return False
         _put_newest(self._cleared, fingerprint, at, MAX_CLEARED)
@@ -182,10 +182,10 @@
             self._attributed.pop(fingerprint, None)
         return had_stored or had_crashes
 
-    # --- what the store keeps ----------------------------------------------------------------------------------------
+    # --- stored quarantines -------------------------------------------------------------------------------------------
 
     def apply_stored_hold(self, update: HoldUpdate, now: float) -> bool:
-        """Take in that the store keeps a request's quarantine; return whether that is news."""
+        """Record that the store contains a request's quarantine; return whether that is new."""
         fingerprint = update.fingerprint
         stored_at = now - max(0.0, update.age)
         known = self._stored.get(fingerprint)
@@ -202,7 +202,7 @@
         return True
 
     def mark_missing(self, stored: Collection[Fingerprint], now: float) -> list[Fingerprint]:
-        """Take in that a restored store keeps these alone; return the requests in quarantine that it lacks."""
+        """Return the quarantined requests that a restored store lacks, and mark them as not stored."""
         held = [one for one in {*self._attributed, *self._stored} if self.get_hold(one, now) is not None]
         missing = [one for one in held if one not in stored]
         for fingerprint in missing:
@@ -211,15 +211,15 @@
         return missing
 
     def list_cleared_among(self, stored: Collection[Fingerprint], now: float) -> list[Fingerprint]:
-        """Return the requests that the store keeps though they were cleared, and not held again since."""
+        """Return the stored requests that were cleared and are not in quarantine."""
         return [one for one in stored if one in self._cleared and self.get_hold(one, now) is None]
 
     def retain_stored(self, stored: Collection[Fingerprint]) -> None:
-        """Take in that the store keeps the quarantine of no other requests."""
+        """Remove the stored quarantines that the store no longer contains."""
         self._stored = {found: told for found, told in self._stored.items() if found in stored}
 
     def list_stored(self, now: float) -> list[HoldUpdate]:
-        """Return what the store keeps, as peers are told."""
+        """Return the updates on stored quarantines that peers are sent."""
         return [
             HoldUpdate(found, round(now - told.stored_at, 1), round(told.until - now, 1))
             for found, told in self._stored.items()
