--- a/src/beamhatch/relay/engines/__init__.py
+++ b/src/beamhatch/relay/engines/__init__.py
@@ -1,1 +1,1 @@
-"""How many engines play which part, and the one VM that orders it."""
+"""Assignment of engines to the prefill and decode phases, ordered by an elected VM."""
--- a/src/beamhatch/relay/engines/balancing.py
+++ b/src/beamhatch/relay/engines/balancing.py
@@ -1,7 +1,7 @@
-"""Decide when engines change their part between prefill and decode.
+"""Decide when engines change between prefill and decode.
 
-A change takes an engine away for seconds. So it is weighed by what callers would gain of it within some time: the
-prompt tokens that are served beyond those of today's split, less those that are not served while the engine is away.
+An engine serves nothing while it changes. A change is rated by the prompt tokens served within ``HORIZON_S`` beyond
+those of the current split, less those not served while the engine is away.
 """
 
 from __future__ import annotations
@@ -19,47 +19,43 @@
     from beamhatch.relay.model import UpstreamId
 
 HORIZON_S = 25.0
-"""Seconds for which a split is taken to stay: some times what a change takes."""
+"""Time for which a new split is assumed to last, in seconds."""
 
 DEMAND_FACTOR = 3.0
-"""Times the demand of late that is to be expected within the horizon.
-
-The users' bursts are of 1.6 to 2.3 times; with 3 engines change in calm times, when nobody misses them (trials).
-"""
+"""Factor by which the demand may rise within the horizon."""
 
 MIN_GAIN_SHARE = 0.01
-"""Share of the expected prompt tokens that a change has to bring."""
+"""Minimum gain of a change, as a share of the expected prompt tokens."""
 
 MAX_CHANGING_SHARE = 0.15
-"""Share of a service's engines that are away for a change at a time: what is learned of them is never exact.
-
-Up to it, engines follow a first one at once. Where one order was given every 9 s instead, 45 engines had their best
-split 16 s late; a day's worth went from 0.392 to 0.515 and from 0.430 to 0.452 (two days, one run each).
-"""
+"""Maximum share of a service's engines that change at a time."""
 
 REVERSAL_DELAY_S = 9.0
-"""Seconds behind a change to one part before one to the other: the first has to show before there is evidence."""
+"""Minimum time between two changes in opposite directions, in seconds.
+
+The demand must first reflect the earlier change.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceDemand:
-    """What all VMs together ask of a service's engines, as far as it is known."""
+    """Demand of all VMs on a service's engines."""
 
     prompt_rate: float
-    """Prompt tokens a second of late."""
+    """Prompt tokens per second."""
     wait_rate: float
-    """Requests a second that find decode memory full."""
+    """Requests per second that find decode memory full."""
     parameters: CapacityParameters
 
     @property
     def expected_rate(self) -> float:
-        """Return the prompt tokens a second that are to be expected within the horizon."""
+        """Return the prompt tokens per second to plan for."""
         return DEMAND_FACTOR * self.prompt_rate
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """How many engines play each part."""
+    """Number of engines in each phase."""
 
     prefills: int
     decodes: int
@@ -70,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseChange:
-    """Have an engine play another part."""
+    """A change of an engine to another phase."""
 
     upstream: Upstream
     phase: Phase
@@ -78,37 +74,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeEvaluation:
-    """What the best change of a split would bring."""
+    """The best change of a split, and what it gains."""
 
     prefills: int
     decodes: int
     phase: Phase
     count: int = 0
-    """Engines that would change to the part, 0 where the split is the best already."""
+    """Number of engines to change; 0 if the split is already the best."""
     gain: float = 0.0
-    """Prompt tokens that would be served more within the horizon."""
+    """Additional prompt tokens served within the horizon."""
     min_gain: float = 0.0
-    """Prompt tokens that a change has to bring at the least."""
+    """Minimum gain for which the change is made."""
 
     @property
     def is_due(self) -> bool:
-        """Tell whether the change is worth making."""
+        """Return whether the change is to be made."""
         return self.count > 0 and self.gain >= self.min_gain
 
 
 def evaluate_changes(
     engines: Sequence[Upstream], demand: ServiceDemand, switch_time: float, changing: Collection[UpstreamId] = ()
 ) -> ChangeEvaluation:
-    """Return what the best change would bring.
+    """Return the best change of a service's split.
 
-    :param engines: all that are there, those that are changing with the part that they will play
-    :param switch_time: seconds that an idle engine needs to change its part
-    :param changing: the engines that are away for a change
+    :param engines: all listed engines; those that are changing have their new phase
+    :param switch_time: seconds that an idle engine needs to change its phase
+    :param changing: the engines that are changing
     """
     split = _count_split(engines)
     away = _count_split([one for one in engines if one.id in changing])
     if not demand.prompt_rate or len(engines) < 2:
-        # At the start engines are listed one by one: a part may just not be there yet.
+        # Engines are listed one by one at startup, so a phase may not have been listed yet.
         return ChangeEvaluation(split.prefills, split.decodes, Phase.DECODE)
     best_prefills = find_best_split(len(engines), demand.parameters)
     phase = Phase.DECODE if best_prefills < split.prefills else Phase.PREFILL
@@ -125,7 +121,7 @@
 
 
 def _count_available_changes(split: Split, changing: int) -> int:
-    """Return how many more engines may be away: one in any case where a part has none, and none is on the way."""
+    """Return how many more engines may change; at least one if a phase has no engine."""
     engines = split.prefills + split.decodes
     is_phase_missing = not split.prefills or not split.decodes
     return max(1 if is_phase_missing else 0, max(1, int(MAX_CHANGING_SHARE * engines)) - changing)
@@ -134,9 +130,9 @@
 def choose_changes(
     engines: Sequence[Upstream], evaluation: ChangeEvaluation, movable: Collection[UpstreamId]
 ) -> list[PhaseChange]:
-    """Return the changes that are due, all in one direction.
+    """Return the changes to make, all in one direction.
 
-    :param movable: the engines that can be had to change now
+    :param movable: the engines that can change now
     """
     if not evaluation.is_due:
         return []
@@ -150,10 +146,10 @@
 def predict_gain(
     split: Split, count: int, phase: Phase, demand: ServiceDemand, switch_time: float, away: Split = NONE_AWAY
 ) -> float:
-    """Return the prompt tokens that are served more within the horizon where some engines change to a part.
+    """Return the additional prompt tokens served within the horizon if some engines change.
 
-    :param split: today's engines, those that are away counted as what they will be
-    :param away: the engines among these that serve nobody until their own change is done
+    :param split: the current engines; those that are changing count for their new phase
+    :param away: the engines of the split that are changing
     """
     parameters = demand.parameters
     to_decode = count if phase is Phase.DECODE else 0
@@ -173,7 +169,7 @@
 def _choose_engines(
     engines: Sequence[Upstream], others: Sequence[Upstream], movable: Collection[UpstreamId], count: int, phase: Phase
 ) -> list[PhaseChange]:
-    """Return changes of engines in halls that keep one of their part, and have few of the other."""
+    """Return changes of engines, from halls with the most of their phase relative to the other first."""
     own_phase = Counter(one.hall for one in engines)
     other_phase = Counter(one.hall for one in others)
     candidates = [one for one in engines if one.id in movable]
--- a/src/beamhatch/relay/engines/demand_estimation.py
+++ b/src/beamhatch/relay/engines/demand_estimation.py
@@ -1,8 +1,7 @@
-"""How much the streams of one VM ask of the engines: prompts to read, waits for decode memory, and its use.
+"""Estimate the demand of one VM's streams: prompt rate, waits for decode memory, and residence in it.
 
-Means over streams that have ended would be of the short ones as long as the long ones run. So a stream that runs counts
-as long as those took in the mean that ran on beyond its age. Before enough have ended, their time follows from the
-tokens that callers expect and from the pace at which tokens come, which shows within a second.
+The mean residence includes running streams, each with the mean of the durations known to exceed its age, as ended
+streams alone are biased to short ones. Until streams have ended, it is predicted from expected tokens and token rate.
 """
 
 from __future__ import annotations
@@ -16,68 +15,68 @@
     from collections.abc import Sequence
 
 RATE_WINDOW_S = 4.0
-"""Seconds over which rates are counted: some streams' time."""
+"""Window of the rates, in seconds."""
 
 MIN_RATE_WINDOW_S = 2.0
-"""Seconds over which rates are counted at the least where this VM has just begun to serve."""
+"""Minimum window of the prompt rate of a VM that has just started, in seconds."""
 
 DECAY_TIME_S = 20.0
-"""Seconds after which what was seen counts 1/e: long enough for a mean of a VM that gets a stream a second."""
+"""Time constant of the exponential decay of token sums, in seconds."""
 
 MIN_PROMPT_WEIGHT = 0.05
-"""Weight of one more prompt in the running mean: the mean is of the last 20 or so."""
+"""Minimum weight of a new prompt in the running means."""
 
 PRIOR_TOKEN_TIME_S = 0.005
-"""Seconds of a token before any was seen; by the measured deployments' sheets a step takes 3.4 to 5.1 ms and more."""
+"""Assumed seconds per token before any were recorded."""
 
 PRIOR_TOKEN_COUNT = 200.0
-"""Tokens for which that prior counts: those of a few events."""
+"""Weight of ``PRIOR_TOKEN_TIME_S``, in tokens."""
 
 PRIOR_FIRST_EVENT_S = 0.3
-"""Seconds from the reservation of decode memory to a first event before any was seen, as long as a prompt is read."""
+"""Assumed seconds from the reservation of decode memory to the first event."""
 
 FIRST_EVENT_WEIGHT = 0.1
-"""Weight of one more such time in the running mean: the mean is of the last ten or so."""
+"""Weight of a new first-event time in the running mean."""
 
 PRIOR_PROMPT_TOKENS = 3000.0
-"""Tokens of a prompt before any was seen, between those of the measured deployments; the first one replaces it."""
+"""Assumed tokens of a prompt; replaced by the first one."""
 
 PRIOR_ANSWER_TOKENS = 600.0
-"""Tokens before any were seen, in the order of what the measured deployments' streams have; soon outweighed."""
+"""Assumed tokens of an answer; replaced by the first expectation."""
 
 PRIOR_STREAM_COUNT = 3
-"""Ended streams for which the time counts that follows from expected tokens and their pace."""
+"""Weight of the predicted residence, in ended streams."""
 
 MAX_ENDED_STREAMS = 24
-"""Ended streams of late that are looked at: some seconds of a VM's share of a busy service."""
+"""Maximum number of ended streams kept."""
 
 
 @dataclass(slots=True)
 class DemandEstimator:
-    """Sliding sums of one service."""
+    """Estimator of the demand of one service."""
 
     mean_prompt_tokens: float = PRIOR_PROMPT_TOKENS
-    """Running mean of the tokens of a prompt."""
+    """Running mean of the tokens per prompt."""
 
     _prompts: deque[tuple[float, int]] = field(default_factory=deque)
     _waits: deque[float] = field(default_factory=deque)
     _prompt_count: int = 0
     _first_prompt_at: float | None = None
-    """When the first prompt came, in monotonic seconds."""
+    """Time of the first prompt, on the monotonic clock."""
     mean_answer_tokens: float = PRIOR_ANSWER_TOKENS
-    """Running mean of the tokens that are expected of an answer."""
+    """Running mean of the expected tokens per answer."""
     _stream_starts: list[float] = field(default_factory=list)
-    """When each stream that holds decode memory began, in monotonic seconds."""
+    """Start times of the streams that hold decode memory, on the monotonic clock."""
     _ended_durations: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_ENDED_STREAMS))
-    """Seconds for which those held it that ended of late."""
+    """Seconds for which the last ended streams held decode memory."""
     _mean_first_event_s: float = PRIOR_FIRST_EVENT_S
     _tokens: float = 0.0
     _token_seconds: float = 0.0
-    """Sums over the events of streams behind each one's first, of which old parts fade."""
+    """Decayed sums over the events of streams after the first of each."""
     _decayed_at: float = 0.0
 
     def record_prompt(self, tokens: int, expected_answer: float, now: float) -> None:
-        """Count a request by the tokens of its prompt, and those that are expected of its answer."""
+        """Record a request by the tokens of its prompt and the expected tokens of its answer."""
         if self._first_prompt_at is None:
             self._first_prompt_at = now
         self._prompts.append((now, tokens))
@@ -87,66 +86,66 @@
         self.mean_answer_tokens += weight * (expected_answer - self.mean_answer_tokens)
 
     def discard_last_prompt(self, tokens: int) -> None:
-        """Count the last prompt no more where it was of so many tokens: it was refused, and nobody reads it.
+        """Remove the last prompt from the rate if it has this number of tokens, as the request was refused.
 
-        Prompts that decode engines had no room for would else have these become prefill engines.
+        Prompts refused for lack of decode memory would otherwise cause changes to prefill engines.
         """
         if self._prompts and self._prompts[-1][1] == tokens:
             self._prompts.pop()
 
     def begin_stream(self, now: float) -> None:
-        """Count a stream that has decode memory from now on."""
+        """Record that a stream reserved decode memory."""
         self._stream_starts.append(now)
 
     def record_first_event(self, seconds: float) -> None:
-        """Take in how long a stream had decode memory before its first event."""
+        """Record the seconds from a stream's reservation of decode memory to its first event."""
         self._mean_first_event_s += FIRST_EVENT_WEIGHT * (seconds - self._mean_first_event_s)
 
     def record_tokens(self, tokens: int, seconds: float, now: float) -> None:
-        """Take in tokens that a stream made in some seconds."""
+        """Record tokens that a stream generated, and the seconds these took."""
         self._decay(now)
         self._tokens += tokens
         self._token_seconds += seconds
 
     def end_stream(self, started_at: float, now: float) -> None:
-        """Count a stream that gave its decode memory back, which it had since some time."""
+        """Record that a stream that started at some time released its decode memory."""
         self._stream_starts.remove(started_at)
         self._ended_durations.append(now - started_at)
 
     def estimate_residence(self, now: float) -> float:
-        """Return the seconds for which a stream holds decode memory in the mean."""
+        """Return the mean seconds for which a stream holds decode memory."""
         known = [*self._ended_durations, *[self._predict_residence()] * PRIOR_STREAM_COUNT]
         running = [_predict_duration(now - began, known) for began in self._stream_starts]
         return (sum(known) + sum(running)) / (len(known) + len(running))
 
     def _predict_residence(self) -> float:
-        """Return the seconds for which a stream should hold decode memory, by expected tokens and their pace."""
+        """Return the residence predicted from expected tokens and the token rate."""
         token_seconds = self._token_seconds + PRIOR_TOKEN_COUNT * PRIOR_TOKEN_TIME_S
         return self._mean_first_event_s + self.mean_answer_tokens * token_seconds / (self._tokens + PRIOR_TOKEN_COUNT)
 
     def record_wait(self, now: float) -> None:
-        """Count a request that found decode memory full."""
+        """Record a request that found decode memory full."""
         self._waits.append(now)
 
     def compute_prompt_rate(self, now: float) -> float:
-        """Return the prompt tokens a second of late."""
+        """Return the prompt tokens per second within the window."""
         while self._prompts and self._prompts[0][0] < now - RATE_WINDOW_S:
             self._prompts.popleft()
         return sum(tokens for _, tokens in self._prompts) / self._get_window(now)
 
     def _get_window(self, now: float) -> float:
-        """Return the seconds over which prompts were counted: fewer as long as this VM has served for a short time."""
+        """Return the window of the prompt rate in seconds, shorter while this VM has just started."""
         served = RATE_WINDOW_S if self._first_prompt_at is None else now - self._first_prompt_at
         return min(RATE_WINDOW_S, max(MIN_RATE_WINDOW_S, served))
 
     def compute_wait_rate(self, now: float) -> float:
-        """Return the requests a second that found decode memory full of late."""
+        """Return the requests per second that found decode memory full within the window."""
         while self._waits and self._waits[0] < now - RATE_WINDOW_S:
             self._waits.popleft()
         return len(self._waits) / RATE_WINDOW_S
 
     def _decay(self, now: float) -> None:
-        """Let what is older count less."""
+        """Decay the token sums by the time since the last call."""
         elapsed, self._decayed_at = now - self._decayed_at, now
         factor = math.exp(-elapsed / DECAY_TIME_S)
         self._tokens *= factor
@@ -154,9 +153,9 @@
 
 
 def _predict_duration(age: float, durations: Sequence[float]) -> float:
-    """Return the seconds that a stream of some age will have taken in the mean once it has ended.
+    """Return the mean total duration of streams that have run for some time.
 
-    :param known: the seconds that others took
+    :param durations: the seconds that other streams took
     """
     longer = [seconds for seconds in durations if seconds > age]
     return sum(longer) / len(longer) if longer else age
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -1,4 +1,4 @@
-"""What the streams of all VMs together ask of the engines, from what the VMs tell each other."""
+"""Demand of all VMs on the engines, from the reports that VMs send each other."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class FleetDemand(PeerWords[Mapping[str, DemandReport]]):
-    """The newest report of each VM that this one has a connection to, by service."""
+    """The latest demand report of each connected VM, by service."""
 
     __slots__ = ()
 
     def compute_service_demand(
         self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float
     ) -> ServiceDemand:
-        """Return what all VMs ask of a service; those that were not heard are taken to ask as much as the others.
+        """Return the demand of all VMs on a service, scaled up for VMs without a report.
 
-        :param own: what this VM's own streams ask
-        :param vms: how many VMs there are
+        :param own: this VM's own report
+        :param vms: number of VMs
         """
         reports = [own, *(told.get(service, DemandReport()) for told in self.list_values(now))]
         scale = max(1.0, vms / len(reports))
@@ -39,7 +39,7 @@
 
 
 def _compute_parameters(engine: Engine, reports: Sequence[DemandReport]) -> CapacityParameters:
-    """Return what is known of the engines and of streams: means by traffic, and what most VMs found of the engines."""
+    """Return the capacity parameters: means weighted by prompt rate, and medians of the prefill rates."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
     if not total:
--- a/src/beamhatch/relay/engines/leadership.py
+++ b/src/beamhatch/relay/engines/leadership.py
@@ -1,10 +1,9 @@
-"""One VM at a time gives orders: the holder of a lease in the store.
+"""Leader election: the VM that holds a lease in the store may give orders.
 
-The lease's time is counted from before each renewal was sent, on the monotonic clock. A store may also take a claim
-away early, and renew the lease all the same. So each order is first written down in the store on the condition that the
-claim stands, and sent at once or not at all. A claim holds only if no order was written down since the new holder saw
-the last one; that holder gives no order before a lease and the platform's bound on turns have passed behind it. Each
-order carries the revision of the claim, which rises from holder to holder.
+The lease is counted from before each renewal was sent, on the monotonic clock. The store may drop a claim early and
+still renew its lease, so each order is recorded in the store on condition that the claim stands, and sent at once or
+not at all. A claim fails if an order was recorded that the claimant has not seen; a new leader waits for a lease and
+the handover time after the last one. Orders carry the claim's revision as a fencing token.
 """
 
 from __future__ import annotations
@@ -26,100 +25,97 @@
     from beamhatch.relay.model import Fingerprint
 
 LEASE_TTL_S = 3.0
-"""Seconds for which the lease of a leader runs."""
+"""Duration of a leader's lease, in seconds."""
 
 RENEW_INTERVAL_S = 0.8
-"""Seconds between two renewals: three fit into a lease, so that one may be lost."""
+"""Interval of renewals, in seconds; short enough for one to be lost."""
 
 RENEW_TIMEOUT_S = 0.7
-"""Seconds after which a renewal without an answer is made again."""
+"""Timeout of a renewal, in seconds."""
 
 POLL_INTERVAL_S = 6.0
-"""Seconds between two looks of a VM that holds nothing and is no candidate, times how many go before it."""
+"""Interval in which VMs that are no candidates read the leadership, multiplied by their rank."""
 
 FIRST_POLL_DELAY_S = 1.0, 1.6
-"""Seconds from the start to the first look of a candidate, from and to: by then a VM knows who goes before it."""
+"""Range of the delay from start to the first read, in seconds; ranks are known by then."""
 
 WATCH_TIMEOUT_S = 20.0
-"""Seconds for which one watch of the lease is held: below the platform's bound of 30."""
+"""Timeout of a watch of the lease, in seconds; below the platform's limit of 30."""
 
 RETRY_DELAY_S = 1.0
-"""Seconds behind a call that the store did not answer."""
+"""Delay after a call that the store did not answer, in seconds."""
 
 CANDIDATE_STAGGER_S = 0.15
-"""Seconds by which each candidate lets those before it go first."""
+"""Delay of a candidate per rank, in seconds, so that lower ranks claim first."""
 
 ORDER_MARGIN_S = 1.0
-"""Seconds of the lease that have to be left for an order."""
+"""Minimum time left on the lease for an order, in seconds."""
 
 HANDOVER_MARGIN_S = 0.5
-"""Seconds that a new leader waits beyond the turn: clocks differ, and orders take time to arrive."""
+"""Additional time that a new leader waits, for clock drift and orders in transit, in seconds."""
 
 CANDIDATE_COUNT = 3
-"""VMs that watch the lease, so that one takes over at once; the others look the less often the more go before them.
-
-So the calls of a fleet grow with the logarithm of its size, and somebody takes over also where the first ones are gone.
-"""
+"""Number of VMs that watch the lease; others poll it at an interval that grows with their rank."""
 
 
 @dataclass(slots=True)
 class LastOrder:
-    """What this VM has seen of the orders that were written down."""
+    """The last recorded order that this VM has seen."""
 
     revision: int = -1
     first_seen_at: float = -1e9
-    """When this VM first saw it, so it is no younger."""
+    """Time when this VM first saw it, on the monotonic clock; it was given no later."""
 
     def record(self, revision: int, now: float, *, may_be_lost: bool = False) -> None:
-        """Take in the revision of the last order, 0 where the store has none.
+        """Record the revision of the last order, 0 if the store has none.
 
-        :param may_be_lost: whether the store may have lost one in a restore; it counts as given now
+        :param may_be_lost: whether the store may have lost an order in a restore; it then counts as given now
         """
         if may_be_lost or revision != self.revision:
             self.revision = revision
             self.first_seen_at = now if revision or may_be_lost else -1e9
 
     def compute_handover(self, handover_time: float) -> float:
-        """Return when another VM may give orders, if it claimed the lease with nothing written down behind this."""
+        """Return when another VM may give orders, if none was recorded after this one."""
         return self.first_seen_at + LEASE_TTL_S + handover_time + HANDOVER_MARGIN_S
 
 
 @dataclass(slots=True)
 class LeaseState:
-    """What this VM believes of its own lease."""
+    """The lease of this VM, as far as it knows."""
 
     handover_time: float = 3.0
-    """Seconds that have to pass between the orders of two holders."""
+    """Minimum time between orders of two leaders, in seconds."""
     token: int = 0
     _valid_until: float = -1e9
     _may_order_from: float = 1e18
 
     def begin(self, token: int, sent_at: float, last_order: LastOrder) -> None:
-        """Take in that the lease was claimed, by a call that was sent at some time."""
+        """Record a claim of the lease by a call sent at some time."""
         self.token = token
         self._valid_until = sent_at + LEASE_TTL_S
         self._may_order_from = last_order.compute_handover(self.handover_time)
 
     def renew(self, sent_at: float) -> None:
-        """Take in that the lease was renewed."""
+        """Record a renewal by a call sent at some time."""
         self._valid_until = max(self._valid_until, sent_at + LEASE_TTL_S)
 
     def end(self) -> None:
-        """Take in that the lease is over."""
+        """Record that the lease ended."""
         self._valid_until = -1e9
         self._may_order_from = 1e18
 
     def holds(self, now: float) -> bool:
-        """Tell whether the lease lasts."""
+        """Return whether the lease is held."""
         return now < self._valid_until
 
     def may_order(self, now: float) -> bool:
-        """Tell whether an order may be given now."""
+        """Return whether an order may be given now."""
         return self._may_order_from <= now < self._valid_until - ORDER_MARGIN_S
 
 
 class Leadership:
-    """Stands for the lease, and keeps it."""
+    """Candidate for and holder of the leadership lease."""
 
     def __init__(self, core: Core, store: Store, vm: str, get_rank: Callable[[], int]) -> None:
         self.core = core
@@ -130,30 +126,30 @@
         self._get_rank = get_rank
         self._last_order = LastOrder()
         self.on_last_order: Callable[[str], None] = lambda _: None
-        """Called at the start with the last order that any VM wrote down."""
+        """Called once after start with the last order that any VM recorded."""
         self.on_store_recovered: Callable[[], None] = lambda: None
         """Called when the store answers again."""
         self.on_quarantines: Callable[[Sequence[Fingerprint]], None] = lambda _: None
-        """Called with the requests whose quarantine the store keeps, each time it is read."""
+        """Called with the requests in stored quarantine, each time they are read."""
         self.on_quarantines_restored: Callable[[Sequence[Fingerprint], bool], None] = lambda kept, first: None
-        """Called in place of it after a restore, also with whether this VM is the first in rank."""
+        """Called instead after a restore, also with whether this VM has rank 0."""
         self._store_lost = False
         self._running: defer.Deferred[None] | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Start the election."""
         self._running = defer.ensureDeferred(self._run())
         self._running.addErrback(self._handle_exit)
 
     def stop(self) -> None:
-        """End; the lease runs out by itself."""
+        """Stop; the lease is left to expire."""
         running, self._running = self._running, None
         self.lease.end()
         if running is not None:
             running.cancel()
 
     async def confirm(self, order: str) -> bool:
-        """Write an order down if the claim still stands; return whether it may be sent now."""
+        """Record an order if the claim still stands; return whether it may be sent now."""
         claim = self.claim
         sent_at = self.core.clock.now()
         if claim is None or not self.lease.may_order(sent_at):
@@ -188,11 +184,11 @@
                 self.on_last_order(state.order)
             if not state.taken and await self._claim_and_renew(state):
                 await sleep(self.core.clock, RETRY_DELAY_S * random.uniform(0.7, 1.3))
-                continue  # the store may be away, so it is read from: a watch could wait for long
+                continue  # read instead of watch: the store may be unavailable, and a watch may block for long
             await self._await_change(state)
 
     async def _await_change(self, state: LeadershipNews) -> None:
-        """Wait until it is worth looking again."""
+        """Wait until the leadership should be read again."""
         rank = self._get_rank()
         if rank >= CANDIDATE_COUNT:
             await self._sleep_by_rank()
@@ -202,11 +198,11 @@
         await sleep(self.core.clock, delay * random.uniform(0.7, 1.3))
 
     async def _sleep_by_rank(self) -> None:
-        """Wait for the longer the more VMs go before this one."""
+        """Wait for a time proportional to this VM's rank."""
         await sleep(self.core.clock, POLL_INTERVAL_S * self._get_rank() * random.uniform(0.7, 1.3))
 
     async def _claim_and_renew(self, state: LeadershipNews) -> bool:
-        """Claim the lease, and keep it for as long as possible; return whether this VM had it."""
+        """Claim the lease and renew it until it is lost; return whether the claim succeeded."""
         sent_at = self.core.clock.now()
         claim = await self._store.claim_leadership(self._vm, LEASE_TTL_S, state)
         if not isinstance(claim, Claimed):
@@ -229,7 +225,7 @@
         return True
 
     def _track_store(self, answer: object) -> None:
-        """Notice when the store is back: these calls are made often, also while nothing changes."""
+        """Call ``on_store_recovered`` at the first answer after a failed call."""
         lost = isinstance(answer, StoreLost)
         if self._store_lost and not lost:
             self.on_store_recovered()
--- a/src/beamhatch/relay/engines/phase_changes.py
+++ b/src/beamhatch/relay/engines/phase_changes.py
@@ -1,8 +1,7 @@
-"""Which engines were ordered to play another part and are not done yet.
+"""Engines that were ordered to change their phase and have not finished.
 
-Such an engine lets its runs end, turns new requests away, and may set memory aside for them all the same. So all VMs
-pass it over until its entry shows the new part. The VM that gave the order tells its peers, and these tell theirs. An
-order that was not answered may be carried out late, or never: its engine is used until it turns a request away.
+Such an engine rejects new requests, so all VMs exclude it until its entry shows the new phase. Changes are gossiped. An
+order without an answer is unconfirmed: its engine is used until it rejects a request.
 """
 
 from __future__ import annotations
@@ -20,21 +19,21 @@
     from beamhatch.relay.model import Upstream
 
 MAX_CHANGE_S = 20.0
-"""Seconds after which an engine is used again though its entry never showed the new part."""
+"""Maximum duration of a change; an engine is used again after it in any case."""
 
 MIN_REMAINING_S = 0.5
-"""Seconds below which a change that a peer tells of is not taken in: it is over for whoever told it first."""
+"""Updates with less time remaining than this are ignored."""
 
 
 class PhaseChangeUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What VMs tell each other of an engine that was ordered to play another part."""
+    """An engine that was ordered to change its phase, as sent to peers."""
 
     phase: Phase
-    """The new part."""
+    """The new phase."""
     remaining_s: float
-    """How long it may still take."""
+    """Maximum time until the change ends, in seconds."""
     confirmed: bool
-    """False where the order was not answered."""
+    """False if the order was not answered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,12 +45,12 @@
 
 @dataclass(slots=True)
 class PendingPhaseChanges:
-    """The changes under way, by engine."""
+    """The pending phase changes, by engine."""
 
     _by_upstream: dict[UpstreamId, _PendingChange] = field(default_factory=dict)
 
     def apply_update(self, upstream: UpstreamId, update: PhaseChangeUpdate, now: float) -> bool:
-        """Take in that an engine changes its part, or may; return whether that is news."""
+        """Record that an engine is, or may be, changing; return whether that is new."""
         known = self._get_pending(upstream, now)
         if update.remaining_s < MIN_REMAINING_S or (known is not None and (known.confirmed or not update.confirmed)):
             return False
@@ -61,7 +60,7 @@
         return True
 
     def confirm(self, upstream: UpstreamId, now: float) -> bool:
-        """Note that an engine turned a request away; return whether that makes its change certain."""
+        """Record that an engine rejected a request; return whether that confirms a pending change."""
         known = self._get_pending(upstream, now)
         if known is None or known.confirmed:
             return False
@@ -69,13 +68,13 @@
         return True
 
     def record_entry(self, upstream: UpstreamId, phase: Phase | None) -> None:
-        """Note what the entry of an engine shows: its part, or None where it is gone."""
+        """Record the phase in an engine's entry, or None if the entry was removed, and end a finished change."""
         change = self._by_upstream.get(upstream)
         if change is not None and phase in (None, change.phase):
             del self._by_upstream[upstream]
 
     def list_updates(self, now: float) -> dict[str, PhaseChangeUpdate]:
-        """Return what peers are told, by engine."""
+        """Return the updates that peers are sent, by engine."""
         return {
             str(upstream): PhaseChangeUpdate(change.phase, round(change.until - now, 2), change.confirmed)
             for upstream, change in self._by_upstream.items()
@@ -83,13 +82,13 @@
         }
 
     def exclude_changing(self, upstreams: list[Upstream], now: float) -> list[Upstream]:
-        """Return those that are not certain to be changing."""
+        """Return the upstreams without a confirmed change."""
         if not self._by_upstream:
             return upstreams
         return [one for one in upstreams if not self._is_confirmed(one.id, now)]
 
     def with_expected_phases(self, upstreams: Iterable[Upstream], now: float) -> list[Upstream]:
-        """Return all of them, those that are changing, or may be, with the part that they will play."""
+        """Return the upstreams, with the new phase for those that are, or may be, changing."""
         expected = []
         for one in upstreams:
             change = self._get_pending(one.id, now)
@@ -97,7 +96,7 @@
         return expected
 
     def is_pending(self, upstream: UpstreamId, now: float) -> bool:
-        """Tell whether an engine is changing, or may be."""
+        """Return whether an engine is, or may be, changing."""
         return self._get_pending(upstream, now) is not None
 
     def _is_confirmed(self, upstream: UpstreamId, now: float) -> bool:
--- a/src/beamhatch/relay/engines/phase_controller.py
+++ b/src/beamhatch/relay/engines/phase_controller.py
@@ -1,4 +1,4 @@
-"""Have engines change their part, from the one VM that leads."""
+"""Order engines to change their phase, from the VM that is the leader."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
     from beamhatch.relay.model import Service, ServiceName
 
 EVALUATION_INTERVAL_S = 0.5
-"""Seconds between two looks at the demand: as often as peers tell of it."""
+"""Interval of evaluations, in seconds; equal to that of demand reports."""
 
 LOG_INTERVAL_S = 5.0
-"""Seconds between two lines on why nothing is ordered."""
+"""Minimum interval of log lines on an unchanged decision, in seconds."""
 
 ORDER_TIMEOUT_S = 0.8
-"""Seconds for the answer to an order: many times what an engine takes that is well."""
+"""Timeout of an order, in seconds."""
 
 RESUMED_ORDER_TTL_S = 10.0
-"""Seconds for which an order from before the start of this VM is thought to be under way."""
+"""Time for which an order from before the start of this VM counts as pending, in seconds."""
 
 STATUS_ACCEPTED = 202
-"""The status of an engine that begins to change its part."""
+"""Status of an engine that starts to change its phase."""
 
 
 @dataclass(frozen=True, slots=True)
 class _LoggedDecision:
-    """What was last written to the log on a service."""
+    """The last decision logged for a service."""
 
     decision: tuple[object, ...]
     at: float
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _LastOrdered:
-    """The part that engines of a service were ordered to play last."""
+    """The phase that engines of a service were last ordered to change to."""
 
     phase: Phase
     at: float
 
 
 class PhaseController:
-    """Looks at the demand, and orders what is due."""
+    """Controller of the engines' phases."""
 
     def __init__(
         self, core: Core, leadership: Leadership, vm: str, compute_demand: Callable[[Service], ServiceDemand]
@@ -69,24 +69,24 @@
         self._vm = vm
         self._compute_demand = compute_demand
         self._last_ordered: dict[ServiceName, _LastOrdered] = {}
-        """What this VM ordered last."""
+        """The last orders of this VM."""
         self._last_logged: dict[ServiceName, _LoggedDecision] = {}
         self._leaving_counts: dict[ServiceName, int] = {}
-        """How many engines of each service had said that they leave at the last look."""
+        """Number of departing engines of each service at the last evaluation."""
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the evaluations."""
         self._leadership.on_last_order = self._resume_order
         self.core.on_evacuation = self._handle_evacuation
         self.core.clock.call_later(EVALUATION_INTERVAL_S, self._evaluate_periodically)
 
     def _handle_evacuation(self) -> None:
-        """Look at once at the engines that are left, before their load arrives."""
-        self._last_ordered.clear()  # what was ordered was right for other engines
+        """Evaluate the remaining engines at once, before the load of an evacuated hall reaches them."""
+        self._last_ordered.clear()  # the last order applied to another set of engines
         self._evaluate_all()
 
     def _resume_order(self, order: str) -> None:
-        """Take in an order from before this VM started: its engine may still be changing."""
+        """Record an order from before the start of this VM, whose engines may still be changing."""
         resumed = parse_orders(order)
         if order and not resumed:
             self.core.journal.write("LEADER", "last order unreadable", order=order[:200])
@@ -114,7 +114,7 @@
         ]
         leaving = self.core.listing.count_left(service.name)
         if leaving > self._leaving_counts.get(service.name, 0):
-            self._last_ordered.pop(service.name, None)  # what was learned before an engine left holds no longer
+            self._last_ordered.pop(service.name, None)  # the last order applied to another set of engines
         self._leaving_counts[service.name] = leaving
         demand = self._compute_demand(service)
         assert service.engine is not None
@@ -129,14 +129,14 @@
             defer.ensureDeferred(self._order_all(changes, demand)).addErrback(self._log_failure)
 
     def _is_early_reversal(self, service: Service, phase: Phase, now: float) -> bool:
-        """Tell whether a change would undo one that had no time to show."""
+        """Return whether a change would reverse a recent one before its effect shows."""
         last = self._last_ordered.get(service.name)
         return last is not None and last.phase is not phase and now < last.at + REVERSAL_DELAY_S
 
     def _log_evaluation(
         self, service: Service, demand: ServiceDemand, evaluation: ChangeEvaluation, now: float
     ) -> None:
-        """Write what a decision rests on: one line where it changed, and else some seconds apart."""
+        """Log the evaluation if its decision changed or was not logged for some time."""
         current = _LoggedDecision((evaluation.prefills, evaluation.decodes, evaluation.phase, evaluation.is_due), now)
         last = self._last_logged.get(service.name)
         repeats = last is not None and last.decision == current.decision and now - last.at < LOG_INTERVAL_S
@@ -157,7 +157,7 @@
         )
 
     def _list_movable(self, service: Service, now: float) -> set[UpstreamId]:
-        """Return the engines that answer and play the part that they are listed with."""
+        """Return the engines that answer and are not changing."""
         return {
             one.id
             for one in self.core.list_usable(service.name)
@@ -172,7 +172,7 @@
     async def _order(self, change: PhaseChange, demand: ServiceDemand) -> None:
         upstream = change.upstream
         if self.core.eligibility.evacuations.is_emptied(upstream.hall):
-            return  # while the order was written down
+            return  # the hall was evacuated while the order was recorded
         token = self._leadership.lease.token
         phase = change.phase.value
         self.core.journal.write(
@@ -198,7 +198,7 @@
 
 
 def describe_demand(demand: ServiceDemand) -> dict[str, float]:
-    """Return what decides on orders, as it is written to the log."""
+    """Return the demand as log fields."""
     parameters = demand.parameters
     return {
         "prompt_rate": round(demand.prompt_rate),
@@ -212,12 +212,12 @@
 
 
 def format_orders(changes: Sequence[PhaseChange]) -> str:
-    """Return orders that are given together as they are written down in the store."""
+    """Return orders as recorded in the store."""
     return "\n".join(f"{change.upstream.id} {change.phase.value}" for change in changes)
 
 
 def parse_orders(text: str) -> list[tuple[UpstreamId, Phase]]:
-    """Return the engines and the parts of orders that were written down; none where they can't be read."""
+    """Return the engines and phases of recorded orders, none if they are malformed."""
     pairs = [line.partition(" ") for line in text.splitlines()]
     try:
         return [(UpstreamId(name), Phase(phase)) for name, _, phase in pairs]
--- a/src/beamhatch/relay/engines/throughput.py
+++ b/src/beamhatch/relay/engines/throughput.py
@@ -1,7 +1,7 @@
-"""How many prompt tokens a second a number of prefill and decode engines can take in, by what is known of them.
+"""Compute the prompt tokens per second that a number of prefill and decode engines can sustain.
 
-A stream holds decode memory from its reservation to its end. What the prefill engines can't read, decode engines read
-themselves; their streams stand still meanwhile, and so hold their memory for longer.
+A stream holds decode memory from its reservation to its end. Prompts beyond the capacity of the prefill engines are
+processed by decode engines, whose streams stall meanwhile and hold their memory for longer.
 """
 
 from __future__ import annotations
@@ -11,37 +11,37 @@
 from beamhatch.relay.choosing.pace import PRIOR_RATE, WHOLE_SHARE
 
 MAX_PREFILL_UTILIZATION = 0.9
-"""Share of a prefill engine's time that is counted on: above it prompts wait long behind each other."""
+"""Maximum share of a prefill engine's time to plan with; above it prompts queue for long."""
 
 BISECTION_STEPS = 18
-"""Halvings of the range in which the answer lies: to 1 part in 260,000."""
+"""Steps of the bisection for the capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityParameters:
-    """What engines of a service can do, and what a stream asks of them."""
+    """Capacity of a service's engines, and the needs of its streams."""
 
     kv_tokens: int
     """KV memory of one engine, in tokens."""
     prompt_tokens: float
-    """Tokens of a prompt in the mean."""
+    """Mean tokens per prompt."""
     answer_tokens: float
-    """Tokens of an answer in the mean."""
+    """Mean tokens per answer."""
     residence_s: float
-    """Seconds from the reservation of decode memory to the end of a stream in the mean."""
+    """Mean seconds from the reservation of decode memory to the end of a stream."""
     prefill_rate: float = PRIOR_RATE
-    """Prompt tokens a second that a prefill engine reads."""
+    """Prompt tokens per second of a prefill engine."""
     local_prefill_rate: float = WHOLE_SHARE * PRIOR_RATE
-    """Prompt tokens a second that a decode engine reads between the steps of its streams."""
+    """Prompt tokens per second that a decode engine processes between the steps of its streams."""
 
     @property
     def kv_seconds_per_prompt_token(self) -> float:
-        """Return for how long the memory of one prompt token is held, with the answer's part of the memory."""
+        """Return the KV memory held per prompt token, in token-seconds, including that of the answer."""
         return self.residence_s * (1 + self.answer_tokens / max(1.0, self.prompt_tokens))
 
 
 def compute_capacity(prefills: int, decodes: int, parameters: CapacityParameters) -> float:
-    """Return the prompt tokens a second that some engines can take in, 0 without a decode engine."""
+    """Return the prompt tokens per second that engines can sustain, 0 without a decode engine."""
     if decodes < 1:
         return 0.0
     low, high = 0.0, decodes * parameters.kv_tokens / parameters.kv_seconds_per_prompt_token
@@ -57,9 +57,9 @@
 
 
 def find_best_split(engines: int, parameters: CapacityParameters) -> int:
-    """Return how many of some engines should be prefill engines: at least one, and at least one should not.
+    """Return the number of prefill engines with the highest capacity, leaving at least one engine per phase.
 
-    The capacity rises with prefill engines up to the best number and falls behind it.
+    The capacity rises with the number of prefill engines up to the best one and falls after it.
     """
     low, high = 1, engines - 1
     while low < high:
