--- a/tests/relay/engines/__init__.py
+++ b/tests/relay/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of engines."""
+"""Tests of the engines package."""
--- a/tests/relay/engines/test_balancing.py
+++ b/tests/relay/engines/test_balancing.py
@@ -1,4 +1,4 @@
-"""When an engine changes its part."""
+"""Decisions on phase changes of engines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from beamhatch.relay.engines.throughput import CapacityParameters, find_best_split
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 
-FIGURES = CapacityParameters(
+PARAMETERS = CapacityParameters(
     kv_tokens=60_000,
     prompt_tokens=5000.0,
     answer_tokens=800.0,
@@ -25,8 +25,8 @@
     prefill_rate=52_000.0,
     local_prefill_rate=20_000.0,
 )
-SLOW_READERS = replace(FIGURES, prefill_rate=8_000.0, local_prefill_rate=3_000.0)
-SMALL_MEMORY = replace(FIGURES, kv_tokens=18_000)
+SLOW_PREFILL = replace(PARAMETERS, prefill_rate=8_000.0, local_prefill_rate=3_000.0)
+SMALL_MEMORY = replace(PARAMETERS, kv_tokens=18_000)
 SWITCH = 6.0
 
 
@@ -44,48 +44,48 @@
     return choose_changes(engines, evaluate_changes(engines, pressure, SWITCH), {one.id for one in engines})
 
 
-def choose(prefills: int, decodes: int, rate: float, figures: CapacityParameters = FIGURES) -> Phase | None:
+def choose(prefills: int, decodes: int, rate: float, figures: CapacityParameters = PARAMETERS) -> Phase | None:
     changes = change(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
     return changes[0].phase if changes else None
 
 
-def test_nothing_changes_without_pressure() -> None:
+def test_no_change_at_low_demand() -> None:
     assert choose(2, 1, 500) is None
 
 
-def test_a_prefill_engine_moves_where_decode_memory_is_short() -> None:
+def test_prefill_engine_changes_on_shortage_of_decode_memory() -> None:
     assert choose(2, 1, 15_000) is Phase.DECODE
     assert choose(4, 5, 75_000) is Phase.DECODE
 
 
-def test_the_last_engine_of_a_part_stays() -> None:
+def test_last_engine_of_a_phase_stays() -> None:
     assert choose(1, 2, 30_000) is None
     assert choose(1, 1, 30_000) is None
 
 
-def test_a_part_without_engines_gets_one() -> None:
+def test_phase_without_engines_gets_one() -> None:
     assert choose(0, 4, 30_000) is Phase.PREFILL
-    assert choose(0, 4, 10_000, SLOW_READERS) is Phase.PREFILL
+    assert choose(0, 4, 10_000, SLOW_PREFILL) is Phase.PREFILL
     assert choose(3, 0, 10_000) is Phase.DECODE
 
 
-def test_no_prefill_engine_is_needed_where_decode_engines_read_what_there_is() -> None:
+def test_no_prefill_engine_is_added_if_decode_engines_suffice() -> None:
     assert choose(0, 4, 5_000) is None
 
 
-def test_a_decode_engine_moves_where_prompts_wait() -> None:
-    assert choose(1, 8, 30_000, SLOW_READERS) is Phase.PREFILL
+def test_decode_engine_changes_if_prompts_queue() -> None:
+    assert choose(1, 8, 30_000, SLOW_PREFILL) is Phase.PREFILL
 
 
-@pytest.mark.parametrize("figures", [FIGURES, SLOW_READERS, SMALL_MEMORY])
-def test_a_split_that_is_the_best_stays_under_any_pressure(figures: CapacityParameters) -> None:
+@pytest.mark.parametrize("figures", [PARAMETERS, SLOW_PREFILL, SMALL_MEMORY])
+def test_best_split_stays_at_any_demand(figures: CapacityParameters) -> None:
     best = find_best_split(7, figures)
     for rate in (5_000, 50_000, 500_000):
         assert choose(best, 7 - best, rate, figures) is None
 
 
-@pytest.mark.parametrize("figures", [FIGURES, SLOW_READERS, SMALL_MEMORY])
-def test_a_change_does_not_bring_about_the_next(figures: CapacityParameters) -> None:
+@pytest.mark.parametrize("figures", [PARAMETERS, SLOW_PREFILL, SMALL_MEMORY])
+def test_changes_converge(figures: CapacityParameters) -> None:
     for rate in (10_000, 40_000, 90_000):
         for engines in range(2, 12):
             prefills = 1
@@ -97,26 +97,26 @@
             assert choose(prefills, engines - prefills, rate, figures) is None
 
 
-def test_what_is_not_served_while_an_engine_is_away_counts() -> None:
-    calm, pressed = ServiceDemand(6_000, 0.0, FIGURES), ServiceDemand(60_000, 0.0, FIGURES)
-    assert predict_gain(Split(2, 3), 1, Phase.DECODE, calm, SWITCH) >= predict_gain(
-        Split(2, 3), 1, Phase.DECODE, calm, 3 * SWITCH
+def test_gain_accounts_for_time_away() -> None:
+    low, high = ServiceDemand(6_000, 0.0, PARAMETERS), ServiceDemand(60_000, 0.0, PARAMETERS)
+    assert predict_gain(Split(2, 3), 1, Phase.DECODE, low, SWITCH) >= predict_gain(
+        Split(2, 3), 1, Phase.DECODE, low, 3 * SWITCH
     )
-    soon = predict_gain(Split(0, 4), 1, Phase.PREFILL, pressed, SWITCH)
+    soon = predict_gain(Split(0, 4), 1, Phase.PREFILL, high, SWITCH)
     assert soon > 0
-    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, pressed, 3 * SWITCH) < soon
-    assert predict_gain(Split(1, 3), 1, Phase.PREFILL, pressed, SWITCH) < 0
+    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, high, 3 * SWITCH) < soon
+    assert predict_gain(Split(1, 3), 1, Phase.PREFILL, high, SWITCH) < 0
 
 
-def test_only_an_engine_that_can_be_had_changes() -> None:
+def test_only_movable_engines_change() -> None:
     engines = make_engines(2, 1)
-    weighed = evaluate_changes(engines, ServiceDemand(26_000, 0.0, FIGURES), SWITCH)
+    weighed = evaluate_changes(engines, ServiceDemand(26_000, 0.0, PARAMETERS), SWITCH)
     assert choose_changes(engines, weighed, {engines[1].id}) == [PhaseChange(engines[1], Phase.DECODE)]
     assert choose_changes(engines, weighed, set()) == []
 
 
-def test_a_large_service_goes_to_its_best_split_in_few_steps() -> None:
-    pressure = ServiceDemand(400_000, 0.0, FIGURES)
+def test_large_service_reaches_its_best_split_in_few_steps() -> None:
+    pressure = ServiceDemand(400_000, 0.0, PARAMETERS)
     phases = [one.phase for one in make_engines(24, 46)]
     rounds = 0
     while True:
@@ -127,40 +127,40 @@
         rounds += 1
         for one in changes:
             phases[int(one.upstream.id[1:])] = one.phase
-    wanted = find_best_split(70, FIGURES)
+    wanted = find_best_split(70, PARAMETERS)
     assert rounds <= 3
     assert abs(phases.count(Phase.PREFILL) - wanted) <= 3
 
 
-def test_no_more_change_at_once_than_the_others_bear() -> None:
+def test_number_of_simultaneous_changes_is_bounded() -> None:
     engines = make_engines(40, 30)
-    light, heavy = (change(engines, ServiceDemand(rate, 0.0, FIGURES)) for rate in (300_000, 2_400_000))
+    light, heavy = (change(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
     assert len(light) == 10
     assert 1 <= len(heavy) <= 10
-    pressure = ServiceDemand(2_400_000, 0.0, FIGURES)
+    pressure = ServiceDemand(2_400_000, 0.0, PARAMETERS)
     gain = predict_gain(Split(40, 30), len(heavy), Phase.DECODE, pressure, SWITCH)
     assert all(gain >= predict_gain(Split(40, 30), count, Phase.DECODE, pressure, SWITCH) for count in range(1, 11))
 
 
 def test_halls_keep_engines_of_both_parts() -> None:
     engines = make_engines(15, 15)
-    changes = change(engines, ServiceDemand(200_000, 0.0, FIGURES))
+    changes = change(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
     assert len(changes) >= 3
     assert len({one.upstream.hall for one in changes}) == 3
 
 
-def test_nothing_changes_before_anybody_asks() -> None:
-    assert change(make_engines(0, 3), ServiceDemand(0.0, 0.0, FIGURES)) == []
+def test_no_change_without_demand() -> None:
+    assert change(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
 
 
 def make_changing(count: int) -> tuple[list[Upstream], set[UpstreamId]]:
-    """Return 16 prefill and 29 decode engines, some of which have just been ordered to decode."""
+    """Return 16 prefill and 29 decode engines, some of which are changing from prefill to decode."""
     engines = make_engines(16, 29)
     changing = {one.id for one in engines[:count]}
     return [replace(one, phase=Phase.DECODE) if one.id in changing else one for one in engines], changing
 
 
-def test_more_engines_of_a_large_service_follow_a_first_one_while_it_changes() -> None:
+def test_more_engines_change_while_a_first_one_is_changing() -> None:
     pressure = ServiceDemand(160_000, 0.0, SMALL_MEMORY)
     engines, changing = make_changing(1)
     weighed = evaluate_changes(engines, pressure, SWITCH, changing)
@@ -170,17 +170,17 @@
 
 
 @pytest.mark.parametrize("count", [6, 7, 9])
-def test_no_more_engines_are_away_at_a_time_than_the_others_bear(count: int) -> None:
+def test_number_of_engines_away_is_bounded(count: int) -> None:
     engines, changing = make_changing(count)
     assert not evaluate_changes(engines, ServiceDemand(160_000, 0.0, SMALL_MEMORY), SWITCH, changing).is_due
 
 
-def test_a_part_without_engines_gets_one_whatever_is_away() -> None:
+def test_phase_without_engines_gets_one_while_others_change() -> None:
     engines = make_engines(0, 6)
-    assert evaluate_changes(engines, ServiceDemand(30_000, 0.0, FIGURES), SWITCH, {engines[0].id}).count == 1
+    assert evaluate_changes(engines, ServiceDemand(30_000, 0.0, PARAMETERS), SWITCH, {engines[0].id}).count == 1
 
 
-def test_engines_that_are_away_serve_nobody_meanwhile() -> None:
-    pressure = ServiceDemand(26_000, 0.0, FIGURES)
+def test_engines_away_reduce_gain() -> None:
+    pressure = ServiceDemand(26_000, 0.0, PARAMETERS)
     change_alone = predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH)
     assert predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH, away=Split(0, 2)) < change_alone
--- a/tests/relay/engines/test_changing.py
+++ b/tests/relay/engines/test_changing.py
@@ -1,4 +1,4 @@
-"""What is believed of engines that were ordered to play another part."""
+"""Pending phase changes of engines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return PhaseChangeUpdate(Phase.PREFILL, seconds, certain)
 
 
-def test_an_engine_that_is_changing_is_passed_over_until_its_entry_shows_the_new_part() -> None:
+def test_changing_engine_is_excluded_until_its_entry_shows_the_new_phase() -> None:
     changes = PendingPhaseChanges()
     engines = [make("u1"), make("u2")]
     assert changes.apply_update(ENGINE, news(), NOW)
@@ -28,14 +28,14 @@
     assert changes.exclude_changing(engines, NOW) == engines
 
 
-def test_a_change_is_not_believed_for_ever() -> None:
+def test_change_expires() -> None:
     changes = PendingPhaseChanges()
     changes.apply_update(ENGINE, news(1e9), NOW)
     assert changes.exclude_changing([make("u1")], NOW + MAX_CHANGE_S - 0.1) == []
     assert changes.exclude_changing([make("u1")], NOW + MAX_CHANGE_S) == [make("u1")]
 
 
-def test_an_engine_is_used_until_its_uncertain_change_shows() -> None:
+def test_engine_is_used_until_its_change_is_confirmed() -> None:
     changes = PendingPhaseChanges()
     changes.apply_update(ENGINE, news(certain=False), NOW)
     assert changes.exclude_changing([make("u1")], NOW) == [make("u1")]
@@ -49,7 +49,7 @@
     assert changes.exclude_changing([make("u1")], NOW) == []
 
 
-def test_news_are_told_on_and_end_everywhere() -> None:
+def test_forwarded_updates_expire_at_the_same_time() -> None:
     here, there = PendingPhaseChanges(), PendingPhaseChanges()
     here.apply_update(ENGINE, news(10.0), NOW)
     for upstream, told in here.list_updates(NOW + 4).items():
@@ -60,7 +60,7 @@
     assert there.list_updates(NOW + 10.1) == {}
 
 
-def test_what_is_certain_takes_the_place_of_what_is_not() -> None:
+def test_confirmed_change_replaces_unconfirmed() -> None:
     changes = PendingPhaseChanges()
     assert changes.apply_update(ENGINE, news(certain=False), NOW)
     assert changes.apply_update(ENGINE, news(certain=True), NOW)
--- a/tests/relay/engines/test_demand_estimation.py
+++ b/tests/relay/engines/test_demand_estimation.py
@@ -1,4 +1,4 @@
-"""What the streams of one VM ask of the engines."""
+"""Estimation of the demand of one VM's streams."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from beamhatch.relay.engines.demand_estimation import DemandEstimator
 
 
-def test_long_streams_count_before_they_have_ended() -> None:
+def test_running_streams_count_in_residence() -> None:
     demand = DemandEstimator()
     for start in range(12):
         demand.begin_stream(100.0 + start)
     for start in range(12):
         if start % 2:
             demand.end_stream(100.0 + start, 113.0)
-    # Six streams ended after 7 s in the mean and six go on. Each of these counts as long as those that were longer;
-    # with the prior of 3 s, which counts for three streams, the mean is still more than 7 s.
+    # Six streams ended after a mean of 7 s and six run on, each of which counts with the mean of the longer ones.
+    # With the prior of 3 s, which has the weight of three streams, the mean is still above 7 s.
     assert 7.0 < demand.estimate_residence(113.0) < 10.0
 
 
 @pytest.mark.parametrize("guess", [0.7, 1.0, 1.4])
 @pytest.mark.parametrize("seconds", [1.0, 2.0, 4.0, 6.0])
-def test_the_time_of_streams_is_known_before_one_has_ended(seconds: float, guess: float) -> None:
+def test_residence_is_predicted_before_streams_end(seconds: float, guess: float) -> None:
     demand = DemandEstimator()
     began: list[float] = []
     tokens = 600
@@ -40,7 +40,7 @@
     assert demand.estimate_residence(now) == pytest.approx(seconds + 0.3, rel=0.2)
 
 
-def test_finds_the_mean_of_a_steady_flow() -> None:
+def test_residence_of_steady_traffic_is_its_mean() -> None:
     demand = DemandEstimator()
     for step in range(400):
         now = 100.0 + step * 0.5
@@ -53,7 +53,7 @@
     assert demand.mean_answer_tokens == pytest.approx(500, rel=0.05)
 
 
-def test_what_was_long_ago_is_forgotten() -> None:
+def test_old_streams_are_forgotten() -> None:
     demand = DemandEstimator()
     for step in range(200):
         demand.record_prompt(1000, 20, 100.0 + step)
@@ -68,7 +68,7 @@
     assert demand.estimate_residence(1000.0) > 5.0
 
 
-def test_rates_are_those_of_late() -> None:
+def test_rates_cover_the_window_only() -> None:
     demand = DemandEstimator()
     for step in range(8):
         demand.record_prompt(1000, 500, 100.0 + step)
@@ -78,7 +78,7 @@
     assert demand.compute_prompt_rate(120.0) == 0.0
 
 
-def test_a_vm_that_has_just_begun_counts_over_the_time_that_it_served() -> None:
+def test_window_of_a_new_vm_is_its_time_in_service() -> None:
     demand = DemandEstimator()
     for step in range(12):
         demand.record_prompt(1000, 500, 100.0 + 0.2 * step)
--- a/tests/relay/engines/test_leadership.py
+++ b/tests/relay/engines/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who gives orders: one VM at a time, whatever the store does to its leases."""
+"""Leadership: at most one VM gives orders, even if the store ends leases early."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass
 class LeaseStore:
-    """Grants one lease at a time; it may end one early, and tells nobody."""
+    """Store that grants one lease at a time and may end it early without notice."""
 
     revision: int = 0
     last_order: int = 0
-    """The revision at which an order was last written down."""
+    """Revision at which an order was last recorded."""
     token: int = 0
-    """The revision of the claim that stands."""
+    """Revision of the current claim."""
     holder: int | None = None
     ends_at: float = 0.0
     renewed_anyway: int | None = None
-    """Who is told that its lease goes on although its claim is gone."""
+    """VM whose renewals succeed although its claim is gone."""
 
     def claim(self, vm: int, now: float, last_order: int) -> int | None:
         if (self.holder is not None and now < self.ends_at) or last_order != self.last_order:
@@ -47,7 +47,7 @@
 
 @dataclass
 class LateAnswer:
-    """An answer of the store that is still on its way."""
+    """An answer of the store in transit."""
 
     vm: int
     sent_at: float
@@ -57,7 +57,7 @@
 
 @dataclass
 class Given:
-    """An order that was given."""
+    """An order that was sent."""
 
     at: float
     vm: int
@@ -65,7 +65,7 @@
 
 
 class LeadershipMachine(RuleBasedStateMachine):
-    """VMs that claim, renew, stand still and order, with a store that is slow, loses answers and ends leases early."""
+    """VMs that claim, renew, pause and order, with a store that is slow, loses answers and ends leases early."""
 
     vms = st.integers(0, VMS - 1)
 
@@ -150,7 +150,7 @@
 TestLeadership = LeadershipMachine.TestCase
 
 
-def test_a_holder_orders_a_lease_and_a_turn_behind_the_last_order_and_not_at_the_end_of_its_lease() -> None:
+def test_orders_wait_for_handover_and_stop_before_lease_ends() -> None:
     tenure = LeaseState(handover_time=TURN)
     last = LastOrder()
     last.record(5, 99.0)
@@ -166,7 +166,7 @@
     assert not tenure.holds(122.1)
 
 
-def test_a_holder_orders_at_once_where_no_order_was_ever_given() -> None:
+def test_leader_orders_at_once_if_no_order_was_ever_given() -> None:
     tenure = LeaseState(handover_time=TURN)
     last = LastOrder()
     last.record(0, 100.0)
@@ -174,7 +174,7 @@
     assert tenure.may_order(100.1)
 
 
-def test_an_order_is_no_older_than_when_it_was_first_seen() -> None:
+def test_age_of_order_counts_from_when_it_was_first_seen() -> None:
     last = LastOrder()
     last.record(5, 100.0)
     last.record(5, 110.0)
@@ -183,8 +183,8 @@
     assert last.compute_handover(TURN) == 120.0 + LEASE_TTL_S + TURN + 0.5
 
 
-def test_an_order_that_a_restore_lost_counts_as_given_when_that_is_seen() -> None:
-    """The VM may have looked before any order was given, and again when the store had lost it: both times none."""
+def test_order_lost_in_restore_counts_as_given_when_noticed() -> None:
+    """A VM that reads before any order and again after the store lost one sees none both times."""
     last = LastOrder()
     last.record(0, 100.0)
     assert last.compute_handover(TURN) < 100.0
--- a/tests/relay/engines/test_throughput.py
+++ b/tests/relay/engines/test_throughput.py
@@ -1,4 +1,4 @@
-"""What a number of engines can take in."""
+"""Capacity of a number of engines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     find_best_split,
 )
 
-FIGURES = CapacityParameters(
+PARAMETERS = CapacityParameters(
     kv_tokens=41_000,
     prompt_tokens=3200.0,
     answer_tokens=640.0,
@@ -35,19 +35,21 @@
 )
 
 
-def test_decode_memory_bounds_where_prefill_engines_are_many() -> None:
-    assert compute_capacity(9, 3, FIGURES) == pytest.approx(3 * 41_000 / FIGURES.kv_seconds_per_prompt_token, rel=1e-4)
+def test_capacity_is_bounded_by_decode_memory() -> None:
+    assert compute_capacity(9, 3, PARAMETERS) == pytest.approx(
+        3 * 41_000 / PARAMETERS.kv_seconds_per_prompt_token, rel=1e-4
+    )
 
 
-def test_what_prefill_engines_can_not_read_decode_engines_do_for_less() -> None:
-    by_prefills = FIGURES.prefill_rate * MAX_PREFILL_UTILIZATION
-    few_readers = replace(FIGURES, prefill_rate=10_000.0)
-    assert by_prefills < compute_capacity(1, 6, FIGURES) < 6 * 41_000 / FIGURES.kv_seconds_per_prompt_token
-    assert 9_000 < compute_capacity(1, 6, few_readers) < compute_capacity(1, 6, FIGURES)
+def test_decode_engines_process_excess_prompts_at_lower_capacity() -> None:
+    by_prefills = PARAMETERS.prefill_rate * MAX_PREFILL_UTILIZATION
+    few_readers = replace(PARAMETERS, prefill_rate=10_000.0)
+    assert by_prefills < compute_capacity(1, 6, PARAMETERS) < 6 * 41_000 / PARAMETERS.kv_seconds_per_prompt_token
+    assert 9_000 < compute_capacity(1, 6, few_readers) < compute_capacity(1, 6, PARAMETERS)
 
 
-def test_without_a_decode_engine_nothing_is_taken_in() -> None:
-    assert compute_capacity(5, 0, FIGURES) == 0.0
+def test_capacity_is_zero_without_decode_engine() -> None:
+    assert compute_capacity(5, 0, PARAMETERS) == 0.0
 
 
 @given(figures, st.integers(0, 20), st.integers(0, 20))
--- a/tests/relay/quarantine/__init__.py
+++ b/tests/relay/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of quarantine."""
+"""Tests of the quarantine package."""
--- a/tests/relay/quarantine/test_attribution.py
+++ b/tests/relay/quarantine/test_attribution.py
@@ -1,4 +1,4 @@
-"""Which request ended the upstreams, of all that ran there."""
+"""Attribution of crashes to requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from beamhatch.relay.quarantine.crashes import UpstreamCrash
 
-DEADLY = Fingerprint(b"deadly")
+CRASHING = Fingerprint(b"deadly")
 BOTH = (CountAttribution(), CoverAttribution())
 
 
@@ -27,37 +27,37 @@
     return UpstreamCrash(UpstreamId(f"engine-{number}"), at, runs)
 
 
-def test_a_request_is_held_behind_three_ends_and_not_before() -> None:
+def test_request_is_attributed_after_three_crashes() -> None:
     ends = [make_end(number, 10.0 + number, deadly=0.1) for number in range(3)]
     for attribution in BOTH:
         assert attribution.find_causes(ends[:2]) == {}
-        assert attribution.find_causes(ends) == {DEADLY: 3}
+        assert attribution.find_causes(ends) == {CRASHING: 3}
 
 
-def test_ends_of_one_moment_have_one_cause_which_is_none_of_the_requests_aboard() -> None:
+def test_simultaneous_crashes_are_not_attributed_to_requests() -> None:
     together = [make_end(number, 10.0 + 0.01 * number, lookup=0.05) for number in range(5)]
     for attribution in BOTH:
         assert attribution.find_causes(together) == {}
 
 
-def test_who_ran_beside_it_is_let_go_by_what_explains_the_ends() -> None:
+def test_co_running_requests_are_released_once_crashes_are_explained() -> None:
     beside = {1: {"a": 0.4}, 2: {"a": 0.7, "b": 2.0}, 3: {"a": 1.0, "b": 0.3}, 4: {"b": 0.2}}
     ends = [make_end(number, 10.0 + number, deadly=0.1, **others) for number, others in beside.items()]
-    assert set(CountAttribution().find_causes(ends)) == {DEADLY, Fingerprint(b"a"), Fingerprint(b"b")}
-    assert CoverAttribution().find_causes(ends) == {DEADLY: 4}
+    assert set(CountAttribution().find_causes(ends)) == {CRASHING, Fingerprint(b"a"), Fingerprint(b"b")}
+    assert CoverAttribution().find_causes(ends) == {CRASHING: 4}
 
 
-def test_among_equals_it_is_the_one_whose_runs_were_the_shortest() -> None:
+def test_tie_is_broken_by_shortest_runs() -> None:
     ends = [make_end(number, 10.0 + number, deadly=0.12, beside=0.3 + number) for number in range(3)]
-    assert CoverAttribution().find_causes(ends) == {DEADLY: 3}
+    assert CoverAttribution().find_causes(ends) == {CRASHING: 3}
 
 
-def test_two_deadly_requests_are_both_found() -> None:
+def test_two_crash_inducing_requests_are_both_found() -> None:
     ends = [
         make_end(number, 10.0 + number, deadly=0.1, **({"other": 0.5} if number == 2 else {})) for number in range(3)
     ]
     ends += [make_end(number, 20.0 + number, other=0.1) for number in range(3)]
-    assert set(CoverAttribution().find_causes(ends)) == {DEADLY, Fingerprint(b"other")}
+    assert set(CoverAttribution().find_causes(ends)) == {CRASHING, Fingerprint(b"other")}
 
 
 @settings(max_examples=60)
@@ -70,7 +70,7 @@
     assert set(causes) <= set(CountAttribution().find_causes(ends))
 
 
-# --- a storm, played ------------------------------------------------------------------------------------------------
+# --- simulated crash storm --------------------------------------------------------------------------------------------
 
 ENGINES = 9
 RESTART = 3.0
@@ -79,18 +79,18 @@
 CRASH_DELAY = 0.12
 STORM = 16.0
 TRIES = 4
-"""Runs of one stream at the most: two engines for each of two tries of its caller."""
+"""Maximum number of runs of one stream: two engines for each of two tries of its caller."""
 
 
 @dataclass
 class Storm:
-    """Nine engines, streams of 2.2 s, and a request that comes four at a time each 3.5 s and ends what runs it."""
+    """Simulation of nine engines, streams of 2.2 s, and bursts of a request that crashes each engine that runs it."""
 
     seed: int
     ends: list[UpstreamCrash] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Play it."""
+        """Run the simulation."""
         self._random = random.Random(self.seed)
         self._back_at = dict.fromkeys(range(ENGINES), 0.0)
         self._runs: dict[int, dict[Fingerprint, float]] = {number: {} for number in range(ENGINES)}
@@ -108,7 +108,7 @@
                 self._waiting.append(Fingerprint(self._random.randbytes(8)))
             while deadly_at and deadly_at[0] <= now:
                 deadly_at.pop(0)
-                chosen = self._begin(DEADLY, now)
+                chosen = self._begin(CRASHING, now)
                 if chosen is not None:
                     self._due.append((now + CRASH_DELAY, chosen))
             waiting, self._waiting = self._waiting, []
@@ -116,7 +116,7 @@
                 if self._begin(one, now) is None:
                     self._waiting.append(one)
             for runs in self._runs.values():
-                for done in [name for name, begun in runs.items() if name != DEADLY and now - begun > STREAM_TIME]:
+                for done in [name for name, begun in runs.items() if name != CRASHING and now - begun > STREAM_TIME]:
                     del runs[done]
 
     def _begin(self, fingerprint: Fingerprint, now: float) -> int | None:
@@ -136,22 +136,22 @@
         self.ends.append(UpstreamCrash(UpstreamId(f"engine-{number}-{len(self.ends)}"), now, ran))
         for name in runs:
             self._tries[name] = self._tries.get(name, 0) + 1
-            if name != DEADLY and self._tries[name] < TRIES:
+            if name != CRASHING and self._tries[name] < TRIES:
                 self._waiting.append(name)
 
-    def count_innocent(self, attribution: Attribution) -> tuple[int, int]:
-        """Return how many streams beside it are held at any time, and of how many that broke."""
+    def count_co_running(self, attribution: Attribution) -> tuple[int, int]:
+        """Return the number of streams attributed at any time, and of those that broke."""
         held: set[Fingerprint] = set()
         for count in range(1, len(self.ends) + 1):
             held |= set(attribution.find_causes(self.ends[:count]))
-        return len(held - {DEADLY}), len({name for end in self.ends for name in end.run_durations} - {DEADLY})
+        return len(held - {CRASHING}), len({name for end in self.ends for name in end.run_durations} - {CRASHING})
 
 
 def test_in_a_storm_the_deadly_request_is_held_and_next_to_nobody_beside_it() -> None:
     storms = [Storm(seed) for seed in range(60)]
-    assert all(DEADLY in CoverAttribution().find_causes(storm.ends) for storm in storms)
-    counted = [storm.count_innocent(CountAttribution()) for storm in storms]
-    covered = [storm.count_innocent(CoverAttribution()) for storm in storms]
+    assert all(CRASHING in CoverAttribution().find_causes(storm.ends) for storm in storms)
+    counted = [storm.count_co_running(CountAttribution()) for storm in storms]
+    covered = [storm.count_co_running(CoverAttribution()) for storm in storms]
     broken = sum(of for _, of in covered)
     assert sum(held for held, _ in counted) >= 40
     assert sum(held for held, _ in covered) <= 0.002 * broken
--- a/tests/relay/quarantine/test_detection.py
+++ b/tests/relay/quarantine/test_detection.py
@@ -1,4 +1,4 @@
-"""The end of an upstream is told from a connection that broke."""
+"""Detection of crashes by broken connections."""
 
 from __future__ import annotations
 
@@ -13,79 +13,79 @@
 ENGINE = Upstream(UpstreamId("e"), ServiceName("s"), Address("host", 1), "a", False, Phase.DECODE, 8)
 
 
-class Wire(Connection):
-    """A connection of which it matters only whether it is open and read from."""
+class FakeConnection(Connection):
+    """Connection of which only the open and paused state matters."""
 
     def __init__(self, *, paused: bool = False) -> None:
         self.paused = paused
 
 
-class Watch:
-    """What a detection told."""
+class DetectorHarness:
+    """Crash detector with a paused clock, and the updates that it reported."""
 
     def __init__(self, connections: int = 0) -> None:
         self.network = Network()
-        self.open = {Wire() for _ in range(connections)}
+        self.open = {FakeConnection() for _ in range(connections)}
         self.told: list[CrashUpdate] = []
         self.detection = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.told.append)
 
     def break_runs(self, count: int) -> None:
-        """Break the connections of some runs one after the other; more than there are open were known to nobody."""
+        """Break the connections of some runs one after the other, also more than are open."""
         for number in range(count):
             if self.open:
                 self.open.pop()
             self.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1 * number)
 
 
-def test_all_that_break_at_once_are_one_end_told_once() -> None:
-    watch = Watch(3)
-    watch.break_runs(3)
-    watch.network.advance(SETTLE_S / 2)
-    assert not watch.told
-    watch.network.advance(SETTLE_S)
-    (news,) = watch.told
+def test_runs_that_break_at_once_are_reported_as_one_crash() -> None:
+    harness = DetectorHarness(3)
+    harness.break_runs(3)
+    harness.network.advance(SETTLE_S / 2)
+    assert not harness.told
+    harness.network.advance(SETTLE_S)
+    (news,) = harness.told
     assert [run.duration_ms for run in news.runs] == [0, 100, 200]
     assert news.age >= SETTLE_S
 
 
 @pytest.mark.parametrize(("connections", "broken"), [(5, 2), (64, 1), (64, 32), (64, 48), (64, 57), (2, 1)])
-def test_where_some_connections_last_nothing_has_ended(connections: int, broken: int) -> None:
-    watch = Watch(connections)
-    watch.break_runs(broken)
-    watch.network.advance(1.0)
-    assert not watch.told
+def test_no_crash_is_reported_while_some_connections_stay_open(connections: int, broken: int) -> None:
+    harness = DetectorHarness(connections)
+    harness.break_runs(broken)
+    harness.network.advance(1.0)
+    assert not harness.told
 
 
 @pytest.mark.parametrize("connections", [1, 3, 64])
-def test_what_was_opened_since_hides_no_end(connections: int) -> None:
-    watch = Watch(connections)
-    watch.break_runs(connections)
-    watch.open |= {Wire() for _ in range(100)}
-    watch.network.advance(1.0)
-    assert len(watch.told) == 1
-
-
-def test_idle_connections_tell_too() -> None:
-    watch = Watch(10)
-    watch.break_runs(1)
-    watch.open.clear()
-    watch.network.advance(1.0)
-    assert len(watch.told) == 1
-
-
-def test_a_connection_that_is_not_read_from_hides_no_end() -> None:
-    watch = Watch(2)
-    read = list(watch.open)
-    watch.open.add(Wire(paused=True))
+def test_connections_opened_after_a_crash_do_not_hide_it(connections: int) -> None:
+    harness = DetectorHarness(connections)
+    harness.break_runs(connections)
+    harness.open |= {FakeConnection() for _ in range(100)}
+    harness.network.advance(1.0)
+    assert len(harness.told) == 1
+
+
+def test_closed_idle_connections_count_as_crash() -> None:
+    harness = DetectorHarness(10)
+    harness.break_runs(1)
+    harness.open.clear()
+    harness.network.advance(1.0)
+    assert len(harness.told) == 1
+
+
+def test_paused_connection_does_not_hide_crash() -> None:
+    harness = DetectorHarness(2)
+    read = list(harness.open)
+    harness.open.add(FakeConnection(paused=True))
     for number, one in enumerate(read):
-        watch.open.remove(one)
-        watch.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
-    watch.network.advance(1.0)
-    assert len(watch.told) == 1
+        harness.open.remove(one)
+        harness.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
+    harness.network.advance(1.0)
+    assert len(harness.told) == 1
 
 
-def test_of_many_runs_the_youngest_are_told() -> None:
-    watch = Watch(3 * MAX_ANNOUNCED_RUNS)
-    watch.break_runs(3 * MAX_ANNOUNCED_RUNS)
-    watch.network.advance(1.0)
-    assert [run.fingerprint[0] for run in watch.told[0].runs] == list(range(MAX_ANNOUNCED_RUNS))
+def test_only_the_shortest_of_many_runs_are_reported() -> None:
+    harness = DetectorHarness(3 * MAX_ANNOUNCED_RUNS)
+    harness.break_runs(3 * MAX_ANNOUNCED_RUNS)
+    harness.network.advance(1.0)
+    assert [run.fingerprint[0] for run in harness.told[0].runs] == list(range(MAX_ANNOUNCED_RUNS))
