--- a/src/beamhatch/relay/engines/leadership.py
+++ b/src/beamhatch/relay/engines/leadership.py
@@ -148,7 +148,7 @@
         if running is not None:
             running.cancel()
 
-    async def confirm(self, order: str) -> bool:
+    async def record_order(self, order: str) -> bool:
         """Record an order if the claim still stands; return whether it may be sent now."""
         claim = self.claim
         sent_at = self.core.clock.now()
--- a/src/beamhatch/relay/engines/phase_controller.py
+++ b/src/beamhatch/relay/engines/phase_controller.py
@@ -165,7 +165,7 @@
         }
 
     async def _order_all(self, changes: list[PhaseChange], demand: ServiceDemand) -> None:
-        if await self._leadership.confirm(format_orders(changes)):
+        if await self._leadership.record_order(format_orders(changes)):
             for change in changes:
                 defer.ensureDeferred(self._order(change, demand)).addErrback(self._log_failure)
 
--- a/tests/platform/test_restore.py
+++ b/tests/platform/test_restore.py
@@ -177,7 +177,7 @@
     for _ in range(round(seconds / 0.1)):
         for name, vm in platform.vms.items():
             assert vm.leadership is not None
-            confirmed = defer.ensureDeferred(vm.leadership.confirm("engine decode"))
+            confirmed = defer.ensureDeferred(vm.leadership.record_order("engine decode"))
             confirmed.addCallback(note(name, vm.leadership.lease.token))
         platform.network.run(0.1)
     return orders
