--- a/src/beamhatch/relay/engines/balancing.py
+++ b/src/beamhatch/relay/engines/balancing.py
@@ -111,8 +111,8 @@
     max_count = min(abs(split.prefills - best_prefills), _count_available_changes(split, len(changing)))
     gains = {count: predict_gain(split, count, phase, demand, switch_time, away) for count in range(1, max_count + 1)}
     best = max(gains, key=lambda count: gains[count], default=0)
-    needed = MIN_GAIN_SHARE * HORIZON_S * demand.expected_rate
-    return ChangeEvaluation(split.prefills, split.decodes, phase, best, gains.get(best, 0.0), needed)
+    min_gain = MIN_GAIN_SHARE * HORIZON_S * demand.expected_rate
+    return ChangeEvaluation(split.prefills, split.decodes, phase, best, gains.get(best, 0.0), min_gain)
 
 
 def _count_split(engines: Sequence[Upstream]) -> Split:
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -31,7 +31,7 @@
         :param own: this VM's own report
         :param vms: number of VMs
         """
-        reports = [own, *(told.get(service, DemandReport()) for told in self.list_values(now))]
+        reports = [own, *(by_service.get(service, DemandReport()) for by_service in self.list_values(now))]
         scale = max(1.0, vms / len(reports))
         prompt_rate = scale * sum(report.prompt_rate for report in reports)
         wait_rate = scale * sum(report.wait_rate for report in reports)
--- a/src/beamhatch/relay/quarantine/crashes.py
+++ b/src/beamhatch/relay/quarantine/crashes.py
@@ -104,11 +104,11 @@
 
     def count(self, fingerprint: Fingerprint) -> int:
         """Return the number of crashes that a request was part of."""
-        return sum(fingerprint in end.run_durations for end in self._crashes)
+        return sum(fingerprint in crash.run_durations for crash in self._crashes)
 
     def remove_expired(self, now: float) -> None:
         """Remove crashes older than ``RETENTION_S`` and those without runs."""
-        self._crashes = [end for end in self._crashes if now - end.at <= RETENTION_S and end.run_durations]
+        self._crashes = [crash for crash in self._crashes if now - crash.at <= RETENTION_S and crash.run_durations]
 
     def _get_or_add(self, upstream: UpstreamId, at: float) -> UpstreamCrash:
         for crash in reversed(self._crashes):
--- a/src/beamhatch/relay/quarantine/gossip.py
+++ b/src/beamhatch/relay/quarantine/gossip.py
@@ -177,7 +177,7 @@
     def send_all(self, connection: PeerConnection) -> None:
         """Send a newly connected peer the known crashes and stored quarantines."""
         now = self._clock.now()
-        crashes = [end.to_update(now) for end in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
+        crashes = [crash.to_update(now) for crash in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
         holds = self.quarantine.list_stored(now)
         if crashes or holds:
             connection.tell(QuarantineNews(crashes, [], holds))
@@ -226,7 +226,7 @@
         }
 
     def _report_hold(self, fingerprint: Fingerprint, hold: Hold | None, source: str) -> None:
-        upstreams = [end.upstream for end in self.quarantine.crashes if fingerprint in end.run_durations]
+        upstreams = [crash.upstream for crash in self.quarantine.crashes if fingerprint in crash.run_durations]
         self._tally.count("quarantines_total", "begun")
         self._journal.write(
             "QUARANTINE",
--- a/src/beamhatch/relay/quarantine/persistence.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -68,7 +68,7 @@
         while not quarantine.is_stored(fingerprint, now := self.core.clock.now()):
             hold = quarantine.get_hold(fingerprint, now)
             if hold is None:
-                return  # cleared, or another request explains the ends
+                return  # cleared, or the crashes are now attributed to another request
             lost = await self._store.keep_quarantine(fingerprint, min(HOLD_S, hold.until - now))
             if lost is None:
                 self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
--- a/src/beamhatch/relay/quarantine/quarantine.py
+++ b/src/beamhatch/relay/quarantine/quarantine.py
@@ -133,13 +133,13 @@
         causes = self.attribution.find_causes(self.crashes)
         self._attributed = {found: Hold(self._compute_hold_end(found, count), count) for found, count in causes.items()}
         return {
-            found: ends
-            for found, ends in causes.items()
-            if now < self._attributed[found].until and (found not in before or before[found].crash_count < ends)
+            found: count
+            for found, count in causes.items()
+            if now < self._attributed[found].until and (found not in before or before[found].crash_count < count)
         }
 
     def _compute_hold_end(self, fingerprint: Fingerprint, crash_count: int) -> float:
-        last = max(end.at for end in self.crashes if fingerprint in end.run_durations)
+        last = max(crash.at for crash in self.crashes if fingerprint in crash.run_durations)
         return last + min(RETENTION_S, HOLD_S * 2.0 ** min(8, crash_count - MIN_CRASHES))
 
     # --- successes ----------------------------------------------------------------------------------------------------
@@ -195,7 +195,7 @@
             self._stored[fingerprint] = replace(known, is_stored=True)
             return False
         if len(self._stored) >= MAX_STORED_HOLDS:
-            self._stored = {found: told for found, told in self._stored.items() if now < told.until}
+            self._stored = {found: hold for found, hold in self._stored.items() if now < hold.until}
         if len(self._stored) >= MAX_STORED_HOLDS:
             return False
         self._stored[fingerprint] = _StoredHold(stored_at, now + min(update.remaining, HOLD_S))
@@ -216,14 +216,14 @@
 
     def retain_stored(self, stored: Collection[Fingerprint]) -> None:
         """Remove the stored quarantines that the store no longer contains."""
-        self._stored = {found: told for found, told in self._stored.items() if found in stored}
+        self._stored = {found: hold for found, hold in self._stored.items() if found in stored}
 
     def list_stored(self, now: float) -> list[HoldUpdate]:
         """Return the updates on stored quarantines that peers are sent."""
         return [
-            HoldUpdate(found, round(now - told.stored_at, 1), round(told.until - now, 1))
-            for found, told in self._stored.items()
-            if now < told.until
+            HoldUpdate(found, round(now - hold.stored_at, 1), round(hold.until - now, 1))
+            for found, hold in self._stored.items()
+            if now < hold.until
         ]
 
 
--- a/tests/relay/engines/test_throughput.py
+++ b/tests/relay/engines/test_throughput.py
@@ -42,10 +42,10 @@
 
 
 def test_decode_engines_process_excess_prompts_at_lower_capacity() -> None:
-    by_prefills = PARAMETERS.prefill_rate * MAX_PREFILL_UTILIZATION
-    few_readers = replace(PARAMETERS, prefill_rate=10_000.0)
-    assert by_prefills < compute_capacity(1, 6, PARAMETERS) < 6 * 41_000 / PARAMETERS.kv_seconds_per_prompt_token
-    assert 9_000 < compute_capacity(1, 6, few_readers) < compute_capacity(1, 6, PARAMETERS)
+    prefill_capacity = PARAMETERS.prefill_rate * MAX_PREFILL_UTILIZATION
+    slow_prefill = replace(PARAMETERS, prefill_rate=10_000.0)
+    assert prefill_capacity < compute_capacity(1, 6, PARAMETERS) < 6 * 41_000 / PARAMETERS.kv_seconds_per_prompt_token
+    assert 9_000 < compute_capacity(1, 6, slow_prefill) < compute_capacity(1, 6, PARAMETERS)
 
 
 def test_capacity_is_zero_without_decode_engine() -> None:
--- a/tests/relay/quarantine/test_detection.py
+++ b/tests/relay/quarantine/test_detection.py
@@ -26,8 +26,8 @@
     def __init__(self, connections: int = 0) -> None:
         self.network = Network()
         self.open = {FakeConnection() for _ in range(connections)}
-        self.told: list[CrashUpdate] = []
-        self.detection = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.told.append)
+        self.reported: list[CrashUpdate] = []
+        self.detection = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.reported.append)
 
     def break_runs(self, count: int) -> None:
         """Break the connections of some runs one after the other, also more than are open."""
@@ -41,11 +41,11 @@
     harness = DetectorHarness(3)
     harness.break_runs(3)
     harness.network.advance(SETTLE_S / 2)
-    assert not harness.told
+    assert not harness.reported
     harness.network.advance(SETTLE_S)
-    (news,) = harness.told
-    assert [run.duration_ms for run in news.runs] == [0, 100, 200]
-    assert news.age >= SETTLE_S
+    (update,) = harness.reported
+    assert [run.duration_ms for run in update.runs] == [0, 100, 200]
+    assert update.age >= SETTLE_S
 
 
 @pytest.mark.parametrize(("connections", "broken"), [(5, 2), (64, 1), (64, 32), (64, 48), (64, 57), (2, 1)])
@@ -53,7 +53,7 @@
     harness = DetectorHarness(connections)
     harness.break_runs(broken)
     harness.network.advance(1.0)
-    assert not harness.told
+    assert not harness.reported
 
 
 @pytest.mark.parametrize("connections", [1, 3, 64])
@@ -62,7 +62,7 @@
     harness.break_runs(connections)
     harness.open |= {FakeConnection() for _ in range(100)}
     harness.network.advance(1.0)
-    assert len(harness.told) == 1
+    assert len(harness.reported) == 1
 
 
 def test_closed_idle_connections_count_as_crash() -> None:
@@ -70,7 +70,7 @@
     harness.break_runs(1)
     harness.open.clear()
     harness.network.advance(1.0)
-    assert len(harness.told) == 1
+    assert len(harness.reported) == 1
 
 
 def test_paused_connection_does_not_hide_crash() -> None:
@@ -81,11 +81,11 @@
         harness.open.remove(one)
         harness.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
     harness.network.advance(1.0)
-    assert len(harness.told) == 1
+    assert len(harness.reported) == 1
 
 
 def test_only_the_shortest_of_many_runs_are_reported() -> None:
     harness = DetectorHarness(3 * MAX_ANNOUNCED_RUNS)
     harness.break_runs(3 * MAX_ANNOUNCED_RUNS)
     harness.network.advance(1.0)
-    assert [run.fingerprint[0] for run in harness.told[0].runs] == list(range(MAX_ANNOUNCED_RUNS))
+    assert [run.fingerprint[0] for run in harness.reported[0].runs] == list(range(MAX_ANNOUNCED_RUNS))
--- a/tests/relay/quarantine/test_quarantine.py
+++ b/tests/relay/quarantine/test_quarantine.py
@@ -35,17 +35,17 @@
     return CrashUpdate(f"engine-{number}", age, [BrokenRun(name, 100) for name in names])
 
 
-def hold(quarantine: Quarantine, *, ends: int = 3, since: float = 10.0) -> float:
+def crash_upstreams(quarantine: Quarantine, *, count: int = 3, since: float = 10.0) -> float:
     """Have a request crash some upstreams; return the time of the last crash."""
-    for number in range(ends):
+    for number in range(count):
         quarantine.apply_crash(make_update(number, CRASHING), since + number)
-    quarantine.attribute(since + ends - 1)
-    return since + ends - 1
+    quarantine.attribute(since + count - 1)
+    return since + count - 1
 
 
 def test_quarantine_lasts_ten_minutes_after_the_last_crash() -> None:
     quarantine = Quarantine()
-    last = hold(quarantine)
+    last = crash_upstreams(quarantine)
     assert quarantine.get_hold(CRASHING, last + HOLD_S - 0.1) is not None
     assert quarantine.get_hold(CRASHING, last + HOLD_S) is None
     assert quarantine.get_hold(OTHER, last) is None
@@ -53,7 +53,7 @@
 
 def test_each_further_crash_doubles_the_quarantine_up_to_retention() -> None:
     quarantine = Quarantine()
-    last = hold(quarantine)
+    last = crash_upstreams(quarantine)
     for further, seconds in enumerate((2 * HOLD_S, 4 * HOLD_S, RETENTION_S), 3):
         last += 1.0
         quarantine.apply_crash(make_update(further, CRASHING), last)
@@ -65,7 +65,7 @@
 
 def test_one_more_crash_is_enough_after_quarantine_expired() -> None:
     quarantine = Quarantine()
-    last = hold(quarantine)
+    last = crash_upstreams(quarantine)
     later = last + HOLD_S + 5
     assert quarantine.apply_crash(make_update(9, CRASHING), later)
     assert quarantine.attribute(later) == {CRASHING: 4}
@@ -83,7 +83,7 @@
 
 def test_success_clears_request_and_voids_older_updates() -> None:
     quarantine = Quarantine()
-    last = hold(quarantine)
+    last = crash_upstreams(quarantine)
     assert quarantine.record_success(CRASHING, last + 1) == ClearResult(was_held=True, crash_count=3)
     assert quarantine.get_hold(CRASHING, last + 1) is None
     assert quarantine.apply_crash(make_update(1, CRASHING, age=2.0), last + 2) is None
@@ -117,9 +117,9 @@
 
 def test_crashes_after_a_success_count_again() -> None:
     quarantine = Quarantine()
-    last = hold(quarantine)
+    last = crash_upstreams(quarantine)
     quarantine.record_success(CRASHING, last + 1)
-    hold(quarantine, since=last + 2)
+    crash_upstreams(quarantine, since=last + 2)
     assert quarantine.get_hold(CRASHING, last + 4) is not None
 
 
