--- a/tests/relay/engines/test_changing.py
+++ b/tests/relay/engines/test_changing.py
@@ -13,14 +13,14 @@
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), "a", False, phase, 9)
 
 
-def news(seconds: float = 10.0, *, certain: bool = True) -> PhaseChangeUpdate:
-    return PhaseChangeUpdate(Phase.PREFILL, seconds, certain)
+def make_update(seconds: float = 10.0, *, confirmed: bool = True) -> PhaseChangeUpdate:
+    return PhaseChangeUpdate(Phase.PREFILL, seconds, confirmed)
 
 
 def test_changing_engine_is_excluded_until_its_entry_shows_the_new_phase() -> None:
     changes = PendingPhaseChanges()
     engines = [make("u1"), make("u2")]
-    assert changes.apply_update(ENGINE, news(), NOW)
+    assert changes.apply_update(ENGINE, make_update(), NOW)
     assert changes.exclude_changing(engines, NOW) == [engines[1]]
     changes.record_entry(ENGINE, Phase.DECODE)
     assert changes.exclude_changing(engines, NOW) == [engines[1]]
@@ -30,14 +30,14 @@
 
 def test_change_expires() -> None:
     changes = PendingPhaseChanges()
-    changes.apply_update(ENGINE, news(1e9), NOW)
+    changes.apply_update(ENGINE, make_update(1e9), NOW)
     assert changes.exclude_changing([make("u1")], NOW + MAX_CHANGE_S - 0.1) == []
     assert changes.exclude_changing([make("u1")], NOW + MAX_CHANGE_S) == [make("u1")]
 
 
 def test_engine_is_used_until_its_change_is_confirmed() -> None:
     changes = PendingPhaseChanges()
-    changes.apply_update(ENGINE, news(certain=False), NOW)
+    changes.apply_update(ENGINE, make_update(confirmed=False), NOW)
     assert changes.exclude_changing([make("u1")], NOW) == [make("u1")]
     assert changes.is_pending(ENGINE, NOW)
     assert [one.phase for one in changes.with_expected_phases([make("u1"), make("u2")], NOW)] == [
@@ -51,9 +51,9 @@
 
 def test_forwarded_updates_expire_at_the_same_time() -> None:
     here, there = PendingPhaseChanges(), PendingPhaseChanges()
-    here.apply_update(ENGINE, news(10.0), NOW)
-    for upstream, told in here.list_updates(NOW + 4).items():
-        there.apply_update(UpstreamId(upstream), told, NOW + 4)
+    here.apply_update(ENGINE, make_update(10.0), NOW)
+    for upstream, update in here.list_updates(NOW + 4).items():
+        there.apply_update(UpstreamId(upstream), update, NOW + 4)
     assert not here.apply_update(ENGINE, there.list_updates(NOW + 4)["u1"], NOW + 4)
     assert there.exclude_changing([make("u1")], NOW + 9.9) == []
     assert there.exclude_changing([make("u1")], NOW + 10.1) == [make("u1")]
@@ -62,7 +62,7 @@
 
 def test_confirmed_change_replaces_unconfirmed() -> None:
     changes = PendingPhaseChanges()
-    assert changes.apply_update(ENGINE, news(certain=False), NOW)
-    assert changes.apply_update(ENGINE, news(certain=True), NOW)
-    assert not changes.apply_update(ENGINE, news(certain=False), NOW)
+    assert changes.apply_update(ENGINE, make_update(confirmed=False), NOW)
+    assert changes.apply_update(ENGINE, make_update(confirmed=True), NOW)
+    assert not changes.apply_update(ENGINE, make_update(confirmed=False), NOW)
     assert changes.exclude_changing([make("u1")], NOW) == []
--- a/tests/relay/quarantine/test_attribution.py
+++ b/tests/relay/quarantine/test_attribution.py
@@ -22,48 +22,48 @@
 BOTH = (CountAttribution(), CoverAttribution())
 
 
-def make_end(number: int, at: float, **ran: float) -> UpstreamCrash:
+def make_crash(number: int, at: float, **ran: float) -> UpstreamCrash:
     runs = {Fingerprint(name.encode()): seconds for name, seconds in ran.items()}
     return UpstreamCrash(UpstreamId(f"engine-{number}"), at, runs)
 
 
 def test_request_is_attributed_after_three_crashes() -> None:
-    ends = [make_end(number, 10.0 + number, deadly=0.1) for number in range(3)]
+    ends = [make_crash(number, 10.0 + number, deadly=0.1) for number in range(3)]
     for attribution in BOTH:
         assert attribution.find_causes(ends[:2]) == {}
         assert attribution.find_causes(ends) == {CRASHING: 3}
 
 
 def test_simultaneous_crashes_are_not_attributed_to_requests() -> None:
-    together = [make_end(number, 10.0 + 0.01 * number, lookup=0.05) for number in range(5)]
+    together = [make_crash(number, 10.0 + 0.01 * number, lookup=0.05) for number in range(5)]
     for attribution in BOTH:
         assert attribution.find_causes(together) == {}
 
 
 def test_co_running_requests_are_released_once_crashes_are_explained() -> None:
     beside = {1: {"a": 0.4}, 2: {"a": 0.7, "b": 2.0}, 3: {"a": 1.0, "b": 0.3}, 4: {"b": 0.2}}
-    ends = [make_end(number, 10.0 + number, deadly=0.1, **others) for number, others in beside.items()]
+    ends = [make_crash(number, 10.0 + number, deadly=0.1, **others) for number, others in beside.items()]
     assert set(CountAttribution().find_causes(ends)) == {CRASHING, Fingerprint(b"a"), Fingerprint(b"b")}
     assert CoverAttribution().find_causes(ends) == {CRASHING: 4}
 
 
 def test_tie_is_broken_by_shortest_runs() -> None:
-    ends = [make_end(number, 10.0 + number, deadly=0.12, beside=0.3 + number) for number in range(3)]
+    ends = [make_crash(number, 10.0 + number, deadly=0.12, beside=0.3 + number) for number in range(3)]
     assert CoverAttribution().find_causes(ends) == {CRASHING: 3}
 
 
 def test_two_crash_inducing_requests_are_both_found() -> None:
     ends = [
-        make_end(number, 10.0 + number, deadly=0.1, **({"other": 0.5} if number == 2 else {})) for number in range(3)
+        make_crash(number, 10.0 + number, deadly=0.1, **({"other": 0.5} if number == 2 else {})) for number in range(3)
     ]
-    ends += [make_end(number, 20.0 + number, other=0.1) for number in range(3)]
+    ends += [make_crash(number, 20.0 + number, other=0.1) for number in range(3)]
     assert set(CoverAttribution().find_causes(ends)) == {CRASHING, Fingerprint(b"other")}
 
 
 @settings(max_examples=60)
 @given(st.lists(st.sets(st.sampled_from("abcdef")), max_size=12))
 def test_whoever_is_held_explains_enough_ends_that_nobody_else_does(aboard: list[set[str]]) -> None:
-    ends = [make_end(number, float(number), **dict.fromkeys(sorted(one), 0.1)) for number, one in enumerate(aboard)]
+    ends = [make_crash(number, float(number), **dict.fromkeys(sorted(one), 0.1)) for number, one in enumerate(aboard)]
     causes = CoverAttribution().find_causes(ends)
     assert all(count >= MIN_CRASHES for count in causes.values())
     assert MIN_UNEXPLAINED_CRASHES * len(causes) <= len(ends)
--- a/tests/relay/quarantine/test_quarantine.py
+++ b/tests/relay/quarantine/test_quarantine.py
@@ -104,10 +104,10 @@
     informed, other = Quarantine(), Quarantine()
     for number in range(6):
         now = 10.0 + 5 * number
-        news = make_update(number, OTHER)
-        cleared = informed.list_clear_updates(news, now)
+        update = make_update(number, OTHER)
+        cleared = informed.list_clear_updates(update, now)
         for quarantine in (informed, other):
-            quarantine.apply_crash(news, now)
+            quarantine.apply_crash(update, now)
         for one in cleared:
             other.clear(one.fingerprint, now - one.age)
         for quarantine in (informed, other):
