--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -16,16 +16,16 @@
 from beamhatch.relay.choosing.prefill_times import PrefillTimes
 from beamhatch.relay.choosing.shortage import Shortage, detect_shortage
 from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
-from beamhatch.relay.engines.changing import ChangeNews, Changes
-from beamhatch.relay.engines.demand import Demand
+from beamhatch.relay.engines.demand_estimation import DemandEstimator
+from beamhatch.relay.engines.phase_changes import PendingPhaseChanges, PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import MAX_UNPLACED_HALLS, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.limits.returns import PacedReturns
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
 from beamhatch.relay.places import Places
+from beamhatch.relay.quarantine.gossip import QuarantineGossip, QuarantineGossipDependencies
 from beamhatch.relay.quarantine.quarantine import Quarantine
-from beamhatch.relay.quarantine.talk import QuarantineTalk, TalkNeeds
 from beamhatch.relay.requests.exchange import QUARANTINE_REASON, REGION_RETRY_AFTER_S, RelayExchange
 from beamhatch.relay.requests.fingerprint import compute_fingerprint
 from beamhatch.relay.requests.memory_queues import MemoryQueues
@@ -135,9 +135,9 @@
     listing: Listing = field(default_factory=Listing)
     announcements: Announcements = field(init=False)
     eligibility: Eligibility = field(init=False)
-    changes: Changes = field(default_factory=Changes)
+    changes: PendingPhaseChanges = field(default_factory=PendingPhaseChanges)
     quarantine: Quarantine = field(default_factory=Quarantine)
-    quarantine_talk: QuarantineTalk = field(init=False)
+    quarantine_talk: QuarantineGossip = field(init=False)
     paces: PrefillEstimators = field(default_factory=PrefillEstimators)
     work: PeerBacklog = field(default_factory=PeerBacklog)
     document: Document | None = None
@@ -161,7 +161,7 @@
     places: Places = field(default_factory=Places)
     _budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
     lines: MemoryQueues = field(init=False)
-    _demands: defaultdict[ServiceName, Demand] = field(default_factory=lambda: defaultdict(Demand))
+    _demands: defaultdict[ServiceName, DemandEstimator] = field(default_factory=lambda: defaultdict(DemandEstimator))
     _lengths: defaultdict[ServiceName, OutputLengths] = field(default_factory=lambda: defaultdict(OutputLengths))
     _read_times: defaultdict[ServiceName, PrefillTimes] = field(default_factory=lambda: defaultdict(PrefillTimes))
     _returns: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
@@ -187,8 +187,10 @@
         self.announcements.limits.count_vms = lambda: self.vms
         self.chooser.compute_cold_cost = self.find_cold_cost
         self.lines = MemoryQueues(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
-        self.quarantine_talk = QuarantineTalk(
-            TalkNeeds(self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits)
+        self.quarantine_talk = QuarantineGossip(
+            QuarantineGossipDependencies(
+                self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits
+            )
         )
 
     @property
@@ -259,7 +261,7 @@
             changed = [entry for entry in entries if listing.take(entry, now)]
         for entry in changed:
             self.journal.write("LISTING", _describe(entry), upstream=entry.id, revision=entry.revision, source=source)
-            self.changes.end(entry.id, None if entry.upstream is None else entry.upstream.phase)
+            self.changes.record_entry(entry.id, None if entry.upstream is None else entry.upstream.phase)
             last = before.get(entry.id)
             if entry.upstream is not None and last is not None and not entry.upstream.is_same_life(last):
                 self._note_restart(entry.upstream, last)
@@ -274,7 +276,7 @@
         """Forget what was believed of an upstream that has started again under its id."""
         self.journal.write("LISTING", "started again", upstream=upstream.id, born=upstream.born, before=before.born)
         self.standings.get(upstream.id).reset()
-        self.changes.end(upstream.id, None)
+        self.changes.record_entry(upstream.id, None)
 
     def is_over(self, upstream: Upstream) -> bool:
         """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
@@ -294,7 +296,7 @@
 
     def _list_staying(self, service: ServiceName, now: float) -> list[Upstream]:
         """Return the upstreams of a service that are listed and not away for a change of their part."""
-        return self.changes.pass_over(self.listing.list_usable(service, now), now)
+        return self.changes.exclude_changing(self.listing.list_usable(service, now), now)
 
     def _note_cold(self, entries: Sequence[Entry], source: str) -> None:
         """Write one line on the upstreams that turned cold, and look in a while which of them are warm."""
@@ -433,14 +435,14 @@
         """Return how many requests are still under way at upstreams of emptied halls."""
         return sum(self.count_in(hall) for hall in self.eligibility.evacuations.list_evacuated())
 
-    def take_change(self, upstream: UpstreamId, news: ChangeNews, source: str) -> None:
+    def take_change(self, upstream: UpstreamId, news: PhaseChangeUpdate, source: str) -> None:
         """Take in that an engine was ordered to play another part."""
         found = self.listing.find(upstream)
         if found is None or found.phase is news.phase:
             return
-        if self.changes.take(upstream, news, self.clock.now()):
+        if self.changes.apply_update(upstream, news, self.clock.now()):
             self.journal.write(
-                "LISTING", "changing", upstream=upstream, phase=news.phase.value, certain=news.certain, source=source
+                "LISTING", "changing", upstream=upstream, phase=news.phase.value, certain=news.confirmed, source=source
             )
             self.on_change()
 
@@ -458,7 +460,7 @@
         budget.terms = self.terms.budget
         return budget
 
-    def find_demand(self, service: ServiceName) -> Demand:
+    def find_demand(self, service: ServiceName) -> DemandEstimator:
         """Return what this VM's streams ask of a service."""
         return self._demands[service]
 
@@ -482,11 +484,11 @@
         reading = self.paces.get_prefill(service)
         whole = self.paces.get_decode(service)
         return DemandReport(
-            prompt_rate=round(demand.count_prompt_rate(now)),
-            wait_rate=round(demand.count_wait_rate(now), 2),
-            mean_prompt_tokens=round(demand.prompt),
-            mean_answer_tokens=round(demand.answer),
-            mean_residence_s=round(demand.find_residence(now), 2),
+            prompt_rate=round(demand.compute_prompt_rate(now)),
+            wait_rate=round(demand.compute_wait_rate(now), 2),
+            mean_prompt_tokens=round(demand.mean_prompt_tokens),
+            mean_answer_tokens=round(demand.mean_answer_tokens),
+            mean_residence_s=round(demand.estimate_residence(now), 2),
             prefill_rate=round(reading.model.rate) if reading.fitted else 0.0,
             prefill_overhead_s=round(reading.model.overhead, 3),
             decode_prefill_rate=round(whole.model.rate) if whole.fitted else 0.0,
@@ -519,7 +521,7 @@
         self.find_budget(place.service.name).record_request(self.clock.now())
         if place.service.engine is not None:
             answer = self.find_lengths(place.service.name).compute_mean_tokens(facts)
-            self.find_demand(place.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
+            self.find_demand(place.service.name).record_prompt(facts.prompt_tokens, answer, self.clock.now())
         exchange = RelayExchange(
             self,
             incoming,
@@ -561,7 +563,7 @@
 
     def _refuse_held(self, fingerprint: Fingerprint) -> _Refusal | None:
         """Return how a request is refused that ends what runs it, None where it does not."""
-        hold = self.quarantine.find_hold(fingerprint, self.clock.now())
+        hold = self.quarantine.get_hold(fingerprint, self.clock.now())
         if hold is None:
             return None
         self.tally.count("quarantine_refusals_total")
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -1,4 +1,4 @@
-"""What the streams of all VMs together ask of the engines, from what the VMs tell each other."""
+"""Demand of all VMs on the engines, from the reports that VMs send each other."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.prefill_model import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
-from beamhatch.relay.engines.balancing import Pressure
-from beamhatch.relay.engines.throughput import EngineFigures
+from beamhatch.relay.engines.balancing import ServiceDemand
+from beamhatch.relay.engines.throughput import CapacityParameters
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.fleet.peer_values import PeerValues
 
@@ -19,38 +19,40 @@
 
 
 class FleetDemand(PeerValues[Mapping[str, DemandReport]]):
-    """The newest report of each VM that this one has a connection to, by service."""
+    """The latest demand report of each connected VM, by service."""
 
     __slots__ = ()
 
-    def find_pressure(self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float) -> Pressure:
-        """Return what all VMs ask of a service; those that were not heard are taken to ask as much as the others.
+    def compute_service_demand(
+        self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float
+    ) -> ServiceDemand:
+        """Return the demand of all VMs on a service, scaled up for VMs without a report.
 
-        :param own: what this VM's own streams ask
-        :param vms: how many VMs there are
+        :param own: this VM's own report
+        :param vms: number of VMs
         """
-        reports = [own, *(told.get(service, DemandReport()) for told in self.list_values(now))]
+        reports = [own, *(by_service.get(service, DemandReport()) for by_service in self.list_values(now))]
         scale = max(1.0, vms / len(reports))
         prompt_rate = scale * sum(report.prompt_rate for report in reports)
         wait_rate = scale * sum(report.wait_rate for report in reports)
-        return Pressure(prompt_rate, wait_rate, _find_figures(engine, reports))
+        return ServiceDemand(prompt_rate, wait_rate, _compute_parameters(engine, reports))
 
 
-def _find_figures(engine: Engine, reports: Sequence[DemandReport]) -> EngineFigures:
-    """Return what is known of the engines and of streams: means by traffic, and what most VMs found of the engines."""
+def _compute_parameters(engine: Engine, reports: Sequence[DemandReport]) -> CapacityParameters:
+    """Return the capacity parameters: means weighted by prompt rate, and medians of the prefill rates."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
     if not total:
         weights, total = [1.0] * len(reports), float(len(reports))
-    weighed = list(zip(weights, reports, strict=True))
-    read_rates = [report.prefill_rate for report in reports if report.prefill_rate]
-    read_rate = median(read_rates) if read_rates else DEFAULT_TOKENS_PER_S
-    whole_rates = [report.decode_prefill_rate for report in reports if report.decode_prefill_rate]
-    return EngineFigures(
+    weighted = list(zip(weights, reports, strict=True))
+    prefill_rates = [report.prefill_rate for report in reports if report.prefill_rate]
+    prefill_rate = median(prefill_rates) if prefill_rates else DEFAULT_TOKENS_PER_S
+    local_prefill_rates = [report.decode_prefill_rate for report in reports if report.decode_prefill_rate]
+    return CapacityParameters(
         kv_tokens=engine.kv_tokens,
-        prompt=sum(weight * report.mean_prompt_tokens for weight, report in weighed) / total,
-        answer=sum(weight * report.mean_answer_tokens for weight, report in weighed) / total,
-        residence=max(0.001, sum(weight * report.mean_residence_s for weight, report in weighed) / total),
-        read_rate=read_rate,
-        whole_rate=median(whole_rates) if whole_rates else DECODE_RATE_FACTOR * read_rate,
+        prompt_tokens=sum(weight * report.mean_prompt_tokens for weight, report in weighted) / total,
+        answer_tokens=sum(weight * report.mean_answer_tokens for weight, report in weighted) / total,
+        residence_s=max(0.001, sum(weight * report.mean_residence_s for weight, report in weighted) / total),
+        prefill_rate=prefill_rate,
+        local_prefill_rate=median(local_prefill_rates) if local_prefill_rates else DECODE_RATE_FACTOR * prefill_rate,
     )
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -43,7 +43,7 @@
     from beamhatch.relay.api import Documents
     from beamhatch.relay.choosing.prefill_model import PrefillSample
     from beamhatch.relay.core import Core
-    from beamhatch.relay.engines.balancing import Pressure
+    from beamhatch.relay.engines.balancing import ServiceDemand
     from beamhatch.relay.fleet.departure_gossip import DepartureGossip
     from beamhatch.relay.fleet.membership import Membership, Mention
     from beamhatch.relay.limits.talk import LimitTalk
@@ -108,7 +108,7 @@
         self.membership = membership
         core.quarantine_talk.list_connections = self.list_connections
         core.quarantine_talk.hall = membership.own.hall
-        core.quarantine_talk.hands_on = self.is_aggregator
+        core.quarantine_talk.forwards_updates = self.is_aggregator
         self._documents = documents
         self._vm = vm
         self._traffic = PeerTraffic(core.tally, membership.own.hall, core.places)
@@ -345,12 +345,12 @@
 
     # --- fleet-wide figures ------------------------------------------------------------------------------------------
 
-    def compute_pressure(self, service: Service) -> Pressure:
+    def compute_pressure(self, service: Service) -> ServiceDemand:
         """Return the estimated demand of all VMs for a service, extrapolated from recent reports."""
         assert service.engine is not None
         own = self.core.report_demand(service.name)
         now = self.clock.now()
-        return self._fleet.find_pressure(service.name, service.engine, own, self.membership.size, now)
+        return self._fleet.compute_service_demand(service.name, service.engine, own, self.membership.size, now)
 
     def get_reachable_share(self) -> float:
         """Return the share of all VMs that are in contact with this one, as of the last regular heartbeat."""
@@ -381,7 +381,7 @@
         """Handle messages on single upstreams and on requests that crash them; pass on any other."""
         match message:
             case QuarantineUpdate():
-                self.core.quarantine_talk.take(connection, message)
+                self.core.quarantine_talk.handle_message(connection, message)
             case DepartureUpdate():
                 if self.departures is not None:
                     self.departures.handle_update(connection, message)
@@ -432,7 +432,7 @@
             self.membership.record_alive(mention.member, mention.age, now)
         self.core.vms = self.membership.size
         if is_new:
-            self.core.quarantine_talk.tell_all(connection)
+            self.core.quarantine_talk.send_all(connection)
             if self.departures is not None:
                 self.departures.send_pending(connection)
             if self.limits is not None:
@@ -498,7 +498,7 @@
             core.revision,
             core.report_demands(),
             core.standings.list_failing(MIN_FAULT_SHARE, now),
-            core.changes.list_news(now),
+            core.changes.list_updates(now),
             core.standings.list_pending_prefill(),
             list(readings),
             evacuations.list_updates() if evacuations.complete and not evacuations.has_overflowed else None,
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from beamhatch.relay.choosing.prefill_model import PrefillSample
-from beamhatch.relay.engines.changing import ChangeNews
+from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
 from beamhatch.relay.limits.words import LimitWord, Spent
 from beamhatch.relay.model import Life
-from beamhatch.relay.quarantine.ends import EndNews
-from beamhatch.relay.quarantine.quarantine import ClearNews, HoldNews
+from beamhatch.relay.quarantine.crashes import CrashUpdate
+from beamhatch.relay.quarantine.quarantine import ClearUpdate, HoldUpdate
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.usage import HallUsage, RatesByWorkspace
 
@@ -76,7 +76,7 @@
     """Demand by service; that of omitted services is unchanged."""
     faulty: dict[str, float] = {}
     """Share of the sender's recent requests that failed, by upstream."""
-    changing: dict[str, ChangeNews] = {}
+    changing: dict[str, PhaseChangeUpdate] = {}
     """Engines that were ordered to change their phase."""
     reading: dict[str, int] | None = None
     """Prompt tokens of the sender that are yet to be processed, by engine; to another hall, only for its engines."""
@@ -112,11 +112,11 @@
 class QuarantineUpdate(msgspec.Struct, tag="quarantine", frozen=True):
     """What the receiver may not know of requests that crash upstreams."""
 
-    ends: list[EndNews]
+    ends: list[CrashUpdate]
     """Crashes of upstreams, with the runs that were interrupted."""
-    cleared: list[ClearNews]
+    cleared: list[ClearUpdate]
     """Requests that completed without a crash."""
-    holds: list[HoldNews]
+    holds: list[HoldUpdate]
     """Requests whose quarantine is recorded in the store."""
 
 
--- a/src/beamhatch/relay/fleet/peer_state.py
+++ b/src/beamhatch/relay/fleet/peer_state.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from beamhatch.relay.engines.changing import ChangeNews
+    from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.fleet.membership import Member
     from beamhatch.relay.model import Life
@@ -72,7 +72,7 @@
     _demands: dict[str, DemandReport] = field(default_factory=dict)
     _faulty: dict[str, tuple[float, float]] = field(default_factory=dict)
     """Fault share and send time by upstream."""
-    _changing: dict[str, tuple[ChangeNews, float]] = field(default_factory=dict)
+    _changing: dict[str, tuple[PhaseChangeUpdate, float]] = field(default_factory=dict)
     _evacuations: dict[str, int] | None = None
     """Revision by hall; None before any were sent."""
     departures: set[Life] = field(default_factory=set)
@@ -122,11 +122,11 @@
         sent = self._faulty.get(upstream)
         return sent is None or share >= sent[0] + MIN_FAULT_RISE or now - sent[1] >= RESEND_INTERVAL_S
 
-    def _is_change_due(self, upstream: str, change: ChangeNews, now: float) -> bool:
+    def _is_change_due(self, upstream: str, change: PhaseChangeUpdate, now: float) -> bool:
         sent = self._changing.get(upstream)
         if sent is None or now - sent[1] >= RESEND_INTERVAL_S:
             return True
-        return (sent[0].phase, sent[0].certain) != (change.phase, change.certain)
+        return (sent[0].phase, sent[0].confirmed) != (change.phase, change.confirmed)
 
     def _select_evacuations(self, heartbeat: Heartbeat) -> list[Evacuation] | None:
         """Return all evacuations if any changed, else None: the receiver ends those that are missing from the list."""
--- /dev/null
+++ b/src/beamhatch/relay/quarantine/gossip.py
@@ -0,0 +1,296 @@
+"""Gossip between VMs on crashes of upstreams and quarantines.
+
+Each VM sends its peers the crashes that it saw; these forward what is new to them. A peer that connects is sent
+everything.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from beamhatch.relay.fleet.gossip_message import QuarantineUpdate
+from beamhatch.relay.fleet.throttle import Throttle
+from beamhatch.relay.quarantine.crashes import SAME_CRASH_WINDOW_S, CrashUpdate
+from beamhatch.relay.quarantine.detection import MIN_RUN_S, CrashDetector
+from beamhatch.relay.quarantine.quarantine import HOLD_S, ClearUpdate, HoldUpdate
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Sequence, Set
+
+    from beamhatch.clock import Clock
+    from beamhatch.observe.journal import Journal
+    from beamhatch.observe.tally import Tally
+    from beamhatch.relay.fleet.peer_connection import PeerConnection
+    from beamhatch.relay.model import Address, Fingerprint, Upstream
+    from beamhatch.relay.quarantine.quarantine import Hold, Quarantine
+    from beamhatch.relay.upstreams.http_client import Connection
+
+SEND_INTERVAL_S = 0.1
+"""Minimum interval between two messages to each peer, in seconds."""
+
+ATTRIBUTION_DELAY_S = 0.3
+"""Delay between the first update on a crash and its attribution, for updates of other VMs to arrive."""
+
+ANNOUNCE_SUCCESS_MIN_CRASHES = 2
+"""Minimum number of crashes of a request for its success to be announced at once.
+
+Below it, a success is announced only when a later crash names the request, which saves messages on co-running streams.
+"""
+
+MAX_ANNOUNCED_CRASHES = 64
+"""Maximum number of crashes that a newly connected peer is sent, the newest."""
+
+MAX_LOGGED_UPSTREAMS = 8
+"""Maximum number of upstreams in one log line."""
+
+Item = CrashUpdate | ClearUpdate | HoldUpdate
+
+
+@dataclass(frozen=True, slots=True)
+class _Unsent:
+    item: Item
+    source: PeerConnection | None
+    """The connection on which it was received; None for this VM's own."""
+    received_at: float
+
+
+@dataclass(frozen=True, slots=True)
+class QuarantineGossipDependencies:
+    """Dependencies of ``QuarantineGossip``."""
+
+    clock: Clock
+    journal: Journal
+    tally: Tally
+    quarantine: Quarantine
+    list_open_connections: Callable[[Address], Set[Connection]]
+    """Returns the open connections to an upstream."""
+    reject_waiting: Callable[[Fingerprint], None]
+    """Rejects all callers that wait with a quarantined request."""
+
+
+class QuarantineGossip:
+    """Gossip on the quarantine of one VM."""
+
+    def __init__(self, dependencies: QuarantineGossipDependencies) -> None:
+        self._clock = dependencies.clock
+        self._journal = dependencies.journal
+        self._tally = dependencies.tally
+        self.quarantine = dependencies.quarantine
+        self._reject_waiting = dependencies.reject_waiting
+        self.list_connections: Callable[[], Iterable[PeerConnection]] = list
+        """Returns the established connections to peers."""
+        self.hall = ""
+        """Hall of this VM."""
+        self.forwards_updates: Callable[[], bool] = lambda: True
+        """Returns whether this VM forwards updates of peers."""
+        self.on_hold: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
+        """Called with a request quarantined by crashes seen here, and whether this VM saw the last one."""
+        self.on_clear: Callable[[Fingerprint], None] = lambda fingerprint: None
+        """Called with a request that succeeded here and whose quarantine is stored."""
+        self._detector = CrashDetector(dependencies.clock, dependencies.list_open_connections, self._handle_crash)
+        self._throttle = Throttle(dependencies.clock, SEND_INTERVAL_S, self._send_pending)
+        self._unsent: list[_Unsent] = []
+        self._last_local_crash: dict[Fingerprint, float] = {}
+        """Time at which a run of each request last broke here by a crash."""
+        self._attribution_scheduled = False
+
+    # --- local events -------------------------------------------------------------------------------------------------
+
+    def record_broken_run(
+        self, upstream: Upstream, fingerprint: Fingerprint, duration: float, *, answering: bool
+    ) -> None:
+        """Record that a run's connection closed before its response was complete.
+
+        :param answering: whether the upstream had started to respond; if not, runs below ``MIN_RUN_S`` are ignored
+        """
+        if not answering and duration < MIN_RUN_S:
+            return
+        if self.quarantine.succeeded_recently(fingerprint, self._clock.now()):
+            self._tally.count("quarantine_excused_total")
+            return
+        self._detector.record_broken_run(upstream, fingerprint, duration)
+
+    def record_success(self, fingerprint: Fingerprint) -> None:
+        """Record a success, and announce it if it clears a quarantine or several crashes."""
+        now = self._clock.now()
+        was_stored = self.quarantine.is_stored(fingerprint, now)
+        result = self.quarantine.record_success(fingerprint, now)
+        if result is None:
+            return
+        if result.was_held:
+            self._report_clear(fingerprint, "a run here came to a good end")
+        if result.was_held or result.crash_count >= ANNOUNCE_SUCCESS_MIN_CRASHES:
+            self._enqueue(ClearUpdate(fingerprint, 0.0), None)
+        if was_stored:
+            self.on_clear(fingerprint)
+
+    def record_stored(self, fingerprint: Fingerprint) -> None:
+        """Record that the quarantine of a request was stored."""
+        self._apply_hold(HoldUpdate(fingerprint, 0.0, HOLD_S), None)
+
+    def apply_stored(self, stored: Sequence[Fingerprint]) -> None:
+        """Apply the complete list of stored quarantines.
+
+        The store does not return when each was written, so requests cleared within ``HOLD_S`` stay cleared.
+        """
+        for fingerprint in stored:
+            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+        self.quarantine.retain_stored(stored)
+
+    def apply_restored(self, stored: Sequence[Fingerprint], first: bool) -> None:
+        """Apply the quarantines in a restored store, and write or remove those that differ from the ones in force.
+
+        A backup lacks later changes, so a missing key ends no quarantine.
+
+        :param first: whether this VM writes without delay
+        """
+        now = self._clock.now()
+        for fingerprint in self.quarantine.mark_missing(stored, now):
+            self.on_hold(fingerprint, first)
+        for fingerprint in self.quarantine.list_cleared_among(stored, now):
+            self.on_clear(fingerprint)
+        for fingerprint in stored:
+            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+
+    def _handle_crash(self, update: CrashUpdate) -> None:
+        now = self._clock.now()
+        self._tally.count("upstream_ends_total")
+        self._journal.write("QUARANTINE", "upstream ended", upstream=update.upstream, runs=len(update.runs))
+        for run in update.runs:
+            self._last_local_crash[run.fingerprint] = now
+        self._apply_crash(update, None)
+
+    # --- messages of peers --------------------------------------------------------------------------------------------
+
+    def handle_message(self, connection: PeerConnection, message: QuarantineUpdate) -> None:
+        """Apply a message of a peer."""
+        for cleared in message.cleared:
+            self._apply_clear(cleared, connection)
+        for hold in message.holds:
+            self._apply_hold(hold, connection)
+        for crash in message.ends:
+            self._apply_crash(crash, connection)
+
+    def send_all(self, connection: PeerConnection) -> None:
+        """Send a newly connected peer the known crashes and stored quarantines."""
+        now = self._clock.now()
+        crashes = [crash.to_update(now) for crash in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
+        holds = self.quarantine.list_stored(now)
+        if crashes or holds:
+            connection.send(QuarantineUpdate(crashes, [], holds))
+
+    def _apply_crash(self, update: CrashUpdate, source: PeerConnection | None) -> None:
+        now = self._clock.now()
+        added = self.quarantine.apply_crash(update, now)
+        if added is None:
+            return
+        self._enqueue(added, source)
+        for cleared in self.quarantine.list_clear_updates(added, now):
+            self._enqueue(cleared, None)
+        if not self._attribution_scheduled:
+            self._attribution_scheduled = True
+            self._clock.call_later(ATTRIBUTION_DELAY_S, self._attribute)
+
+    def _apply_clear(self, update: ClearUpdate, source: PeerConnection) -> None:
+        now = self._clock.now()
+        was_held = self.quarantine.get_hold(update.fingerprint, now) is not None
+        if self.quarantine.clear(update.fingerprint, now - update.age):
+            self._enqueue(update, source)
+        if was_held and self.quarantine.get_hold(update.fingerprint, now) is None:
+            self._report_clear(update.fingerprint, f"peer {source.vm}")
+
+    def _apply_hold(self, update: HoldUpdate, source: PeerConnection | None) -> None:
+        now = self._clock.now()
+        if self.quarantine.apply_stored_hold(update, now):
+            hold = self.quarantine.get_hold(update.fingerprint, now)
+            self._report_hold(update.fingerprint, hold, "the store" if source is None else f"peer {source.vm}")
+            self._reject_waiting(update.fingerprint)
+            self._enqueue(update, source)
+
+    # --- attribution --------------------------------------------------------------------------------------------------
+
+    def _attribute(self) -> None:
+        self._attribution_scheduled = False
+        now = self._clock.now()
+        for fingerprint in self.quarantine.attribute(now):
+            self._report_hold(fingerprint, self.quarantine.get_hold(fingerprint, now), "ends")
+            self._reject_waiting(fingerprint)
+            last_local_crash = self._last_local_crash.get(fingerprint)
+            if last_local_crash is not None:
+                self.on_hold(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
+        self._last_local_crash = {
+            found: at for found, at in self._last_local_crash.items() if self.quarantine.crashes.count(found)
+        }
+
+    def _report_hold(self, fingerprint: Fingerprint, hold: Hold | None, source: str) -> None:
+        upstreams = [crash.upstream for crash in self.quarantine.crashes if fingerprint in crash.run_durations]
+        self._tally.count("quarantines_total", "begun")
+        self._journal.write(
+            "QUARANTINE",
+            "begun",
+            fingerprint=fingerprint.hex(),
+            ends=0 if hold is None else hold.crash_count,
+            upstreams=upstreams[-MAX_LOGGED_UPSTREAMS:],
+            seconds=0 if hold is None else round(hold.until - self._clock.now(), 1),
+            source=source,
+        )
+
+    def _report_clear(self, fingerprint: Fingerprint, source: str) -> None:
+        self._tally.count("quarantines_total", "cleared")
+        self._journal.write("QUARANTINE", "cleared", fingerprint=fingerprint.hex(), source=source)
+
+    # --- sending ------------------------------------------------------------------------------------------------------
+
+    def _enqueue(self, item: Item, source: PeerConnection | None) -> None:
+        self._unsent.append(_Unsent(item, source, self._clock.now()))
+        self._throttle.request()
+
+    def _send_pending(self) -> None:
+        unsent, self._unsent = self._unsent, []
+        now = self._clock.now()
+        forwards = self.forwards_updates()
+        for connection in self.list_connections():
+            items = [
+                _add_age(one.item, now - one.received_at)
+                for one in unsent
+                if one.source is not connection and (forwards or self._is_sender_for(connection, one.source))
+            ]
+            if items:
+                connection.send(_make_message(items))
+
+    def _is_sender_for(self, connection: PeerConnection, source: PeerConnection | None) -> bool:
+        """Return whether this VM must send an update even if it does not forward.
+
+        It sends its own updates, and those from other halls to peers in its own hall.
+        """
+        return source is None or (source.hall != self.hall and connection.hall == self.hall)
+
+
+def _add_age(item: Item, seconds: float) -> Item:
+    """Return an item with the seconds since it was received added to its age."""
+    aged = msgspec.structs.replace(item, age=round(item.age + seconds, 3))
+    return msgspec.structs.replace(aged, remaining=item.remaining - seconds) if isinstance(item, HoldUpdate) else aged
+
+
+def _make_message(items: list[Item]) -> QuarantineUpdate:
+    return QuarantineUpdate(
+        _merge_crashes(item for item in items if isinstance(item, CrashUpdate)),
+        [item for item in items if isinstance(item, ClearUpdate)],
+        [item for item in items if isinstance(item, HoldUpdate)],
+    )
+
+
+def _merge_crashes(updates: Iterable[CrashUpdate]) -> list[CrashUpdate]:
+    """Return updates with those on the same crash merged."""
+    merged: dict[str, CrashUpdate] = {}
+    separate = []
+    for one in updates:
+        first = merged.setdefault(one.upstream, one)
+        if abs(first.age - one.age) >= SAME_CRASH_WINDOW_S:
+            separate.append(one)
+        elif first is not one:
+            merged[one.upstream] = CrashUpdate(first.upstream, first.age, [*first.runs, *one.runs])
+    return [*merged.values(), *separate]
--- /dev/null
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -0,0 +1,100 @@
+"""Write quarantines to the store, so that they outlast a restart of all VMs."""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet import defer
+
+from beamhatch.clock import sleep
+from beamhatch.relay.api import StoreLost
+from beamhatch.relay.quarantine.quarantine import HOLD_S
+
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+    from beamhatch.relay.api import Store
+    from beamhatch.relay.core import Core
+    from beamhatch.relay.model import Fingerprint
+
+STANDBY_DELAY_S = 1.0, 2.0
+"""Range of the delay of VMs that did not see the last crash; the VM that did writes first."""
+
+MIN_RETRY_DELAY_S = 0.5
+"""Initial delay before a failed call to the store is retried; doubled with each retry."""
+
+MAX_RETRY_DELAY_S = 8.0
+"""Maximum delay between two retries."""
+
+
+class QuarantinePersistence:
+    """Writer of quarantines to the store, with retries."""
+
+    def __init__(self, core: Core, store: Store) -> None:
+        self.core = core
+        self._store = store
+        self._writing: set[Fingerprint] = set()
+        """Requests whose write is scheduled or running."""
+
+    def add(self, fingerprint: Fingerprint, immediately: bool) -> None:
+        """Schedule a write of a request's quarantine, unless one is scheduled already.
+
+        :param immediately: write without delay, as this VM saw the last crash
+        """
+        if fingerprint in self._writing:
+            return
+        self._writing.add(fingerprint)
+        delay = 0.0 if immediately else random.uniform(*STANDBY_DELAY_S)
+        self.core.clock.call_later(delay, self._run, self._add, fingerprint)
+
+    def remove(self, fingerprint: Fingerprint) -> None:
+        """Remove a request's quarantine from the store."""
+        self._run(self._remove, fingerprint)
+
+    def _run(self, work: Callable[[Fingerprint], Awaitable[None]], fingerprint: Fingerprint) -> None:
+        running = defer.ensureDeferred(work(fingerprint))
+        running.addErrback(self._report_failure)
+
+    async def _add(self, fingerprint: Fingerprint) -> None:
+        try:
+            await self._write(fingerprint)
+        finally:
+            self._writing.discard(fingerprint)
+
+    async def _write(self, fingerprint: Fingerprint) -> None:
+        quarantine = self.core.quarantine
+        delay = MIN_RETRY_DELAY_S
+        while not quarantine.is_stored(fingerprint, now := self.core.clock.now()):
+            hold = quarantine.get_hold(fingerprint, now)
+            if hold is None:
+                return  # cleared, or the crashes are now attributed to another request
+            lost = await self._store.keep_quarantine(fingerprint, min(HOLD_S, hold.until - now))
+            if lost is None:
+                self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
+                self.core.quarantine_talk.record_stored(fingerprint)
+                return
+            delay = await self._wait_before_retry(fingerprint, lost, delay)
+
+    async def _remove(self, fingerprint: Fingerprint) -> None:
+        """Remove the key, with retries until its lease has expired.
+
+        VMs that start later would quarantine the request while the key exists.
+        """
+        until = self.core.clock.now() + HOLD_S
+        pause = MIN_RETRY_DELAY_S
+        while self.core.quarantine.get_hold(fingerprint, now := self.core.clock.now()) is None and now < until:
+            lost = await self._store.end_quarantine(fingerprint)
+            if lost is None:
+                return
+            pause = await self._wait_before_retry(fingerprint, lost, pause)
+
+    async def _wait_before_retry(self, fingerprint: Fingerprint, lost: StoreLost, delay: float) -> float:
+        """Wait before the next try; return the delay of the one after it."""
+        self.core.tally.count("store_failures_total", "quarantine")
+        self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=lost.detail)
+        await sleep(self.core.clock, delay * random.uniform(0.7, 1.3))
+        return min(MAX_RETRY_DELAY_S, 2 * delay)
+
+    def _report_failure(self, failure: Any) -> None:
+        self.core.journal.write("QUARANTINE", "keeping failed", error=failure.getTraceback())
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -163,7 +163,7 @@
     def _plan(self, now: float) -> Step:
         request = self.request
         service = request.service.name
-        hold = self.core.quarantine.find_hold(self.fingerprint, now)
+        hold = self.core.quarantine.get_hold(self.fingerprint, now)
         if hold is not None:  # a run in progress continues: if it succeeds, the request leaves quarantine
             self.core.tally.count("quarantine_refusals_total")
             wait = math.ceil(hold.until - now)
@@ -179,7 +179,7 @@
         shortage = None if can_proceed else self.core.find_lack(service, request.regions)
         if shortage is not None:
             self.core.tally.count("shut_total", shortage.obstacle.name.lower())
-            self.core.find_demand(service).drop_prompt(request.facts.prompt_tokens)
+            self.core.find_demand(service).discard_last_prompt(request.facts.prompt_tokens)
             if shortage.obstacle is Obstacle.LIMITED:
                 retry_after_s = self.core.promise_turn(service, shortage)
             else:
@@ -332,7 +332,7 @@
             self._execute(self.request.refuse_memory_full())
             return
         if not self._in_queue:
-            self.core.find_demand(self.request.service.name).note_wait(now)
+            self.core.find_demand(self.request.service.name).record_wait(now)
         began_to_wait = (
             self.request.reservation_lost or self.request.may_have_run or self._cold_wait_began_at is not None
         )
@@ -535,7 +535,7 @@
     def _predict_memory_wait(self) -> float:
         """Return the time in which decode memory should be freed, from how long streams hold it, with jitter."""
         now = self.core.clock.now()
-        residence = self.core.find_demand(self.request.service.name).find_residence(now)
+        residence = self.core.find_demand(self.request.service.name).estimate_residence(now)
         time_left = self.deadline - now
         return min(residence * random.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER), MAX_RETRY_AFTER_SHARE * time_left)
 
@@ -661,7 +661,7 @@
         """Record how long decode memory was held before the first event."""
         if self._memory_acquired_at is not None and not self.request.response_begun:
             seconds = self.core.clock.now() - self._memory_acquired_at
-            self.core.find_demand(self.request.service.name).note_first_event(seconds)
+            self.core.find_demand(self.request.service.name).record_first_event(seconds)
 
     @property
     def hall(self) -> str | None:
--- a/tests/relay/engines/test_leadership.py
+++ b/tests/relay/engines/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who gives orders: one VM at a time, whatever the store does to its leases."""
+"""Leadership: at most one VM gives orders, even if the store ends leases early."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from beamhatch.relay.engines.leadership import LEASE_TIME, ORDER_TIME, LastOrder, Tenure
+from beamhatch.relay.engines.leadership import LEASE_TTL_S, ORDER_MARGIN_S, LastOrder, LeaseState
 
 TURN = 3.0
 VMS = 3
@@ -16,24 +16,24 @@
 
 @dataclass
 class LeaseStore:
-    """Grants one lease at a time; it may end one early, and tells nobody."""
+    """Store that grants one lease at a time and may end it early without notice."""
 
     revision: int = 0
     last_order: int = 0
-    """The revision at which an order was last written down."""
+    """Revision at which an order was last recorded."""
     token: int = 0
-    """The revision of the claim that stands."""
+    """Revision of the current claim."""
     holder: int | None = None
     ends_at: float = 0.0
     renewed_anyway: int | None = None
-    """Who is told that its lease goes on although its claim is gone."""
+    """VM whose renewals succeed although its claim is gone."""
 
     def claim(self, vm: int, now: float, last_order: int) -> int | None:
         if (self.holder is not None and now < self.ends_at) or last_order != self.last_order:
             return None
         self.revision += 1
         self.token = self.revision
-        self.holder, self.ends_at = vm, now + LEASE_TIME
+        self.holder, self.ends_at = vm, now + LEASE_TTL_S
         return self.revision
 
     def keep(self, vm: int, now: float) -> bool:
@@ -41,13 +41,13 @@
             return True
         if self.holder != vm or now >= self.ends_at:
             return False
-        self.ends_at = now + LEASE_TIME
+        self.ends_at = now + LEASE_TTL_S
         return True
 
 
 @dataclass
 class LateAnswer:
-    """An answer of the store that is still on its way."""
+    """An answer of the store in transit."""
 
     vm: int
     sent_at: float
@@ -57,7 +57,7 @@
 
 @dataclass
 class Given:
-    """An order that was given."""
+    """An order that was sent."""
 
     at: float
     vm: int
@@ -65,7 +65,7 @@
 
 
 class LeadershipMachine(RuleBasedStateMachine):
-    """VMs that claim, renew, stand still and order, with a store that is slow, loses answers and ends leases early."""
+    """VMs that claim, renew, pause and order, with a store that is slow, loses answers and ends leases early."""
 
     vms = st.integers(0, VMS - 1)
 
@@ -73,7 +73,7 @@
         super().__init__()
         self.now = 0.0
         self.store = LeaseStore()
-        self.tenures = [Tenure(turn_time=TURN) for _ in range(VMS)]
+        self.tenures = [LeaseState(handover_time=TURN) for _ in range(VMS)]
         self.seen = [LastOrder() for _ in range(VMS)]
         self.late: list[LateAnswer] = []
         self.orders: list[Given] = []
@@ -86,7 +86,7 @@
     def look(self, vm: int, delay: float) -> None:
         revision = self.store.last_order
         self.now += delay
-        self.seen[vm].take(revision, self.now)
+        self.seen[vm].record(revision, self.now)
 
     @rule(vm=vms, delay=st.floats(0, 1.0), answered=st.booleans())
     def claim(self, vm: int, delay: float, answered: bool) -> None:
@@ -134,8 +134,8 @@
             self.store.revision += 1
             self.store.last_order = self.store.revision
         self.now += delay
-        if stands and delay < ORDER_TIME / 2 and tenure.may_order(self.now):
-            assert self.now - sent_at < ORDER_TIME
+        if stands and delay < ORDER_MARGIN_S / 2 and tenure.may_order(self.now):
+            assert self.now - sent_at < ORDER_MARGIN_S
             self.orders.append(Given(self.now, vm, tenure.token))
 
     @invariant()
@@ -150,10 +150,10 @@
 TestLeadership = LeadershipMachine.TestCase
 
 
-def test_a_holder_orders_a_lease_and_a_turn_behind_the_last_order_and_not_at_the_end_of_its_lease() -> None:
-    tenure = Tenure(turn_time=TURN)
+def test_orders_wait_for_handover_and_stop_before_lease_ends() -> None:
+    tenure = LeaseState(handover_time=TURN)
     last = LastOrder()
-    last.take(5, 99.0)
+    last.record(5, 99.0)
     tenure.begin(7, 100.0, last)
     assert not tenure.may_order(101.9)
     for second in range(101, 120):
@@ -166,29 +166,29 @@
     assert not tenure.holds(122.1)
 
 
-def test_a_holder_orders_at_once_where_no_order_was_ever_given() -> None:
-    tenure = Tenure(turn_time=TURN)
+def test_leader_orders_at_once_if_no_order_was_ever_given() -> None:
+    tenure = LeaseState(handover_time=TURN)
     last = LastOrder()
-    last.take(0, 100.0)
+    last.record(0, 100.0)
     tenure.begin(7, 100.0, last)
     assert tenure.may_order(100.1)
 
 
-def test_an_order_is_no_older_than_when_it_was_first_seen() -> None:
+def test_age_of_order_counts_from_when_it_was_first_seen() -> None:
     last = LastOrder()
-    last.take(5, 100.0)
-    last.take(5, 110.0)
-    assert last.find_turn(TURN) == 100.0 + LEASE_TIME + TURN + 0.5
-    last.take(8, 120.0)
-    assert last.find_turn(TURN) == 120.0 + LEASE_TIME + TURN + 0.5
+    last.record(5, 100.0)
+    last.record(5, 110.0)
+    assert last.compute_handover(TURN) == 100.0 + LEASE_TTL_S + TURN + 0.5
+    last.record(8, 120.0)
+    assert last.compute_handover(TURN) == 120.0 + LEASE_TTL_S + TURN + 0.5
 
 
-def test_an_order_that_a_restore_lost_counts_as_given_when_that_is_seen() -> None:
-    """The VM may have looked before any order was given, and again when the store had lost it: both times none."""
+def test_order_lost_in_restore_counts_as_given_when_noticed() -> None:
+    """A VM that reads before any order and again after the store lost one sees none both times."""
     last = LastOrder()
-    last.take(0, 100.0)
-    assert last.find_turn(TURN) < 100.0
-    last.take(0, 200.0, may_be_lost=True)
-    assert last.find_turn(TURN) >= 200.0 + LEASE_TIME + TURN
-    last.take(0, 203.0)
-    assert last.find_turn(TURN) >= 200.0 + LEASE_TIME + TURN
+    last.record(0, 100.0)
+    assert last.compute_handover(TURN) < 100.0
+    last.record(0, 200.0, may_be_lost=True)
+    assert last.compute_handover(TURN) >= 200.0 + LEASE_TTL_S + TURN
+    last.record(0, 203.0)
+    assert last.compute_handover(TURN) >= 200.0 + LEASE_TTL_S + TURN
--- a/tests/relay/fleet/test_peer_state.py
+++ b/tests/relay/fleet/test_peer_state.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from beamhatch.relay.engines.changing import ChangeNews
+from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.gossip_message import DemandReport, Heartbeat, decode, encode
 from beamhatch.relay.fleet.peer_state import (
@@ -101,11 +101,13 @@
 
 def test_an_engine_change_is_sent_again_once_certain_or_after_the_resend_interval() -> None:
     sent, received = SentState(), ReceivedState()
-    first = {"e": ChangeNews(Phase.DECODE, 9.0, False)}
-    certain = {"e": ChangeNews(Phase.DECODE, 8.0, True)}
+    first = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, False)}
+    certain = {"e": PhaseChangeUpdate(Phase.DECODE, 8.0, True)}
     assert carry(sent, received, replace_fields(WHOLE, changing=first), 0.0).changing == first
     assert (
-        carry(sent, received, replace_fields(WHOLE, changing={"e": ChangeNews(Phase.DECODE, 8.5, False)}), 0.5).changing
+        carry(
+            sent, received, replace_fields(WHOLE, changing={"e": PhaseChangeUpdate(Phase.DECODE, 8.5, False)}), 0.5
+        ).changing
         == {}
     )
     assert carry(sent, received, replace_fields(WHOLE, changing=certain), 1.0).changing == certain
@@ -114,7 +116,7 @@
 
 def test_a_repeated_engine_change_is_sent_again() -> None:
     sent, received = SentState(), ReceivedState()
-    news = {"e": ChangeNews(Phase.DECODE, 9.0, True)}
+    news = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, True)}
     carry(sent, received, replace_fields(WHOLE, changing=news), 0.0)
     carry(sent, received, WHOLE, 0.5)
     assert carry(sent, received, replace_fields(WHOLE, changing=news), 1.0).changing == news
