--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -75,8 +75,8 @@
 
     def tell(rate: float) -> float:
         now = platform.clock.now()
-        known[vms // 2].take(life, rate, now, now)
-        platform.network.run_until(lambda: all(one.find(life) == rate for one in known), 20.0)
+        known[vms // 2].apply_response(life, rate, now, now)
+        platform.network.run_until(lambda: all(one.get_rate(life) == rate for one in known), 20.0)
         return round(platform.clock.now() - now, 3)
 
     first = tell(PLAYED_RATE)
@@ -89,7 +89,7 @@
         for _ in range(round(random.random() + max(LEAST_DEMAND, DEMAND_A_VM * vms) * STEP - 0.5)):
             one = random.choice(known)
             if one.may_send(life, now):
-                one.spend(life, now)
+                one.record_request(life, now)
                 sent.append(now)
     told = [after - start for after, start in zip(count_bytes(platform, "limits"), before, strict=True)]
     return {
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -85,7 +85,7 @@
             return Obstacle.REGION
         if not self.rests.may_be_sent(upstream, now):
             return Obstacle.RESTING
-        if not self.limits.may_be_sent(upstream, now, owed=owed):
+        if not self.limits.may_send_to(upstream, now, is_retry=owed):
             return Obstacle.LIMITED
         return Obstacle.COLD if self.is_shut(upstream, cold, now) else None
 
@@ -112,7 +112,7 @@
 
     def take_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
         """Hold room for a request that is to go to an upstream; None where that is warm, and names no limit."""
-        limited = self.limits.hold(upstream.life, now)
+        limited = self.limits.acquire_permit(upstream.life, now)
         if cold is None or not self.is_cold(upstream, cold, now):
             return None if limited is None else SendPermit(None, limited)
         self.gate.hold(upstream.id, now)
@@ -124,7 +124,7 @@
 
     def note_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
         """Count a request that goes to an upstream without a permit."""
-        self.limits.spend(upstream.life, now)
+        self.limits.record_request(upstream.life, now)
         if cold is not None and self.is_cold(upstream, cold, now):
             self.gate.note_sent(upstream.id, now)
 
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -78,7 +78,9 @@
     lives = [one.life for one in answering if eligibility.find_obstacle(one, None, None, now) is Obstacle.LIMITED]
     if not lives:
         return None
-    return Lack(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in lives), limits.find_pace(lives))
+    return Lack(
+        Obstacle.LIMITED, min(limits.compute_wait(life, now) for life in lives), limits.compute_total_rate(lives)
+    )
 
 
 def spread_return(wait: float, draw: float, *, owed: bool) -> float:
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -20,7 +20,7 @@
 from beamhatch.relay.engines.demand import Demand
 from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
-from beamhatch.relay.limits.returns import PacedReturns
+from beamhatch.relay.limits.retry_schedule import RetrySchedule
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
 from beamhatch.relay.places import Places
@@ -164,7 +164,7 @@
     _demands: defaultdict[ServiceName, Demand] = field(default_factory=lambda: defaultdict(Demand))
     _lengths: defaultdict[ServiceName, AnswerLengths] = field(default_factory=lambda: defaultdict(AnswerLengths))
     _read_times: defaultdict[ServiceName, ReadTimes] = field(default_factory=lambda: defaultdict(ReadTimes))
-    _returns: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
+    _returns: defaultdict[ServiceName, RetrySchedule] = field(default_factory=lambda: defaultdict(RetrySchedule))
     cold_watch: ColdWatch = field(default_factory=ColdWatch)
     _cold_look: Any = None
     """The next look for upstreams that are warm again."""
@@ -366,9 +366,9 @@
     def promise_turn(self, service: ServiceName, lack: Lack) -> float:
         """Return the seconds after which a caller is to come back that limits of all upstreams keep from a service."""
         now = self.clock.now()
-        back = self._returns[service].promise(lack.wait, lack.pace / self.vms, now)
+        back = self._returns[service].reserve(lack.wait, lack.pace / self.vms, now)
         lives = [one.life for one in self.listing.list_usable(service, now)]
-        self.announcements.limits.note_refused(lives, now + back)
+        self.announcements.limits.record_refusal(lives, now + back)
         return back
 
     def _note_announcement(self, life: Life) -> None:
@@ -552,7 +552,7 @@
         fingerprint = find_fingerprint(incoming, decision.workspace)
         refusal = refusal or self._refuse_held(fingerprint)
         if refusal is not None:
-            self.admission.give_back(decision, self.clock.now())
+            self.admission.refund(decision, self.clock.now())
         return refusal or _Place(route, service, decision, regions, fingerprint)
 
     def _refuse_held(self, fingerprint: Fingerprint) -> _Refusal | None:
@@ -576,7 +576,7 @@
             named = ", ".join(sorted(regions))
             return _Refusal(503, f"the settings place no hall in an allowed region ({named})", REGION_RETRY)
         detail = f"route and workspace allow no region in common, by version {version}"
-        if self.admission.may_be_behind():
+        if self.admission.may_be_outdated():
             self.tally.count("residency_refusals_total", "maybe_never")
             return _Refusal(503, f"{detail}, and there may be a newer one", BEHIND_RETRY)
         self.tally.count("residency_refusals_total", "never")
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -22,16 +22,16 @@
 from beamhatch.relay.fleet.gossip import Gossip
 from beamhatch.relay.fleet.membership import Member, Membership
 from beamhatch.relay.fleet.watching import DirectivesWatcher, ListingWatcher, Watcher
-from beamhatch.relay.limits.talk import LimitTalk
+from beamhatch.relay.limits.gossip import LimitGossip
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Address, CallerLimits
 from beamhatch.relay.places import Places
 from beamhatch.relay.quarantine.keeping import QuarantineKeeping
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.upstreams.listing import DRAIN_TIME, GONE_GRACE_SHARE, Listing
-from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
-from beamhatch.relay.workspaces.usage import UsageNews
-from beamhatch.relay.workspaces.usage_talk import UsageTalk
+from beamhatch.relay.workspaces.quota import DemandAllocator, EqualAllocator, QuotaTerms
+from beamhatch.relay.workspaces.usage import UsageTracker
+from beamhatch.relay.workspaces.usage_gossip import UsageGossip
 
 if TYPE_CHECKING:
     from beamhatch.clock import Clock
@@ -40,7 +40,7 @@
     from beamhatch.relay.api import Dialect, Documents, Store
     from beamhatch.relay.callers.http_server import IncomingRequest, Responder
     from beamhatch.relay.requests.budget import BudgetTerms
-    from beamhatch.relay.workspaces.quota import LimitChange, QuotaShare
+    from beamhatch.relay.workspaces.quota import QuotaAllocator, QuotaLimitChange
 
 BACKLOG = 1024
 """Connections that the kernel keeps until they are accepted: a second of the largest bursts."""
@@ -154,13 +154,13 @@
         limits = self.core.announcements.limits
         limits.shared = Mechanism.SHARED_LIMITS not in settings.without
         if self._gossip is not None:
-            limits.own = self._gossip.membership.own.address
-            limits.find_share = self._gossip.find_share
-            self._gossip.limits = LimitTalk(clock, self.core.announcements)
+            limits.own_address = self._gossip.membership.own.address
+            limits.get_reachable_share = self._gossip.find_share
+            self._gossip.limits = LimitGossip(clock, self.core.announcements)
             self._gossip.limits.list_connections = self._gossip.list_connections
-            self._gossip.limits.hands_on = self._gossip.adds_up
+            self._gossip.limits.forwards_counts = self._gossip.adds_up
         self.core.eligibility.gate = self._make_cold_gate()
-        self.core.admission.may_be_behind = self._may_be_behind
+        self.core.admission.may_be_outdated = self._may_be_behind
         self.leadership: Leadership | None = None
         self._ordering: Ordering | None = None
         if self._gossip is not None:
@@ -181,8 +181,8 @@
         tally.gauges["held_requests"] = lambda: float(self.core.quarantine.count(clock.now()))
         tally.gauges["leaving_by_own_word"] = lambda: float(len(self.core.announcements.list_untold()))
         tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.rests.count(clock.now()))
-        tally.gauges["limit_share"] = lambda: self.core.announcements.limits.find_share()
-        tally.gauges["limited_upstreams"] = lambda: float(self.core.announcements.limits.count())
+        tally.gauges["limit_share"] = lambda: self.core.announcements.limits.get_reachable_share()
+        tally.gauges["limited_upstreams"] = lambda: float(self.core.announcements.limits.count_limited())
         tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_watch.cold))
         tally.gauges["connections_opened"] = lambda: float(client.opened)
         tally.gauges["log_lines_left_out"] = lambda: float(journal.left_out)
@@ -224,8 +224,8 @@
         """Take changed settings as far as a running process can: bounds, seeds and where halls lie."""
         self.core.terms.budget = settings.budget
         self.core.take_places(settings.places)
-        if self.core.admission.share is not None:
-            self.core.admission.share.take_terms(settings.quota)
+        if self.core.admission.allocator is not None:
+            self.core.admission.allocator.set_terms(settings.quota)
         if isinstance(self.core.eligibility.gate, CountingGate):
             self.core.eligibility.gate.bound = _make_cold_bound(settings)
         if self._gossip is not None:
@@ -285,22 +285,22 @@
         own = Member(str(settings.peer_address), settings.hall, settings.strength)
         return Gossip(self.core, documents, settings.vm, Membership(own, settings.seeds))
 
-    def _make_usage(self) -> UsageTalk:
+    def _make_usage(self) -> UsageGossip:
         """Return what keeps the quotas of workspaces over all VMs."""
         settings = self.settings
         gossip = self._gossip
-        news = UsageNews(settings.vm, settings.hall)
-        share: QuotaShare
+        news = UsageTracker(settings.vm, settings.hall)
+        share: QuotaAllocator
         if Mechanism.SHARED_QUOTAS in settings.without:
-            share = EqualShare(news, self._count_vms, settings.quota, self.core.started)
+            share = EqualAllocator(news, self._count_vms, settings.quota, self.core.started)
         else:
-            share = FollowingShare(
-                news, self._count_vms, settings.quota, self.core.started, on_limit=self._report_limit
+            share = DemandAllocator(
+                news, self._count_vms, settings.quota, self.core.started, on_limit_change=self._report_limit
             )
-        self.core.admission.share = share
+        self.core.admission.allocator = share
         connections = gossip.list_connections if gossip is not None else list
         adds_up = gossip.membership.is_watcher if gossip is not None else _is_always_due
-        usage = UsageTalk(self.core, share, connections, adds_up)
+        usage = UsageGossip(self.core, share, connections, adds_up)
         if gossip is not None:
             gossip.usage = usage
         return usage
@@ -319,15 +319,15 @@
     def _count_vms(self) -> int:
         return 1 if self._gossip is None else self._gossip.membership.size
 
-    def _report_limit(self, change: LimitChange) -> None:
-        self.tally.count("quota_limits_total", "begun" if change.share < 1 else "ended")
+    def _report_limit(self, change: QuotaLimitChange) -> None:
+        self.tally.count("quota_limits_total", "begun" if change.granted_share < 1 else "ended")
         self.journal.write(
             "QUOTA",
-            "limited" if change.share < 1 else "free",
+            "limited" if change.granted_share < 1 else "free",
             workspace=change.workspace,
-            share=change.share,
-            asked=change.asked,
-            pace=change.pace,
+            share=change.granted_share,
+            asked=change.requested,
+            pace=change.allowed,
             vms=change.vms,
         )
 
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -177,7 +177,7 @@
         self.core.tally.count("orders_total", change.phase.value)
         call = self.core.dialect.make_order(upstream, change.phase, self._vm, token)
         ordered_at = self.core.clock.now()
-        self.core.eligibility.limits.spend(upstream.life, ordered_at)
+        self.core.eligibility.limits.record_request(upstream.life, ordered_at)
         answer = await fetch(self.core.client, self.core.clock, upstream.address, call, ORDER_TIMEOUT)
         answered = not isinstance(answer, str)
         if not isinstance(answer, str):
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -47,9 +47,9 @@
     from beamhatch.relay.engines.balancing import Pressure
     from beamhatch.relay.fleet.departure_talk import DepartureTalk
     from beamhatch.relay.fleet.membership import Membership, Mention
-    from beamhatch.relay.limits.talk import LimitTalk
+    from beamhatch.relay.limits.gossip import LimitGossip
     from beamhatch.relay.model import Service
-    from beamhatch.relay.workspaces.usage_talk import UsageTalk
+    from beamhatch.relay.workspaces.usage_gossip import UsageGossip
 
 BEAT_INTERVAL = 0.5
 """Seconds between two beats: a peer that misses three counts as silent."""
@@ -140,11 +140,11 @@
         """The newest configuration that any peer told of."""
         self.is_turned_away: Callable[[], bool] = lambda: False
         """Tells whether the store does not answer this VM."""
-        self.usage: UsageTalk | None = None
+        self.usage: UsageGossip | None = None
         """What is said of quotas; None where nothing is."""
         self.departures: DepartureTalk | None = None
         """What is said of upstreams that leave; None where nothing is."""
-        self.limits: LimitTalk | None = None
+        self.limits: LimitGossip | None = None
         """What is said of limits that upstreams name; None where nothing is."""
 
     def start(self) -> None:
@@ -204,7 +204,7 @@
         """Drop a connection that ended."""
         self._connections.discard(connection)
         if self.usage is not None:
-            self.usage.forget(connection)
+            self.usage.forget_peer(connection)
         if connection.dialled is not None:
             self._dialled.pop(connection.dialled, None)
         if connection.vm and not self._stopped:
@@ -371,7 +371,7 @@
                 self._take_work(connection)
             case Usage():
                 if self.usage is not None:
-                    self.usage.take(connection, message)
+                    self.usage.handle_usage(connection, message)
             case _:
                 self._take_upstream_news(connection, message)
 
@@ -385,7 +385,7 @@
                     self.departures.take(connection, message)
             case LimitNews():
                 if self.limits is not None:
-                    self.limits.take(connection, message)
+                    self.limits.handle_update(connection, message)
             case _:
                 self._take_document(connection, message)
 
@@ -434,7 +434,7 @@
             if self.departures is not None:
                 self.departures.tell_all(connection)
             if self.limits is not None:
-                self.limits.tell_all(connection)
+                self.limits.send_all(connection)
         if is_new and connection.dialled is None:
             self._tell_hello(connection)
 
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.engines.changing import ChangeNews
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
-from beamhatch.relay.limits.words import LimitWord, Spent
+from beamhatch.relay.limits.messages import LimitState, RequestCount
 from beamhatch.relay.model import Life
 from beamhatch.relay.quarantine.ends import EndNews
 from beamhatch.relay.quarantine.quarantine import ClearNews, HoldNews
@@ -129,8 +129,8 @@
 class LimitNews(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
     """Which limits upstreams name, and what was sent to these."""
 
-    words: list[LimitWord] = []
-    spent: list[Spent] = []
+    words: list[LimitState] = []
+    spent: list[RequestCount] = []
 
 
 class AskConfiguration(msgspec.Struct, tag="ask_configuration", frozen=True):
--- a/src/beamhatch/relay/limits/returns.py
+++ b/src/beamhatch/relay/limits/retry_schedule.py
@@ -10,28 +10,30 @@
 import random
 from dataclasses import dataclass
 
-LONGEST_QUEUE = 3.0
+MAX_RETRY_DELAY_S = 3.0
 """Seconds behind which no turn is promised: callers come back within a third of the time they have left, 4 s of 14."""
 
-RETURN_SPREAD = 0.3
+RETRY_JITTER = 0.3
 """Part by which times differ where no turn can be promised."""
 
 
 @dataclass(slots=True)
-class PacedReturns:
+class RetrySchedule:
     """The turns that this VM has promised to callers of one service."""
 
-    _next: float = -math.inf
+    _next_slot: float = -math.inf
 
-    def promise(self, wait: float, pace: float, now: float) -> float:
+    def reserve(self, wait: float, rate: float, now: float) -> float:
         """Return the seconds after which a caller is to come back.
 
         :param wait: seconds until there is room for one
         :param pace: requests a second that are taken from callers of this VM
         """
-        gap = 1.0 / pace
-        due = max(self._next, now + wait)
-        if due - now > LONGEST_QUEUE:
-            return LONGEST_QUEUE * random.uniform(1.0 - RETURN_SPREAD, 1.0)
-        self._next = due + gap
-        return min(LONGEST_QUEUE, due - now + gap * random.random())  # VMs see room at one moment, and differ by that
+        interval = 1.0 / rate
+        due = max(self._next_slot, now + wait)
+        if due - now > MAX_RETRY_DELAY_S:
+            return MAX_RETRY_DELAY_S * random.uniform(1.0 - RETRY_JITTER, 1.0)
+        self._next_slot = due + interval
+        return min(
+            MAX_RETRY_DELAY_S, due - now + interval * random.random()
+        )  # VMs see room at one moment, and differ by that
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -368,7 +368,7 @@
         self._drop_permit()
         now = self.core.clock.now()
         self._permit = self.core.eligibility.take_permit(step.upstream, self.request.service.cold, now)
-        if self.core.eligibility.limits.find(step.upstream.life) is not None:
+        if self.core.eligibility.limits.get_rate(step.upstream.life) is not None:
             self._rely_on_permit(step)
             return
         attempt = ReserveAttempt(self, step)
@@ -574,7 +574,7 @@
             self.core.find_demand(self.request.service.name).end_stream(self._memory_since, self.core.clock.now())
         self._give_back()
         if not self.request.doubt:
-            self.core.admission.give_back(self._admitted, self.core.clock.now())
+            self.core.admission.refund(self._admitted, self.core.clock.now())
         self.core.exchanges.discard(self)
 
     def _note_end(self, label: str) -> None:
@@ -610,9 +610,9 @@
         resting = eligibility.rests.is_resting(upstream.life, now)
         if resting or eligibility.evacuations.is_emptied(upstream.hall):
             return
-        if not eligibility.limits.may_be_sent(upstream, now):
+        if not eligibility.limits.may_send_to(upstream, now):
             return
-        eligibility.limits.spend(upstream.life, now)
+        eligibility.limits.record_request(upstream.life, now)
         self.write_log("given back", target=call.target, to=upstream.id)
         self.core.client.open(upstream.address, call, AnnouncementSink(self.core.announcements, upstream))
 
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -21,7 +21,7 @@
     from beamhatch.observe.journal import Journal
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.api import AnswerFacts, Dialect, NamedLimit
-    from beamhatch.relay.limits.words import LimitWord
+    from beamhatch.relay.limits.messages import LimitState
     from beamhatch.relay.model import Life, Upstream, UpstreamId
     from beamhatch.relay.upstreams.http_client import Fault, Head
     from beamhatch.relay.upstreams.listing import Listing
@@ -82,21 +82,21 @@
             self.tally.count("announcements_total", "limit" if limit.rate is not None else "unclear_limit")
         if (limit is None and not ends) or (limit is not None and limit.rate is None):
             return
-        before = self.limits.find(life)
-        if self.limits.take(life, None if limit is None else limit.rate, asked_at, self.clock.now()):
+        before = self.limits.get_rate(life)
+        if self.limits.apply_response(life, None if limit is None else limit.rate, asked_at, self.clock.now()):
             self._note_limit(life, before, "its answer")
 
-    def take_limit_word(self, word: LimitWord, source: str) -> bool:
+    def take_limit_word(self, word: LimitState, source: str) -> bool:
         """Take in what a peer knows of an upstream's limit; return whether that is news."""
-        before = self.limits.find(word.life)
-        if not self.limits.take_word(word, self.clock.now()):
+        before = self.limits.get_rate(word.incarnation)
+        if not self.limits.apply_state(word, self.clock.now()):
             return False
-        self._note_limit(word.life, before, source)
+        self._note_limit(word.incarnation, before, source)
         return True
 
     def _note_limit(self, life: Life, before: float | None, source: str) -> None:
         """Write a line on a changed limit, at most one a second for each upstream, and tell of a new one."""
-        rate = self.limits.find(life)
+        rate = self.limits.get_rate(life)
         now = self.clock.now()
         is_turn = (rate is None) != (before is None)
         if is_turn or now - self._limits_written.get(life, -math.inf) >= LIMIT_LINE_GAP:
@@ -126,7 +126,7 @@
         if self.listing.is_leaving(upstream):
             told["leaving"] = True
             self.tally.count("sent_in_spite_total", "leaving")
-        if self.limits.find(upstream.life) is not None:
+        if self.limits.get_rate(upstream.life) is not None:
             self.tally.count("limited_sends_total")
         now = self.clock.now()
         end = self.rests.find_end(upstream.life, now)
@@ -137,14 +137,14 @@
 
     def describe_limit(self, life: Life) -> dict[str, float]:
         """Return what the line of a send tells of the limit that its upstream names; nothing where it names none."""
-        rate = self.limits.find(life)
+        rate = self.limits.get_rate(life)
         return {} if rate is None else {"limit": rate}
 
     def forget_old(self, listed: Collection[UpstreamId]) -> None:
         """Drop what was said by upstreams that are known no longer."""
         self.rests.keep_only(listed)
         self.limits.keep_only(listed)
-        self.limits.forget_old(self.clock.now())
+        self.limits.remove_expired(self.clock.now())
         self._limits_written = {life: at for life, at in self._limits_written.items() if life.id in listed}
 
 
--- a/src/beamhatch/relay/workspaces/admission.py
+++ b/src/beamhatch/relay/workspaces/admission.py
@@ -9,7 +9,7 @@
     from collections.abc import Callable
 
     from beamhatch.relay.model import RequestFacts, Route, Table
-    from beamhatch.relay.workspaces.quota import QuotaShare
+    from beamhatch.relay.workspaces.quota import QuotaAllocator
     from beamhatch.relay.workspaces.workspace import Workspace, WorkspaceName
 
 
@@ -49,7 +49,7 @@
 Decision = Admitted | UnknownKey | Undecided | OverQuota
 
 
-def _is_never_behind() -> bool:
+def _is_never_outdated() -> bool:
     return False
 
 
@@ -57,9 +57,9 @@
 class Admission:
     """Admits requests to one VM."""
 
-    share: QuotaShare | None = None
+    allocator: QuotaAllocator | None = None
     """How this VM's part of the quotas is found; None where quotas are not kept."""
-    may_be_behind: Callable[[], bool] = field(default=_is_never_behind)
+    may_be_outdated: Callable[[], bool] = field(default=_is_never_outdated)
     """Tells whether there may be a newer configuration than this VM's."""
 
     def decide(self, facts: RequestFacts, route: Route, table: Table, now: float) -> Decision:
@@ -68,27 +68,27 @@
             return Admitted()
         workspace = table.find_workspace(facts.key)
         if workspace is None:
-            return self._decide_unknown(facts, route)
-        if self.share is None or workspace.quota is None:
-            return Admitted(keyed=True, workspace=workspace.name, priority=_find_priority(workspace, route))
-        cost = workspace.quota.measure(facts.prompt_tokens + facts.output_tokens)
-        wait = self.share.take(workspace, cost, now)
+            return self._decide_without_workspace(facts, route)
+        if self.allocator is None or workspace.quota is None:
+            return Admitted(keyed=True, workspace=workspace.name, priority=_get_priority(workspace, route))
+        cost = workspace.quota.compute_cost(facts.prompt_tokens + facts.output_tokens)
+        wait = self.allocator.acquire(workspace, cost, now)
         if wait is not None:
             return OverQuota(workspace.name, wait)
-        return Admitted(keyed=True, workspace=workspace.name, cost=cost, priority=_find_priority(workspace, route))
+        return Admitted(keyed=True, workspace=workspace.name, cost=cost, priority=_get_priority(workspace, route))
 
-    def give_back(self, admitted: Admitted, now: float) -> None:
+    def refund(self, admitted: Admitted, now: float) -> None:
         """Give back what was taken for a request that reached no upstream."""
-        if self.share is not None and admitted.workspace is not None and admitted.cost:
-            self.share.give_back(admitted.workspace, admitted.cost, now)
+        if self.allocator is not None and admitted.workspace is not None and admitted.cost:
+            self.allocator.refund(admitted.workspace, admitted.cost, now)
 
-    def _decide_unknown(self, facts: RequestFacts, route: Route) -> Decision:
+    def _decide_without_workspace(self, facts: RequestFacts, route: Route) -> Decision:
         if route.public:
             return Admitted(keyed=True, priority=route.priority)
-        if facts.key is not None and self.may_be_behind():
+        if facts.key is not None and self.may_be_outdated():
             return Undecided()
         return UnknownKey()
 
 
-def _find_priority(workspace: Workspace, route: Route) -> int:
+def _get_priority(workspace: Workspace, route: Route) -> int:
     return route.priority if workspace.priority is None else workspace.priority
--- a/src/beamhatch/relay/workspaces/quota.py
+++ b/src/beamhatch/relay/workspaces/quota.py
@@ -23,46 +23,46 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from beamhatch.relay.workspaces.usage import FleetUsage, Rates, UsageNews
+    from beamhatch.relay.workspaces.usage import FleetUsage, Rates, UsageTracker
     from beamhatch.relay.workspaces.workspace import Quota, Workspace, WorkspaceName
 
-STEADY_SHARE = 0.88
+STEADY_RATE_SHARE = 0.88
 """Share of what the platform bears in a window that is taken at a steady pace by a fleet that hears of all its VMs."""
 
-CAUTIOUS_SHARE = 0.72
+CAUTIOUS_RATE_SHARE = 0.72
 """The same for a VM that has not seen a whole window, or misses a tenth of the VMs: what these took is not known, and
 what they take is known only when they are back. The pace is never below the rate.
 """
 
-CAUTION = 2.0
+MISSING_VMS_PENALTY = 2.0
 """By how much the share falls for each part of the VMs that is missed: a tenth makes it the cautious one."""
 
-DEPTH_SHARE = 0.03
+BURST_SHARE = 0.03
 """Share of what the platform bears that may be taken at once on top of the pace, after a calm time. The rest is for
 what is not known yet: news of what others take are up to a second old. Of 150 fleets that were cut and restarted under
 up to four times the quota, none had a window of more than the platform bears; the worst was at 0.993 of it.
 """
 
-SPEND_TIME = 1.5
+CORRECTION_TIME_S = 1.5
 """Seconds over which what is left on top is spent, and what was taken too much is made up for: longer than news take,
 so that VMs that act on the same news do not swing, and well within the platform's window of 8 s.
 """
 
-MOST_DEBT_TIME = 4.0
+MAX_DEBT_S = 4.0
 """Seconds of the pace that are made up for at the most. A workspace that begins to ask 4.4 times its rate is taken
 whole for 1.3 s, as long as news and the memory of rates take: 4.4 s of the pace.
 """
 
-SETTLE_TIME = 1.0
+SETTLE_TIME_S = 1.0
 """Seconds behind its start for which a VM takes no more than its equal part: it hears of the others within one. Without
 it, 24 VMs that restarted under four times the quota took 1.4 times what a window bears. With twice as long, and nothing
 taken at the start, a fleet that lost power served its worst seconds at 0.1 in place of 0.3 of what they were worth.
 """
 
-SHORTEST_RETRY = 0.15
+MIN_RETRY_DELAY_S = 0.15
 """Seconds after which a caller may come back at the earliest."""
 
-LONGEST_RETRY = 4.0
+MAX_RETRY_DELAY_S = 4.0
 """Seconds after which a caller may come back at the latest: within half of the window, there is quota again."""
 
 
@@ -77,67 +77,67 @@
     slack: float = 0.0
     """Units by which it may be exceeded beside."""
 
-    def find_most(self, quota: Quota) -> float:
+    def compute_window_bound(self, quota: Quota) -> float:
         """Return the units that the platform bears in any window, which is what callers are owed."""
         return (quota.rate * self.window + quota.burst) * (1 + self.overage) + self.slack
 
-    def find_pace(self, quota: Quota, share: float = CAUTIOUS_SHARE) -> float:
+    def compute_steady_rate(self, quota: Quota, share: float = CAUTIOUS_RATE_SHARE) -> float:
         """Return the units a second that are taken however long a workspace asks for more.
 
         :param share: of what the platform bears
         """
-        return max(quota.rate, share * self.find_most(quota) / self.window)
+        return max(quota.rate, share * self.compute_window_bound(quota) / self.window)
 
-    def find_depth(self, quota: Quota) -> float:
+    def compute_burst(self, quota: Quota) -> float:
         """Return the units that may be taken at once on top."""
-        return DEPTH_SHARE * self.find_most(quota)
+        return BURST_SHARE * self.compute_window_bound(quota)
 
 
 @dataclass(frozen=True, slots=True)
-class LimitChange:
+class QuotaLimitChange:
     """A workspace begins or ceases to ask more than its quota, or the share that is taken has halved or doubled."""
 
     workspace: WorkspaceName
-    share: float
+    granted_share: float
     """Of what is asked, how much is taken from now on."""
-    asked: int
+    requested: int
     """Units a second, at all VMs that were heard of."""
-    pace: float
+    allowed: float
     """Units a second that these may take."""
     vms: int
     """How many were heard of."""
 
 
-def _ignore(_: LimitChange) -> None:
+def _ignore(_: QuotaLimitChange) -> None:
     """Take no notice."""
 
 
 @dataclass(slots=True)
-class QuotaShare(ABC):
+class QuotaAllocator(ABC):
     """One VM's part of the quotas."""
 
-    usage: UsageNews
+    usage: UsageTracker
     count_vms: Callable[[], int]
     """Returns how many VMs there are, those among them that were lost of late."""
     terms: QuotaTerms = field(default_factory=QuotaTerms)
-    started: float = 0.0
+    started_at: float = 0.0
     """When this VM started, in monotonic seconds."""
 
-    def take(self, workspace: Workspace, units: int, now: float) -> float | None:
+    def acquire(self, workspace: Workspace, units: int, now: float) -> float | None:
         """Take units for a request; return None, or the seconds after which there should be enough."""
-        self.usage.own.note_asked(workspace.name, units, now)
+        self.usage.local.record_requested(workspace.name, units, now)
         wait = self.decide(workspace, units, now)
         if wait is None:
-            self.draw(workspace, units, now)
-            self.usage.own.note_taken(workspace.name, units, now)
+            self.deduct(workspace, units, now)
+            self.usage.local.record_granted(workspace.name, units, now)
         return wait
 
-    def give_back(self, workspace: WorkspaceName, units: int, now: float) -> None:
+    def refund(self, workspace: WorkspaceName, units: int, now: float) -> None:
         """Give units back that reached no upstream."""
-        self.usage.own.note_taken(workspace, -units, now)
-        self.put_back(workspace, units)
+        self.usage.local.record_granted(workspace, -units, now)
+        self.restore(workspace, units)
 
-    def take_terms(self, terms: QuotaTerms) -> None:
+    def set_terms(self, terms: QuotaTerms) -> None:
         """Take changed terms."""
         self.terms = terms
 
@@ -146,11 +146,11 @@
         """Return None where units are to be taken for a request, or the seconds after which there should be enough."""
 
     @abstractmethod
-    def draw(self, workspace: Workspace, units: int, now: float) -> None:
+    def deduct(self, workspace: Workspace, units: int, now: float) -> None:
         """Enter that units were taken."""
 
     @abstractmethod
-    def put_back(self, workspace: WorkspaceName, units: int) -> None:
+    def restore(self, workspace: WorkspaceName, units: int) -> None:
         """Enter that units were given back."""
 
     @abstractmethod
@@ -158,7 +158,7 @@
         """Take in what has become known of the fleet."""
 
     @abstractmethod
-    def is_short(self, workspace: WorkspaceName) -> bool:
+    def is_partly_used(self, workspace: WorkspaceName) -> bool:
         """Tell whether less is left of a workspace's quota than after a calm time, so that its use is worth knowing."""
 
 
@@ -167,16 +167,16 @@
     """Units that come at a pace up to a depth; below 0 where requests overdrew it."""
 
     units: float
-    at: float
+    refilled_at: float
 
-    def fill(self, pace: float, depth: float, now: float) -> None:
+    def refill(self, rate: float, capacity: float, now: float) -> None:
         """Add what came since the last time."""
-        self.units = min(depth, max(-MOST_DEBT_TIME * pace, self.units) + pace * (now - self.at))
-        self.at = now
+        self.units = min(capacity, max(-MAX_DEBT_S * rate, self.units) + rate * (now - self.refilled_at))
+        self.refilled_at = now
 
 
 @dataclass(slots=True)
-class EqualShare(QuotaShare):
+class EqualAllocator(QuotaAllocator):
     """Takes an equal part of the quota."""
 
     _buckets: dict[WorkspaceName, _Bucket] = field(default_factory=dict)
@@ -186,16 +186,16 @@
 
         Half of them have to be there, as the depth of one VM's part is often smaller than a request.
         """
-        pace, depth = self._find_part(workspace)
-        lack = min(units / 2, depth) - self._find_bucket(workspace.name, pace, depth, now).units
-        return None if lack <= 0 else _bound_wait(lack / pace)
+        rate, capacity = self._compute_rate_and_capacity(workspace)
+        shortage = min(units / 2, capacity) - self._get_bucket(workspace.name, rate, capacity, now).units
+        return None if shortage <= 0 else _clamp_wait(shortage / rate)
 
-    def draw(self, workspace: Workspace, units: int, now: float) -> None:
+    def deduct(self, workspace: Workspace, units: int, now: float) -> None:
         """Take units out of the bucket, whether they are there or not."""
-        pace, depth = self._find_part(workspace)
-        self._find_bucket(workspace.name, pace, depth, now).units -= units
+        rate, capacity = self._compute_rate_and_capacity(workspace)
+        self._get_bucket(workspace.name, rate, capacity, now).units -= units
 
-    def put_back(self, workspace: WorkspaceName, units: int) -> None:
+    def restore(self, workspace: WorkspaceName, units: int) -> None:
         """Put units back into the bucket."""
         bucket = self._buckets.get(workspace)
         if bucket is not None:
@@ -204,164 +204,174 @@
     def update(self, workspaces: tuple[Workspace, ...], now: float) -> None:
         """Take no notice: the part depends on the number of VMs only."""
 
-    def is_short(self, workspace: WorkspaceName) -> bool:
+    def is_partly_used(self, workspace: WorkspaceName) -> bool:
         """Return False: nobody has a use for it."""
         return False
 
-    def _find_part(self, workspace: Workspace) -> tuple[float, float]:
+    def _compute_rate_and_capacity(self, workspace: Workspace) -> tuple[float, float]:
         """Return the pace and the depth of this VM's bucket."""
         quota = workspace.quota
         assert quota is not None
         vms = max(1, self.count_vms())
-        return self.terms.find_pace(quota) / vms, self.terms.find_depth(quota) / vms
+        return self.terms.compute_steady_rate(quota) / vms, self.terms.compute_burst(quota) / vms
 
-    def _find_bucket(self, workspace: WorkspaceName, pace: float, depth: float, now: float) -> _Bucket:
+    def _get_bucket(self, workspace: WorkspaceName, rate: float, capacity: float, now: float) -> _Bucket:
         """Return a workspace's bucket. A VM that started has forgotten what it took, and begins with what it earned.
 
         With full ones, 24 VMs that restarted under four times the quota took twice the quota in their first 0.2 s.
         """
         bucket = self._buckets.get(workspace)
         if bucket is None:
-            since_start = pace * (now - self.started)
-            bucket = self._buckets[workspace] = _Bucket(min(depth, since_start), now)
-        bucket.fill(pace, depth, now)
+            earned = rate * (now - self.started_at)
+            bucket = self._buckets[workspace] = _Bucket(min(capacity, earned), now)
+        bucket.refill(rate, capacity, now)
         return bucket
 
 
 @dataclass(slots=True)
-class _Level:
+class _WorkspaceState:
     """What one workspace has left, as far as this VM knows, and what it owes this VM's callers."""
 
     units: float
     """That may be taken on top of the pace by the VMs that were heard of; below 0 where too much was taken."""
-    at: float
-    share: float = 1.0
+    updated_at: float
+    granted_share: float = 1.0
     """Of what is asked, how much is to be taken."""
-    told_share: float = 1.0
+    reported_share: float = 1.0
     """The last share that was reported."""
-    short: bool = False
+    partly_used: bool = False
     """Whether less is left than after a calm time."""
     credit: float = 0.0
     """Units of this VM's callers that are due by that share and were not taken yet."""
-    part: float = 1.0
+    vm_share: float = 1.0
     """Of all VMs, the part whose units these are."""
 
-    def move(self, part: float) -> None:
+    def rescale(self, vm_share: float) -> None:
         """Be of another part of all VMs from now on; what was taken too much goes with it.
 
         VMs that were alone for a second would else come back with next to nothing to make up for: 24 VMs then took
         up to 1.067 of what a window bears (the worst of 150 fleets that were cut and restarted).
         """
         if self.units < 0:
-            self.units *= part / self.part
-        self.part = part
+            self.units *= vm_share / self.vm_share
+        self.vm_share = vm_share
 
 
 @dataclass(slots=True)
-class FollowingShare(QuotaShare):
+class DemandAllocator(QuotaAllocator):
     """Takes the share of what is asked that the quota allows the whole fleet; its equal part while it hears nothing."""
 
-    on_limit: Callable[[LimitChange], None] = _ignore
-    _levels: dict[WorkspaceName, _Level] = field(default_factory=dict)
-    _equal: EqualShare = field(init=False)
+    on_limit_change: Callable[[QuotaLimitChange], None] = _ignore
+    _states: dict[WorkspaceName, _WorkspaceState] = field(default_factory=dict)
+    _equal: EqualAllocator = field(init=False)
     """The equal part, for the time in which this VM has nothing to follow."""
 
     def __post_init__(self) -> None:
         """Make the equal part."""
-        self._equal = EqualShare(self.usage, self.count_vms, self.terms, self.started)
+        self._equal = EqualAllocator(self.usage, self.count_vms, self.terms, self.started_at)
 
-    def take_terms(self, terms: QuotaTerms) -> None:
+    def set_terms(self, terms: QuotaTerms) -> None:
         """Take changed terms."""
         self.terms = terms
-        self._equal.take_terms(terms)
+        self._equal.set_terms(terms)
 
     def decide(self, workspace: Workspace, units: int, now: float) -> float | None:
         """Return None, unless the fleet asks too much, or this VM more than its equal part where it is alone."""
-        if self._is_alone(now):
+        if self._is_isolated(now):
             return self._equal.decide(workspace, units, now)
-        return self._take_share(workspace, units, now)
+        return self._decide_by_demand(workspace, units, now)
 
-    def draw(self, workspace: Workspace, units: int, now: float) -> None:
+    def deduct(self, workspace: Workspace, units: int, now: float) -> None:
         """Draw on the equal part, so that it is right when this VM is alone."""
-        self._equal.draw(workspace, units, now)
+        self._equal.deduct(workspace, units, now)
 
-    def _take_share(self, workspace: Workspace, units: int, now: float) -> float | None:
-        level = self._levels.get(workspace.name)
-        if level is None or level.share == 1:
+    def _decide_by_demand(self, workspace: Workspace, units: int, now: float) -> float | None:
+        state = self._states.get(workspace.name)
+        if state is None or state.granted_share == 1:
             return None
-        level.credit = min(level.credit + level.share * units, 2 * units)
-        if level.credit < units / 2:
-            return self._predict(workspace, level, units, now)
-        level.credit -= units
+        state.credit = min(state.credit + state.granted_share * units, 2 * units)
+        if state.credit < units / 2:
+            return self._compute_wait(workspace, state, units, now)
+        state.credit -= units
         return None
 
-    def _is_alone(self, now: float) -> bool:
+    def _is_isolated(self, now: float) -> bool:
         """Tell whether this VM knows nothing of others, or not for long enough to know what they take."""
-        return self.count_vms() > 1 and (now - self.started < SETTLE_TIME or not self.usage.hears_others(now))
+        return self.count_vms() > 1 and (now - self.started_at < SETTLE_TIME_S or not self.usage.has_remote_usage(now))
 
-    def put_back(self, workspace: WorkspaceName, units: int) -> None:
+    def restore(self, workspace: WorkspaceName, units: int) -> None:
         """Put units back into the equal part, and owe them to this VM's callers."""
-        self._equal.put_back(workspace, units)
-        level = self._levels.get(workspace)
-        if level is not None:
-            level.credit = min(level.credit + units, 2 * units)
+        self._equal.restore(workspace, units)
+        state = self._states.get(workspace)
+        if state is not None:
+            state.credit = min(state.credit + units, 2 * units)
 
     def update(self, workspaces: tuple[Workspace, ...], now: float) -> None:
         """Work out anew which share of what is asked the quotas allow."""
-        fleet = self.usage.find_fleet(now)
+        fleet = self.usage.compute_fleet_usage(now)
         for workspace in workspaces:
-            if workspace.quota is not None and (workspace.name in fleet.rates or workspace.name in self._levels):
-                self._update_one(workspace, fleet, now)
+            if workspace.quota is not None and (workspace.name in fleet.rates or workspace.name in self._states):
+                self._update_workspace(workspace, fleet, now)
 
-    def is_short(self, workspace: WorkspaceName) -> bool:
+    def is_partly_used(self, workspace: WorkspaceName) -> bool:
         """Tell whether something was taken on top of the pace, and has not come back."""
-        level = self._levels.get(workspace)
-        return level is not None and level.short
+        state = self._states.get(workspace)
+        return state is not None and state.partly_used
 
-    def _update_one(self, workspace: Workspace, fleet: FleetUsage, now: float) -> None:
+    def _update_workspace(self, workspace: Workspace, fleet: FleetUsage, now: float) -> None:
         rates = fleet.rates.get(workspace.name, NO_RATES)
-        part = min(1.0, fleet.vms / max(1, self.count_vms()))
-        pace, level = self._move_level(workspace, rates, part, now)
-        asked = max(1, rates.asked)
-        level.share = max(0.0, min(1.0, (pace + level.units / SPEND_TIME) / asked)) if rates.asked else 1.0
-        if level.share == 1:
-            level.credit = 0.0
-        if _is_news(level.share, level.told_share):
-            level.told_share = level.share
-            self.on_limit(LimitChange(workspace.name, round(level.share, 2), rates.asked, round(pace), fleet.vms))
-        if not level.short and not rates.asked:
-            del self._levels[workspace.name]
-
-    def _move_level(self, workspace: Workspace, rates: Rates, part: float, now: float) -> tuple[float, _Level]:
+        vm_share = min(1.0, fleet.vms / max(1, self.count_vms()))
+        rate, state = self._update_state(workspace, rates, vm_share, now)
+        requested = max(1, rates.requested)
+        state.granted_share = (
+            max(0.0, min(1.0, (rate + state.units / CORRECTION_TIME_S) / requested)) if rates.requested else 1.0
+        )
+        if state.granted_share == 1:
+            state.credit = 0.0
+        if _is_reportable(state.granted_share, state.reported_share):
+            state.reported_share = state.granted_share
+            self.on_limit_change(
+                QuotaLimitChange(workspace.name, round(state.granted_share, 2), rates.requested, round(rate), fleet.vms)
+            )
+        if not state.partly_used and not rates.requested:
+            del self._states[workspace.name]
+
+    def _update_state(
+        self, workspace: Workspace, rates: Rates, vm_share: float, now: float
+    ) -> tuple[float, _WorkspaceState]:
         """Return the pace of the VMs that were heard, which are a part of all, and the level as it is now."""
         quota = workspace.quota
         assert quota is not None
-        young = now - self.started < self.terms.window
-        share = CAUTIOUS_SHARE if young else max(CAUTIOUS_SHARE, STEADY_SHARE - CAUTION * (1 - part))
-        pace = part * self.terms.find_pace(quota, share)
-        depth = part * self.terms.find_depth(quota)
-        level = self._levels.get(workspace.name)
-        if level is None:
-            level = self._levels[workspace.name] = _Level(0.0 if young else depth, now, part=part)
-        level.move(part)
-        left = level.units + (pace - rates.taken) * (now - level.at)
-        level.units = min(depth, max(left, -MOST_DEBT_TIME * pace))
-        level.short = level.units < depth
-        level.at = now
-        return pace, level
-
-    def _predict(self, workspace: Workspace, level: _Level, units: int, now: float) -> float:
+        is_new = now - self.started_at < self.terms.window
+        share = (
+            CAUTIOUS_RATE_SHARE
+            if is_new
+            else max(CAUTIOUS_RATE_SHARE, STEADY_RATE_SHARE - MISSING_VMS_PENALTY * (1 - vm_share))
+        )
+        rate = vm_share * self.terms.compute_steady_rate(quota, share)
+        capacity = vm_share * self.terms.compute_burst(quota)
+        state = self._states.get(workspace.name)
+        if state is None:
+            state = self._states[workspace.name] = _WorkspaceState(0.0 if is_new else capacity, now, vm_share=vm_share)
+        state.rescale(vm_share)
+        units = state.units + (rate - rates.granted) * (now - state.updated_at)
+        state.units = min(capacity, max(units, -MAX_DEBT_S * rate))
+        state.partly_used = state.units < capacity
+        state.updated_at = now
+        return rate, state
+
+    def _compute_wait(self, workspace: Workspace, state: _WorkspaceState, units: int, now: float) -> float:
         """Return the seconds after which what this VM's callers ask should have earned them the units."""
-        rate = max(1.0, level.share * self.usage.own.find_asked(workspace.name, now))
-        return _bound_wait((units / 2 - level.credit) / rate)
+        rate = max(1.0, state.granted_share * self.usage.local.compute_requested_rate(workspace.name, now))
+        return _clamp_wait((units / 2 - state.credit) / rate)
 
 
-def _is_news(share: float, told: float) -> bool:
+def _is_reportable(share: float, reported: float) -> bool:
     """Tell whether a share is worth a line: at its begin, at its end, and when it has halved or doubled."""
-    if (share < 1) != (told < 1):
+    if (share < 1) != (reported < 1):
         return True
-    return share < told / 2 or share > told * 2
+    return share < reported / 2 or share > reported * 2
 
 
-def _bound_wait(seconds: float) -> float:
-    return round(min(LONGEST_RETRY, max(SHORTEST_RETRY, seconds)), 2)
+def _clamp_wait(seconds: float) -> float:
+    return round(min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, seconds)), 2)
--- a/src/beamhatch/relay/workspaces/workspace.py
+++ b/src/beamhatch/relay/workspaces/workspace.py
@@ -36,17 +36,17 @@
     """Units a second."""
     burst: float
     """Units on top of the rate."""
-    plain_cost: int = 1
+    default_cost: int = 1
     """Units of a request that does not tell its tokens."""
 
-    def measure(self, tokens: int) -> int:
+    def compute_cost(self, tokens: int) -> int:
         """Return the units of one request.
 
         :param tokens: of its prompt and its answer; 0 where it does not tell
         """
         if self.unit is QuotaUnit.REQUEST:
             return 1
-        return tokens or self.plain_cost
+        return tokens or self.default_cost
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -78,7 +78,7 @@
 
 def count_heard(vm: Daemon) -> int:
     """Return how many VMs the usage of quotas covers that a VM knows."""
-    return vm._usage.news.find_fleet(vm.clock.now()).vms
+    return vm._usage.tracker.compute_fleet_usage(vm.clock.now()).vms
 
 
 def know_version(platform: Platform, version: int) -> bool:
@@ -101,11 +101,11 @@
 def test_what_a_workspace_asks_in_one_hall_is_known_in_all_within_a_second() -> None:
     platform = make_fleet(24)
     asking = platform.vms[list_hall(platform, HALLS[2])[-1]]
-    asking._usage.news.own.note_asked(WorkspaceName("desk"), 100_000, asking.clock.now())
+    asking._usage.tracker.local.record_requested(WorkspaceName("desk"), 100_000, asking.clock.now())
     knowing = platform.vms.values()
 
     def is_known() -> bool:
-        fleets = [vm._usage.news.find_fleet(vm.clock.now()) for vm in knowing]
+        fleets = [vm._usage.tracker.compute_fleet_usage(vm.clock.now()) for vm in knowing]
         return all(WorkspaceName("desk") in fleet.rates for fleet in fleets)
 
     platform.network.run_until(is_known, 1.0)
--- a/tests/platform/test_limit.py
+++ b/tests/platform/test_limit.py
@@ -176,7 +176,7 @@
     core = platform.vms[vm].core
     found = core.listing.find_last(UpstreamId(upstream.instance))
     assert found is not None
-    return core.announcements.limits.find(found.life)
+    return core.announcements.limits.get_rate(found.life)
 
 
 def test_the_others_are_told_before_they_ask() -> None:
@@ -225,7 +225,7 @@
         for other in ("vm0", "vm1", "vm3", "vm4"):
             platform.network.cut_between(vm, other)
     platform.network.run(4.0)
-    assert platform.vms["vm2"].core.announcements.limits.find_share() == pytest.approx(2 / 6)
+    assert platform.vms["vm2"].core.announcements.limits.get_reachable_share() == pytest.approx(2 / 6)
     since = platform.clock.now()
     call_for(platform, "/safe/x", 8.0)
     assert count_busiest(upstream.called_at, since) <= find_borne(2.6)
@@ -325,7 +325,7 @@
     found = core.listing.find_last(UpstreamId("decode-0"))
     assert found is not None
     now = platform.clock.now()
-    core.announcements.limits.take(found.life, 2.6, now, now)
+    core.announcements.limits.apply_response(found.life, 2.6, now, now)
     head = Head(200, [("Response-Signature", "x")])
     core.announcements.read(found, head, now + 1.0)
     assert knows(platform, "vm0", upstream) == 2.6
--- a/tests/platform/test_residency.py
+++ b/tests/platform/test_residency.py
@@ -90,7 +90,7 @@
 
 def test_a_vm_that_may_be_behind_says_not_now_in_place_of_never() -> None:
     platform = make_world(["east"], [make_workspace("apart", "k", allowed_regions=["west"])])
-    platform.vms["vm1"].core.admission.may_be_behind = lambda: True
+    platform.vms["vm1"].core.admission.may_be_outdated = lambda: True
     caller = platform.finish(platform.call("/safe/x", "q", headers={"Authorization": "Bearer k"}))
     assert caller.status == 503
     assert "Retry-After: 0.3" in caller.head
@@ -101,16 +101,16 @@
 
     returned = 0
 
-    def give_back(self, admitted: Admitted, now: float) -> None:
+    def refund(self, admitted: Admitted, now: float) -> None:
         self.returned += admitted.cost
-        super().give_back(admitted, now)
+        super().refund(admitted, now)
 
 
 def test_what_the_quota_was_charged_for_a_request_that_may_go_nowhere_is_given_back() -> None:
     workspaces = [make_workspace("apart", "k", rate=400, burst=400, allowed_regions=["west"])]
     platform = make_world(["east"], workspaces)
     core = platform.vms["vm1"].core
-    admission = core.admission = CountingAdmission(core.admission.share, core.admission.may_be_behind)
+    admission = core.admission = CountingAdmission(core.admission.allocator, core.admission.may_be_outdated)
     caller = platform.finish(platform.call("/safe/x", "q", headers={"Authorization": "Bearer k"}))
     assert caller.status == 403
     assert admission.returned == 200
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -6,15 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from beamhatch.relay.limits.account import LEAST_PACE, MOST_DEBT_TIME, MOST_ORIGINS, SPARE_LIFE
-from beamhatch.relay.limits.limits import ENDED_LIFE, LARGEST_RATE, MOST_LIFE_ACCOUNTS, Limits
-from beamhatch.relay.limits.words import LimitWord, Origin, Spent, make_key
+from beamhatch.relay.limits.bucket import MAX_DEBT_S, MAX_ORIGINS, MIN_RATE_PER_S, RELEASED_PERMIT_TTL_S
+from beamhatch.relay.limits.limits import ENDED_LIMIT_RETENTION_S, MAX_BUCKETS, UNLIMITED_RATE_PER_S, Limits
+from beamhatch.relay.limits.messages import LimitState, Origin, RequestCount, make_incarnation_key
 from beamhatch.relay.model import Life, UpstreamId
 from tests.support.limit_fleet import WINDOW, LimitFleet
 
 LIFE = Life(UpstreamId("u"), 1)
 OTHER_LIFE = Life(UpstreamId("u"), 2)
-KEY = make_key(LIFE)
+KEY = make_incarnation_key(LIFE)
 NOW = 100.0
 SETTLE = 2.0
 """Seconds behind the first answers with the word in which a fleet comes to keep it."""
@@ -25,7 +25,7 @@
 
 def make_limits(rate: float = 2.0) -> Limits:
     limits = Limits()
-    assert limits.take(LIFE, rate, NOW, NOW)
+    assert limits.apply_response(LIFE, rate, NOW, NOW)
     return limits
 
 
@@ -40,7 +40,7 @@
 def test_nothing_is_kept_from_one_that_names_none() -> None:
     limits = make_limits()
     assert limits.may_send(Life(UpstreamId("v"), 1), NOW)
-    assert limits.hold(Life(UpstreamId("v"), 1), NOW) is None
+    assert limits.acquire_permit(Life(UpstreamId("v"), 1), NOW) is None
 
 
 def test_what_was_not_used_before_the_word_counts_for_nothing() -> None:
@@ -48,13 +48,13 @@
     assert not limits.may_send(LIFE, NOW)
     assert not limits.may_send(LIFE, NOW + 0.49)
     assert limits.may_send(LIFE, NOW + 0.51)
-    assert limits.find_wait(LIFE, NOW + 0.51) == 0.0
+    assert limits.compute_wait(LIFE, NOW + 0.51) == 0.0
 
 
 def test_a_new_life_has_no_limit_until_it_names_one() -> None:
     limits = make_limits()
     assert limits.may_send(OTHER_LIFE, NOW)
-    assert limits.find(OTHER_LIFE) is None
+    assert limits.get_rate(OTHER_LIFE) is None
 
 
 @pytest.mark.parametrize("rate", [0.0, 0.01])
@@ -63,62 +63,62 @@
     sent = 0
     for step in range(1000):
         if limits.may_send(LIFE, NOW + step / 10):
-            limits.spend(LIFE, NOW + step / 10)
+            limits.record_request(LIFE, NOW + step / 10)
             sent += 1
-    assert sent == pytest.approx(100 * LEAST_PACE, abs=1)
+    assert sent == pytest.approx(100 * MIN_RATE_PER_S, abs=1)
 
 
 def test_a_huge_limit_is_none() -> None:
     limits = Limits()
-    assert not limits.take(LIFE, LARGEST_RATE, NOW, NOW)
+    assert not limits.apply_response(LIFE, UNLIMITED_RATE_PER_S, NOW, NOW)
     assert limits.may_send(LIFE, NOW)
 
 
 def test_a_limit_that_is_raised_to_a_huge_one_is_over() -> None:
     limits = make_limits(0.5)
-    assert limits.take(LIFE, 1e9, NOW + 1, NOW + 1)
+    assert limits.apply_response(LIFE, 1e9, NOW + 1, NOW + 1)
     assert limits.may_send(LIFE, NOW + 1)
 
 
 def test_a_limit_that_is_over_and_comes_again_begins_with_nothing() -> None:
     limits = make_limits()
-    assert limits.take(LIFE, None, NOW + 10, NOW + 10)
+    assert limits.apply_response(LIFE, None, NOW + 10, NOW + 10)
     assert limits.may_send(LIFE, NOW + 10)
-    assert limits.take(LIFE, 2.0, NOW + 12, NOW + 12)
+    assert limits.apply_response(LIFE, 2.0, NOW + 12, NOW + 12)
     assert not limits.may_send(LIFE, NOW + 12)
 
 
 def test_an_answer_to_a_request_from_before_the_word_neither_ends_nor_raises_it() -> None:
     limits = make_limits(2.0)
-    assert not limits.take(LIFE, None, NOW - 0.1, NOW + 0.1)
-    assert not limits.take(LIFE, 9.0, NOW - 0.1, NOW + 0.1)
-    assert limits.take(LIFE, 1.0, NOW - 0.1, NOW + 0.1)
-    assert limits.find(LIFE) == 1.0
+    assert not limits.apply_response(LIFE, None, NOW - 0.1, NOW + 0.1)
+    assert not limits.apply_response(LIFE, 9.0, NOW - 0.1, NOW + 0.1)
+    assert limits.apply_response(LIFE, 1.0, NOW - 0.1, NOW + 0.1)
+    assert limits.get_rate(LIFE) == 1.0
 
 
 def test_room_that_was_held_and_not_used_is_for_the_next_one() -> None:
     limits = make_limits(2.0)
-    permit = limits.hold(LIFE, NOW + 0.6)
+    permit = limits.acquire_permit(LIFE, NOW + 0.6)
     assert permit is not None
     assert not limits.may_send(LIFE, NOW + 0.6)
     permit.drop(NOW + 0.7)
     permit.drop(NOW + 0.7)
     assert limits.may_send(LIFE, NOW + 0.7)
-    limits.spend(LIFE, NOW + 0.7)
+    limits.record_request(LIFE, NOW + 0.7)
     assert not limits.may_send(LIFE, NOW + 0.7)
 
 
 def test_room_that_nobody_uses_lapses() -> None:
     limits = make_limits(0.5)
-    permit = limits.hold(LIFE, NOW + 2.0)
+    permit = limits.acquire_permit(LIFE, NOW + 2.0)
     assert permit is not None
     permit.drop(NOW + 2.0)
-    assert not limits.may_send(LIFE, NOW + 2.0 + SPARE_LIFE)
+    assert not limits.may_send(LIFE, NOW + 2.0 + RELEASED_PERMIT_TTL_S)
 
 
 def test_a_permit_that_was_used_gives_nothing_back() -> None:
     limits = make_limits(2.0)
-    permit = limits.hold(LIFE, NOW + 0.6)
+    permit = limits.acquire_permit(LIFE, NOW + 0.6)
     assert permit is not None
     permit.use(NOW + 0.6)
     permit.drop(NOW + 0.6)
@@ -127,22 +127,22 @@
 
 def test_who_was_refused_before_goes_first() -> None:
     limits = make_limits(2.0)
-    limits.note_refused([LIFE], NOW + 3)
+    limits.record_refusal([LIFE], NOW + 3)
     assert not limits.may_send(LIFE, NOW + 0.55)
-    assert limits.may_send(LIFE, NOW + 0.55, owed=True)
+    assert limits.may_send(LIFE, NOW + 0.55, is_retry=True)
     assert limits.may_send(LIFE, NOW + 0.65)
 
 
 def test_accounts_are_bounded_and_forgotten() -> None:
     limits = Limits()
-    for number in range(MOST_LIFE_ACCOUNTS + 5):
-        limits.take(Life(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
-    assert limits.count() == MOST_LIFE_ACCOUNTS
+    for number in range(MAX_BUCKETS + 5):
+        limits.apply_response(Life(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
+    assert limits.count_limited() == MAX_BUCKETS
     limits.keep_only({UpstreamId("u100"), UpstreamId("u101")})
-    assert limits.count() == 2
-    limits.take(Life(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
-    limits.forget_old(NOW + 2 + ENDED_LIFE)
-    assert [word.life.id for word in limits.list_words(NOW)] == ["u101"]
+    assert limits.count_limited() == 2
+    limits.apply_response(Life(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
+    limits.remove_expired(NOW + 2 + ENDED_LIMIT_RETENTION_S)
+    assert [word.incarnation.id for word in limits.list_states(NOW)] == ["u101"]
 
 
 # --- what VMs tell each other -----------------------------------------------------------------------------------------
@@ -151,56 +151,56 @@
 def test_what_others_send_counts_once_however_often_it_is_told() -> None:
     limits = make_limits(2.0)
     limits.count_vms = lambda: 2
-    told = [Spent(KEY, Origin(7), count, 1) for count in (1, 1, 1, 3, 2)]  # the word on the second was missed
-    news = [limits.take_spent(one, NOW + 1) for one in told]
+    told = [RequestCount(KEY, Origin(7), count, 1) for count in (1, 1, 1, 3, 2)]  # the word on the second was missed
+    news = [limits.apply_count(one, NOW + 1) for one in told]
     assert [None if one is None else one.new for one in news] == [1, None, None, 2, None]
 
 
 def test_an_old_count_of_one_that_is_new_here_costs_what_is_new_alone() -> None:
     limits = make_limits(2.0)
-    limits.take_spent(Spent(KEY, Origin(7), 5000, 1), NOW + 1)
-    assert limits.find_wait(LIFE, NOW + 1) <= 0.5
+    limits.apply_count(RequestCount(KEY, Origin(7), 5000, 1), NOW + 1)
+    assert limits.compute_wait(LIFE, NOW + 1) <= 0.5
 
 
 def test_own_requests_are_counted_on_however_many_others_there_are() -> None:
     limits = make_limits(2.0)
-    limits.spend(LIFE, NOW + 1)
-    for number in range(MOST_ORIGINS + 10):
-        limits.take_spent(Spent(KEY, Origin(number), 1, 1), NOW + 1)
-    limits.take_untold()
-    limits.spend(LIFE, NOW + 1)
-    _, spent = limits.take_untold()
-    assert [(one.count, one.new) for one in spent] == [(2, 1)]
+    limits.record_request(LIFE, NOW + 1)
+    for number in range(MAX_ORIGINS + 10):
+        limits.apply_count(RequestCount(KEY, Origin(number), 1, 1), NOW + 1)
+    limits.drain_pending()
+    limits.record_request(LIFE, NOW + 1)
+    _, spent = limits.drain_pending()
+    assert [(one.total, one.new) for one in spent] == [(2, 1)]
 
 
 def test_the_debt_is_bounded_whatever_others_tell() -> None:
     limits = make_limits(2.0)
-    limits.take_spent(Spent(KEY, Origin(7), 10**9, 10**9), NOW + 1)
-    assert limits.find_wait(LIFE, NOW + 1) <= MOST_DEBT_TIME + 1.0
+    limits.apply_count(RequestCount(KEY, Origin(7), 10**9, 10**9), NOW + 1)
+    assert limits.compute_wait(LIFE, NOW + 1) <= MAX_DEBT_S + 1.0
 
 
 def test_the_newer_word_holds_and_of_two_the_stricter() -> None:
     limits = make_limits(2.0)
-    assert not limits.take_word(LimitWord(LIFE, 1, 5.0), NOW)
-    assert limits.take_word(LimitWord(LIFE, 1, 1.5), NOW)
-    assert limits.take_word(LimitWord(LIFE, 2, None), NOW)
-    assert not limits.take_word(LimitWord(LIFE, 1, 1.0), NOW)
-    assert limits.take_word(LimitWord(LIFE, 2, 3.0), NOW)
+    assert not limits.apply_state(LimitState(LIFE, 1, 5.0), NOW)
+    assert limits.apply_state(LimitState(LIFE, 1, 1.5), NOW)
+    assert limits.apply_state(LimitState(LIFE, 2, None), NOW)
+    assert not limits.apply_state(LimitState(LIFE, 1, 1.0), NOW)
+    assert limits.apply_state(LimitState(LIFE, 2, 3.0), NOW)
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.none() | st.sampled_from([0.5, 1.0, 2.0])), max_size=8), st.randoms())
 def test_words_lead_to_the_same_in_whatever_order_they_come(
     told: list[tuple[int, float | None]], order: object
 ) -> None:
-    words = [LimitWord(LIFE, version, rate) for version, rate in told]
+    words = [LimitState(LIFE, version, rate) for version, rate in told]
     shuffled = list(words)
     order.shuffle(shuffled)  # type: ignore[attr-defined]
     found = []
     for one in (words, shuffled):
         limits = Limits()
         for word in one:
-            limits.take_word(word, NOW)
-        found.append(limits.find(LIFE))
+            limits.apply_state(word, NOW)
+        found.append(limits.get_rate(LIFE))
     assert found[0] == found[1]
 
 
@@ -296,7 +296,7 @@
     assert fleet.count_busiest(since) <= 2.0 * WINDOW + BURST
     fleet.rate = None
     fleet.run(3.0, find_demand(vms))
-    assert all(vm.limits.find(LIFE) is None for vm in fleet.vms)
+    assert all(vm.limits.get_rate(LIFE) is None for vm in fleet.vms)
 
 
 @settings(max_examples=25, deadline=None)
--- a/tests/relay/workspaces/test_quota.py
+++ b/tests/relay/workspaces/test_quota.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from beamhatch.relay.workspaces.quota import STEADY_SHARE, EqualShare, FollowingShare, QuotaTerms
-from beamhatch.relay.workspaces.usage import FleetUsage, Rates, UsageNews
+from beamhatch.relay.workspaces.quota import STEADY_RATE_SHARE, DemandAllocator, EqualAllocator, QuotaTerms
+from beamhatch.relay.workspaces.usage import FleetUsage, Rates, UsageTracker
 from tests.support.quota_fleet import Fleet, make_workspace
 
 if TYPE_CHECKING:
@@ -28,12 +28,12 @@
 """Drawn fleets in which a surge comes in the second of a cut: until it is noticed, VMs take what nobody tells of."""
 
 
-class StandInNews(UsageNews):
+class StandInNews(UsageTracker):
     """Tells what it is given to tell."""
 
     fleet = FleetUsage(1, {})
 
-    def find_fleet(self, now: float) -> FleetUsage:
+    def compute_fleet_usage(self, now: float) -> FleetUsage:
         """Return it."""
         return self.fleet
 
@@ -126,7 +126,7 @@
     fleet.run(4.0)
     share = fleet.vms[0].share
     assert share is not None
-    share.take_terms(QuotaTerms(8.0, 0.1, 100_000_000))
+    share.set_terms(QuotaTerms(8.0, 0.1, 100_000_000))
     assert all(fleet.ask(fleet.vms[0], 100_000) for _ in range(10))
 
 
@@ -162,16 +162,16 @@
     workspace = make_workspace(160_000, 160_000)
     terms = QuotaTerms(8.0, 0.1, 190_000)
     assert workspace.quota is not None
-    pace = terms.find_pace(workspace.quota, STEADY_SHARE)
+    pace = terms.compute_steady_rate(workspace.quota, STEADY_RATE_SHARE)
     news = StandInNews("vm0", "hall-0")
-    share = FollowingShare(news, lambda: 24, terms)
+    share = DemandAllocator(news, lambda: 24, terms)
     for at, vms, asked in [(100.0, 24, 4 * pace), (101.0, 24, 4 * pace), (101.1, 1, 0.0), (102.1, 1, 0.0)]:
         news.fleet = make_usage(workspace, vms, asked)
         share.update((workspace,), at)
     for at in (102.2, 103.2):
         news.fleet = make_usage(workspace, 24, 0.5 * pace)
         share.update((workspace,), at)
-    assert share.is_short(workspace.name)
+    assert share.is_partly_used(workspace.name)
 
 
 def test_a_lowered_quota_holds_one_window_later() -> None:
@@ -192,7 +192,7 @@
         for vm in fleet.vms:
             assert vm.share is not None
             if fleet.ask(vm, 3000):
-                vm.share.give_back(fleet.workspace.name, 3000, fleet.clock.seconds())
+                vm.share.refund(fleet.workspace.name, 3000, fleet.clock.seconds())
             else:
                 refused += 1
         fleet.run(0.1)
@@ -204,7 +204,7 @@
     fleet.run(6.0, 5 * fleet.quota.rate)
     vm = fleet.vms[0]
     assert vm.share is not None
-    waits = [vm.share.take(fleet.workspace, 3000, fleet.clock.seconds()) for _ in range(20)]
+    waits = [vm.share.acquire(fleet.workspace, 3000, fleet.clock.seconds()) for _ in range(20)]
     told = [wait for wait in waits if wait is not None]
     assert told
     assert all(0.1 < wait < fleet.terms.window for wait in told)
@@ -242,12 +242,12 @@
 def test_equal_parts_refuse_usual_work_that_following_ones_take() -> None:
     """Of a workspace at its usual 0.55 of the quota, 78 VMs with equal parts refuse a tenth; following ones nothing."""
     shares = {}
-    for kind in (EqualShare, FollowingShare):
+    for kind in (EqualAllocator, DemandAllocator):
         fleet = Fleet(78, kind=kind, terms=QuotaTerms(8.0, 0.1, 0.0))
         fleet.run(16.0, USUAL * fleet.quota.rate, fleet.vms[:60])
         shares[kind] = count_share(fleet)
-    assert shares[FollowingShare] == 1.0
-    assert shares[EqualShare] < 1.0
+    assert shares[DemandAllocator] == 1.0
+    assert shares[EqualAllocator] < 1.0
 
 
 def test_usage_costs_little_where_no_workspace_is_near_its_quota() -> None:
--- a/tests/relay/workspaces/test_usage_talk.py
+++ b/tests/relay/workspaces/test_usage_gossip.py
@@ -10,9 +10,9 @@
 
 from beamhatch.relay.fleet.gossip_message import Usage
 from beamhatch.relay.model import CallerLimits, make_table
-from beamhatch.relay.workspaces.quota import FollowingShare, QuotaTerms
-from beamhatch.relay.workspaces.usage import HallUsage, Rates, UsageNews
-from beamhatch.relay.workspaces.usage_talk import DIRECT_LIFE, UsageTalk
+from beamhatch.relay.workspaces.quota import DemandAllocator, QuotaTerms
+from beamhatch.relay.workspaces.usage import HallUsage, Rates, UsageTracker
+from beamhatch.relay.workspaces.usage_gossip import DIRECT_TTL_S, UsageGossip
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 from tests.support.quota_fleet import make_workspace
 
@@ -44,19 +44,19 @@
     def __init__(self, *peers: Peer, adds_up: bool = True) -> None:
         self.clock = task.Clock()
         self.clock.advance(100.0)
-        news = UsageNews("me", "a")
-        share = FollowingShare(news, lambda: 12, QuotaTerms(), 0.0)
+        news = UsageTracker("me", "a")
+        share = DemandAllocator(news, lambda: 12, QuotaTerms(), 0.0)
         table = make_table(1, [], [], CallerLimits(), (make_workspace(1000, 1000),))
         core: Any = SimpleNamespace(
             clock=SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater), table=table
         )
-        self.talk = UsageTalk(core, share, lambda: list(peers), lambda: adds_up)  # type: ignore[arg-type]
+        self.talk = UsageGossip(core, share, lambda: list(peers), lambda: adds_up)  # type: ignore[arg-type]
         self.talk.start()
 
     def hear(self, peer: Peer, *halls: str, direct: list[str] | None = None) -> None:
         """Take in sums of some halls, made just now, from a peer."""
         sums = [HallUsage(hall, f"teller-{hall}", 0.0, 3, {DESK: Rates(900, 900)}) for hall in halls]
-        self.talk.take(peer, Usage(None, sums, direct))  # type: ignore[arg-type]
+        self.talk.handle_usage(peer, Usage(None, sums, direct))  # type: ignore[arg-type]
 
     def wait(self, seconds: float = 0.31) -> None:
         self.clock.advance(seconds)
@@ -110,7 +110,7 @@
     talker.hear(one, "b")
     talker.wait()
     assert two.told[-1].direct is None
-    talker.wait(DIRECT_LIFE)
+    talker.wait(DIRECT_TTL_S)
     talker.wait()
     assert [message.direct for message in two.told if message.direct is not None][-1] == []
 
@@ -136,7 +136,7 @@
     talker = Talker(far)
     talker.hear(far, "b", direct=["c", "d"])
     talker.wait()
-    talker.talk.forget(far)  # type: ignore[arg-type]
+    talker.talk.forget_peer(far)  # type: ignore[arg-type]
     far.told.clear()
     talker.hear(Peer("n", "a"), "c")
     talker.wait()
@@ -148,12 +148,12 @@
     talker = Talker(near, far)
     talker.wait()
     near.told.clear()
-    talker.talk.news.own.note_asked(DESK, 900, talker.clock.seconds())
+    talker.talk.tracker.local.record_requested(DESK, 900, talker.clock.seconds())
     talker.wait(0.1)
     talker.wait(0.02)
     (message,) = near.told
     assert message.own is not None
-    assert message.own[DESK].asked > 1000
+    assert message.own[DESK].requested > 1000
     near.told.clear()
     talker.hear(far, "b")
     talker.wait(0.02)
@@ -166,6 +166,6 @@
     talker = Talker(near)
     talker.wait()
     for _ in range(5):
-        talker.talk.news.own.note_asked(DESK, 20, talker.clock.seconds())
+        talker.talk.tracker.local.record_requested(DESK, 20, talker.clock.seconds())
         talker.wait(0.1)
     assert len(near.told) <= 3
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -85,7 +85,7 @@
 
 
 def _counts_alone() -> None:
-    Limits.take_spent = lambda self, spent, now: None  # type: ignore[method-assign]
+    Limits.apply_count = lambda self, spent, now: None  # type: ignore[method-assign]
 
 
 def _ignores_epochs() -> None:
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from beamhatch.relay.limits.words import LimitWord, Spent
+    from beamhatch.relay.limits.messages import LimitState, RequestCount
 
 LIFE = Life(UpstreamId("u"), 1)
 
@@ -86,10 +86,10 @@
 
     def add(self, name: str) -> Vm:
         """Start a VM; those in touch tell it all that they know as they meet, and each other of it within a second."""
-        vm = Vm(name, Limits(own=name, shared=self.shared))
+        vm = Vm(name, Limits(own_address=name, shared=self.shared))
         vm.limits.count_vms = lambda: max(1, vm.knows_of)
-        vm.limits.find_share = lambda: vm.share
-        vm.limits.on_news = lambda: self._spread(vm)
+        vm.limits.get_reachable_share = lambda: vm.share
+        vm.limits.on_update = lambda: self._spread(vm)
         met = [one for one in self.vms if one.side == 0]
         self.vms.append(vm)
         vm.knows_of = 1 + len(met)
@@ -158,7 +158,7 @@
         if not vm.limits.may_send(LIFE, self.now):
             self.refused += 1
             return
-        vm.limits.spend(LIFE, self.now)
+        vm.limits.record_request(LIFE, self.now)
         vm.sent.append(self.now)
         self.got.append(self.now)
         asked_at = self.now
@@ -169,7 +169,7 @@
             return
         if self.rate is not None and vm.told_at is None:
             vm.told_at = self.now
-        vm.limits.take(LIFE, self.rate, asked_at, self.now)
+        vm.limits.apply_response(LIFE, self.rate, asked_at, self.now)
 
     def _later(self, seconds: float, act: Callable[[], None]) -> None:
         self._number += 1
@@ -179,21 +179,21 @@
 
     def _spread(self, teller: Vm) -> None:
         """Tell all others what a VM itself has done; what they hand on is in the time that this takes."""
-        words, spent = teller.limits.take_untold()
+        words, spent = teller.limits.drain_pending()
         for vm in self.vms:
             if vm is not teller and vm.side == teller.side:
                 delay = self.random.uniform(0.2 * self.news, self.news)
                 self._later(delay, lambda vm=vm: self._hear(vm, words, spent))  # type: ignore[misc]
 
     def _tell_all(self, teller: Vm, vm: Vm) -> None:
-        self._hear(vm, teller.limits.list_words(self.now), [])
+        self._hear(vm, teller.limits.list_states(self.now), [])
         vm.ready = True
 
-    def _hear(self, vm: Vm, words: list[LimitWord], spent: list[Spent]) -> None:
+    def _hear(self, vm: Vm, words: list[LimitState], spent: list[RequestCount]) -> None:
         for word in words:
-            vm.limits.take_word(word, self.now)
+            vm.limits.apply_state(word, self.now)
         for one in spent:
-            vm.limits.take_spent(one, self.now)
+            vm.limits.apply_count(one, self.now)
 
     # --- what is counted ---------------------------------------------------------------------------------------------
 
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -11,16 +11,16 @@
 from twisted.internet import task
 
 from beamhatch.relay.model import CallerLimits, hash_fraction, make_table
-from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
-from beamhatch.relay.workspaces.usage import UsageNews
-from beamhatch.relay.workspaces.usage_talk import UsageTalk
+from beamhatch.relay.workspaces.quota import DemandAllocator, EqualAllocator, QuotaTerms
+from beamhatch.relay.workspaces.usage import UsageTracker
+from beamhatch.relay.workspaces.usage_gossip import UsageGossip
 from beamhatch.relay.workspaces.workspace import Quota, QuotaUnit, Workspace, WorkspaceName
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from beamhatch.relay.fleet.gossip_message import Usage
-    from beamhatch.relay.workspaces.quota import QuotaShare
+    from beamhatch.relay.workspaces.quota import QuotaAllocator
 
 DELAY = 0.004
 """Seconds of a message between VMs: between halls, and the time that a VM takes."""
@@ -80,7 +80,7 @@
         alive = self.here.life == sender_life and self.there.life == receiver_life
         if alive and not self.fleet.is_cut(self.here, self.there):
             assert self.there.talk is not None
-            self.there.talk.take(other, message)  # type: ignore[arg-type]
+            self.there.talk.handle_usage(other, message)  # type: ignore[arg-type]
 
 
 @dataclass
@@ -91,8 +91,8 @@
     hall: str
     life: int = 0
     links: list[_Link] = field(default_factory=list)
-    talk: UsageTalk | None = None
-    share: QuotaShare | None = None
+    talk: UsageGossip | None = None
+    share: QuotaAllocator | None = None
     links_up: list[_Link] = field(default_factory=list)
     adds_up: bool = False
     place: int = 0
@@ -117,7 +117,7 @@
         rate: float = 160_000,
         burst: float = 160_000,
         terms: QuotaTerms | None = None,
-        kind: type[FollowingShare | EqualShare] = FollowingShare,
+        kind: type[DemandAllocator | EqualAllocator] = DemandAllocator,
         halls: int = 3,
     ) -> None:
         self.clock = task.Clock()
@@ -169,7 +169,7 @@
             vm.links_up = [link for link in vm.links if vm.hears(link.there) and link.is_wanted]
 
     def _start(self, vm: Vm) -> None:
-        news = UsageNews(vm.name, vm.hall)
+        news = UsageTracker(vm.name, vm.hall)
         vm.share = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
         table = make_table(1, [], [], CallerLimits(), (self.workspace,))
         clock = SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater)
@@ -178,7 +178,7 @@
         def list_links() -> Any:
             return vm.links_up
 
-        vm.talk = UsageTalk(core, vm.share, list_links, lambda: vm.adds_up)
+        vm.talk = UsageGossip(core, vm.share, list_links, lambda: vm.adds_up)
         vm.talk.start()
 
     def cut(self, vms: list[Vm], *, apart: bool = False) -> None:
@@ -219,7 +219,7 @@
         assert vm.share is not None
         now = self.clock.seconds()
         self.asked.append((now, units))
-        taken = vm.share.take(self.workspace, units, now) is None
+        taken = vm.share.acquire(self.workspace, units, now) is None
         if taken:
             self.taken.append((now, units))
         return taken
