--- a/src/beamhatch/relay/limits/bucket.py
+++ b/src/beamhatch/relay/limits/bucket.py
@@ -1,12 +1,10 @@
-"""What one upstream that names a limit may be sent, counted by each VM for all of them together.
+"""A token bucket for one rate-limited upstream, replicated on every VM.
 
-Every VM keeps the same account: it fills at the rate that the upstream names, and each request of any VM takes one from
-it, the own ones at once and those of others when they are told. What is sent before the news arrive makes the level
-negative, and is waited for: so the sum over all VMs is the limit itself, however many there are, wherever callers are,
-and however late news come; only how much comes at once depends on that.
+Each VM refills its copy at the announced rate and deducts the requests of all VMs: its own at once, those of others as
+their counts arrive. Requests that were sent before their counts arrived make the level negative and delay later ones.
 
-VMs that see one request come free would all send one. Each therefore draws how far the account has to fill for itself,
-anew at each change: the first one sends as its draw is reached, and the others hear of it before theirs are.
+To keep VMs that see free capacity from all sending at once, each VM sends only above a random threshold, which it draws
+again after each change of the level.
 """
 
 from __future__ import annotations
@@ -21,75 +19,75 @@
     from beamhatch.relay.limits.messages import Origin
 
 MIN_RATE_PER_S = 0.1
-"""Requests a second that go to an upstream with a lower limit, 0 included.
+"""Lowest rate at which requests are sent, even if the limit is lower or 0.
 
-It names the limit in its answers alone: without any request nobody would hear that it is over.
+Upstreams announce limits only in responses, so without requests the end of a limit would go unnoticed.
 """
 
 THRESHOLD_SPREAD_S = 0.1
-"""Seconds of the pace over which the VMs' draws are spread: longer than news travel."""
+"""Range of the thresholds, in seconds of the rate; exceeds the delay of updates between VMs."""
 
 MIN_THRESHOLD_SPREAD = 1.0
-"""Requests over which they are spread at the least."""
+"""Minimum range of the thresholds, in requests."""
 
 RETRY_PRIORITY_MARGIN = 0.25
-"""Requests by which the account has to be fuller for a caller that comes first while others were told to come back."""
+"""Extra requests that the level must hold for a first attempt while retries of refused callers are expected."""
 
 CAPACITY_MARGIN = 0.25
-"""Requests that the account holds beyond the highest draw, so that one is reached for sure."""
+"""Capacity beyond the highest threshold, in requests, so that every threshold can be reached."""
 
 THRESHOLD_TTL_S = 0.25
-"""Seconds for which a draw holds while nothing is sent."""
+"""Seconds after which a threshold is drawn again if nothing was sent."""
 
 MAX_DEBT_S = 8.0
-"""Seconds of the pace by which the level is below 0 at the most, whatever others tell: two of the users' windows."""
+"""Largest debt, in seconds of the rate, whatever counts other VMs send."""
 
 MIN_DEBT_LIMIT = 8.0
-"""Requests by which it may be below 0 in any case."""
+"""Debt that is always allowed, in requests."""
 
 RELEASED_PERMIT_TTL_S = 1.0
-"""Seconds for which room that was taken and not used is kept for the next request of this VM: the others were told."""
+"""Seconds for which a released permit can be reused by this VM; other VMs have already deducted it."""
 
 MAX_ORIGINS = 2048
-"""Starts of VMs of which an account knows what they sent: three times the VMs of the size to design for."""
+"""Number of origins whose totals a bucket keeps."""
 
 
 @dataclass(slots=True)
 class SharedBucket:
-    """What all VMs together may send to one life of an upstream."""
+    """The requests that all VMs together may send to one incarnation of an upstream."""
 
     rate: float | None
-    """Requests a second that the upstream names; None where it names none any more."""
+    """Announced limit in requests per second; None if it was withdrawn."""
     version: int
     rate_received_at: float
-    """When this VM heard that, in monotonic seconds."""
+    """When this VM learned of the rate, in monotonic seconds."""
     refilled_at: float
-    """When the level was reckoned."""
+    """When the level was last brought up to date."""
     position: float = 0.0
-    """This VM's place among all, from 0 up to 1: where VMs are many, those with the lowest send."""
+    """This VM's position in [0, 1); in large fleets only the VMs with the lowest positions send."""
     level: float = 0.0
-    """Requests that may be sent; what was left over before a limit was named counts for nothing."""
+    """Requests that may be sent; negative after too many. Starts at 0 or below when a limit is announced."""
     retries_expected_until: float = -math.inf
-    """Until when callers may come back that were refused."""
+    """Until when refused callers may retry, in monotonic seconds."""
     _threshold: float = math.inf
     _threshold_expires_at: float = -math.inf
     _acquired: int = 0
-    """Requests that this VM has taken room for."""
+    """Total of requests acquired by this VM."""
     _totals_by_origin: dict[Origin, int] = field(default_factory=dict)
-    """What the others have sent, as far as they told."""
+    """Totals last received from other VMs."""
     _released_permits: deque[float] = field(default_factory=deque)
-    """When each room lapses that was taken and not used."""
+    """When each released permit expires."""
 
     def compute_allowed_rate(self, share: float) -> float:
-        """Return the requests a second that may be sent.
+        """Return the requests per second that the VMs in contact with each other may send.
 
-        :param share: part of all VMs that hear of each other; the others take the rest for themselves
+        :param share: these VMs as a share of all; the remaining rate is left to the others
         """
         assert self.rate is not None
         return max(self.rate, MIN_RATE_PER_S) * share
 
     def refill(self, share: float, now: float) -> None:
-        """Bring the level up to date."""
+        """Add what has accrued since the last refill."""
         if self.rate is not None:
             self.level = min(
                 self._compute_capacity(), self.level + (now - self.refilled_at) * self.compute_allowed_rate(share)
@@ -97,9 +95,9 @@
         self.refilled_at = now
 
     def has_capacity(self, vms: int, now: float, *, is_retry: bool) -> bool:
-        """Tell whether this VM may send one request now; the level has to be up to date.
+        """Return whether this VM may send one request now; call ``refill`` first.
 
-        :param owed: whether its caller was refused before
+        :param is_retry: whether the caller was refused before
         """
         if self.rate is None or self._has_released_permit(now):
             return True
@@ -107,12 +105,12 @@
         return self.level >= self._get_threshold(vms, now) + margin
 
     def compute_wait(self, share: float) -> float:
-        """Return the seconds until a request should find room, where none has now; the level has to be up to date."""
+        """Return the estimated seconds until the level reaches the threshold; call ``refill`` first."""
         threshold = self._threshold if math.isfinite(self._threshold) else 1.0 + self._compute_threshold_spread()
         return max(0.0, (threshold - self.level) / self.compute_allowed_rate(share))
 
     def acquire(self, now: float) -> int | None:
-        """Take room for one request of this VM; return how many it has taken so far, None where that is as before."""
+        """Acquire one request; return the new total of this VM, or None if a released permit was reused."""
         if self._has_released_permit(now):
             self._released_permits.popleft()
             return None
@@ -121,11 +119,11 @@
         return self._acquired
 
     def release(self, now: float) -> None:
-        """Keep room that was taken and not used for the next request of this VM."""
+        """Keep an unused permit for the next request of this VM."""
         self._released_permits.append(now + RELEASED_PERMIT_TTL_S)
 
     def apply_total(self, origin: Origin, total: int, new: int) -> int:
-        """Take in what another VM has sent so far; return how much of it is news."""
+        """Apply the total of another VM; return how many requests it adds."""
         known = self._totals_by_origin.pop(origin, None)
         added = new if known is None else total - known
         self._totals_by_origin[origin] = total if known is None else max(known, total)
@@ -136,7 +134,7 @@
         return max(0, added)
 
     def apply_rate(self, rate: float | None, version: int, now: float) -> None:
-        """Take in what the upstream names from now on; the level has to be up to date."""
+        """Apply a changed limit, None for none; call ``refill`` first."""
         if rate is not None and self.rate is None:
             self.level = min(self.level, 0.0)
         self.rate = rate
--- a/src/beamhatch/relay/limits/gossip.py
+++ b/src/beamhatch/relay/limits/gossip.py
@@ -1,9 +1,7 @@
-"""Tell peers which limits upstreams name, and what was sent by them.
+"""Exchanges rate limits and request counts with peers.
 
-Each VM tells at once what it has heard or sent itself. Limits, which seldom change, are handed on by all, and what was
-sent by those that add up what their hall tells: each VM has a connection to two of these, and they have some to those
-of other halls. So the others know of a request within some hops, and its bytes grow with the VMs and not with their
-connections.
+Each VM sends its own changes to all peers at once. All VMs forward limits, which seldom change; only the VMs that
+aggregate the usage of their hall forward counts, so traffic grows with the number of VMs and not of connections.
 """
 
 from __future__ import annotations
@@ -21,17 +19,17 @@
     from beamhatch.relay.upstreams.announcements import Announcements
 
 MIN_BATCH_DELAY_S = 0.005
-"""Seconds in which what is news is put into one message: less than a message travels between regions."""
+"""Seconds for which updates are collected into one message, at least."""
 
 MAX_BATCH_DELAY_S = 0.25
-"""Seconds for which news are put together at the most."""
+"""Seconds for which updates are collected, at most."""
 
 BATCH_DELAY_PER_ITEM_S = 0.003
-"""Seconds for which they are put together for each one of the last message: 5 KB a second on a connection or so."""
+"""Seconds of delay per item of the previous message, which bounds the bandwidth of a connection."""
 
 
 class _ReceivedUpdate(NamedTuple):
-    """What a peer told, and was news here."""
+    """The new items in an update from a peer."""
 
     source: PeerConnection
     states: list[LimitState]
@@ -39,40 +37,40 @@
 
 
 class LimitGossip:
-    """What one VM says and hears of limits."""
+    """The limit gossip of one VM."""
 
     def __init__(self, clock: Clock, announcements: Announcements) -> None:
         self._clock = clock
         self._announcements = announcements
         self._limits = announcements.limits
         self._to_forward: list[_ReceivedUpdate] = []
-        """What is to be handed on."""
+        """Updates to forward with the next message."""
         self._is_scheduled = False
         self._delay = MIN_BATCH_DELAY_S
         self.list_connections: Callable[[], Iterable[PeerConnection]] = list
-        """Returns the connections to peers that are up."""
+        """Returns the established connections to peers."""
         self.forwards_counts: Callable[[], bool] = lambda: True
-        """Tells whether this VM hands on what others have sent."""
+        """Returns whether this VM forwards the counts of others."""
         self._limits.on_update = self.schedule_send
 
     def schedule_send(self) -> None:
-        """Tell peers what has become known."""
+        """Schedule a message to peers unless one is scheduled already."""
         if not self._is_scheduled:
             self._is_scheduled = True
             self._clock.call_later(self._delay, self._send)
 
     def send_all(self, connection: PeerConnection) -> None:
-        """Tell a peer that was met all limits that are known."""
+        """Send the known limits to a new peer."""
         states = self._limits.list_states(self._clock.now())[-MOST_TOLD_LIMITS:]
         if states:
             connection.tell(LimitNews(states))
 
     def handle_update(self, connection: PeerConnection, message: LimitNews) -> None:
-        """Take in what a peer tells, and hand on what is news."""
+        """Apply an update from a peer and forward what is new."""
         now = self._clock.now()
         source = f"peer {connection.vm}"
         received_states = message.words[:MOST_TOLD_LIMITS]
-        states = [word for word in received_states if self._announcements.take_limit_word(word, source)]
+        states = [state for state in received_states if self._announcements.take_limit_word(state, source)]
         applied = (self._limits.apply_count(one, now) for one in message.spent[:MOST_TOLD_LIMITS])
         counts = [one for one in applied if one is not None]
         if not self.forwards_counts():
@@ -89,7 +87,7 @@
         self._delay = min(MAX_BATCH_DELAY_S, max(MIN_BATCH_DELAY_S, items * BATCH_DELAY_PER_ITEM_S))
         for connection in self.list_connections():
             others = [one for one in received if one.source is not connection]
-            states = [*own_states, *(word for one in others for word in one.states)]
+            states = [*own_states, *(state for one in others for state in one.states)]
             counts = [*own_counts, *(count for one in others for count in one.counts)]
             if not connection.adds_up:
                 counts = [
--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -1,9 +1,8 @@
-"""The limits that upstreams name, what this VM may send by them, and what it has to tell the others.
+"""Rate limits that upstreams announce, and this VM's part in enforcing them.
 
-The newest word of an upstream holds for its life, whoever heard it: each VM that hears a change from the upstream
-itself numbers it one higher than what it knew, and of two words with one number the stricter holds. Answers overtake
-each other, so one that takes a limit back, or raises it, counts only where its request went out behind the word that it
-takes back.
+The newest state of an incarnation wins: a VM that learns of a change from the upstream itself increments the version,
+and of two states with the same version the stricter wins. Responses can overtake each other, so one that withdraws or
+raises a limit counts only if its request was sent after the current limit became known.
 """
 
 from __future__ import annotations
@@ -25,32 +24,31 @@
     from beamhatch.relay.model import Upstream
 
 UNLIMITED_RATE_PER_S = 1000.0
-"""Requests a second from which on a limit is none: more than all VMs of the size to design for send to any upstream."""
+"""Limits at or above this rate are treated as no limit."""
 
 ENDED_LIMIT_RETENTION_S = 30.0
-"""Seconds for which it is remembered that a limit is over: longer than an older word travels."""
+"""Seconds for which a withdrawn limit is kept, so that older states that arrive late are ignored."""
 
 MAX_BUCKETS = 1024
-"""Lives that name a limit of which this VM keeps accounts, the newest: up to 64 KB each where all VMs send there."""
+"""Number of incarnations for which buckets are kept, the newest ones; each takes up to 64 KB."""
 
 MIN_SENDERS = 16.0
 SENDERS_PER_RATE = 8.0
-"""VMs that send to an upstream which names a limit: so many, and so many more for each request a second; all of fewer.
+"""VMs that may send to a limited upstream: a base number, plus so many per request per second of the limit.
 
-They need to know of each other's requests, so these cost bytes for each of them; and a fourth of them get a request
-while news travel, where each gets three a second: with all of 300 that is more than an upstream bears beyond its limit.
-With fewer, a limit is not used where callers are at few VMs.
+Senders exchange their counts, and may overshoot the limit while counts are in transit; both grow with their number.
+With too few, a limit is left unused if callers reach only few VMs.
 """
 
 RECIPIENT_FACTOR = 1.5
-"""Times that number of VMs are told of requests: they may know of fewer VMs, and take themselves for one of those."""
+"""Counts go to this multiple of the senders: a VM that knows of fewer VMs may take itself for a sender."""
 
 ORIGIN_BITS = 32
-"""Enough that two starts of VMs hardly ever draw one number; what they sent would then be counted too low at first."""
+"""Size of a random origin; if two VMs drew the same one, their requests would be undercounted."""
 
 
 MAX_CACHED_POSITIONS = 65_536
-"""Places of VMs that are remembered, of 100 peers at 600 upstreams: 8 MB."""
+"""Size of the position cache, about 8 MB."""
 
 NO_INCARNATION = Life(UpstreamId(""), 0)
 
@@ -64,23 +62,23 @@
 
 
 def _do_nothing() -> None:
-    """Take no notice."""
+    """Do nothing."""
 
 
 @dataclass(slots=True)
 class LimitPermit:
-    """Room for one request at an upstream that names a limit, from the plan until it goes out or is given up."""
+    """Permission to send one request to a rate-limited upstream."""
 
     limits: Limits
     incarnation: Life
     _held: bool = True
 
     def use(self, now: float) -> None:
-        """Use it: the request goes out now."""
+        """Consume the permit as the request is sent."""
         self._held = False
 
     def drop(self, now: float) -> None:
-        """Keep the room for another request, unless it was used."""
+        """Release the permit unless it was used."""
         if self._held:
             self._held = False
             self.limits.release_permit(self.incarnation, now)
@@ -88,41 +86,41 @@
 
 @dataclass(slots=True)
 class Limits:
-    """All limits that this VM knows of."""
+    """The limits that this VM knows of."""
 
     origin: Origin = field(default_factory=lambda: Origin(random.SystemRandom().getrandbits(ORIGIN_BITS)))
     own_address: str = ""
-    """The address by which this VM's place among all is found: a restart does not change it."""
+    """Address of this VM, from which its positions are derived; stable across restarts."""
     shared: bool = True
-    """Whether all VMs keep one account together; else each one keeps an equal part for itself."""
+    """Whether VMs exchange their counts; if not, each VM uses an equal part of the limit."""
     count_vms: Callable[[], int] = _count_one_vm
-    """Returns how many VMs there are, as far as this one knows."""
+    """Returns the number of VMs known to this one."""
     get_reachable_share: Callable[[], float] = _return_whole_share
-    """Returns the part of all VMs that hear of each other and of this one."""
+    """Returns the share of all VMs that are in contact with this one, itself included."""
     on_update: Callable[[], None] = _do_nothing
-    """Called when there is something to tell other VMs."""
+    """Called when there are updates to send to other VMs."""
     _buckets: dict[Life, SharedBucket] = field(default_factory=dict)
     _upstream_ids: set[UpstreamId] = field(default_factory=set)
-    """Whose lives these are: most upstreams name no limit, and are passed by their ids."""
+    """Upstreams that have a bucket, for a fast check: most have none."""
     _incarnations_by_key: dict[IncarnationKey, Life] = field(default_factory=dict)
     _pending_counts: dict[IncarnationKey, RequestCount] = field(default_factory=dict)
     _pending_states: dict[Life, LimitState] = field(default_factory=dict)
 
-    # --- what is known -----------------------------------------------------------------------------------------------
+    # --- state -------------------------------------------------------------------------------------------------------
 
     def get_rate(self, incarnation: Life) -> float | None:
-        """Return the limit of a life in requests a second, None where it names none."""
+        """Return the limit of an incarnation in requests per second, or None."""
         bucket = self._buckets.get(incarnation)
         return None if bucket is None else bucket.rate
 
     def count_limited(self) -> int:
-        """Return how many lives name one."""
-        return sum(account.rate is not None for account in self._buckets.values())
+        """Return the number of incarnations with a limit."""
+        return sum(bucket.rate is not None for bucket in self._buckets.values())
 
     def apply_response(self, incarnation: Life, rate: float | None, sent_at: float, now: float) -> bool:
-        """Take in what an answer of the upstream names, None for nothing; return whether that is news.
+        """Apply the limit in an upstream's response, None for none; return whether it changed.
 
-        :param asked_at: when the request went out that is answered
+        :param sent_at: when the request was sent, in monotonic seconds
         """
         if rate is not None and rate >= UNLIMITED_RATE_PER_S:
             rate = None
@@ -142,7 +140,7 @@
         return True
 
     def apply_state(self, state: LimitState, now: float) -> bool:
-        """Take in what another VM knows; return whether that is news."""
+        """Apply a state received from another VM; return whether it changed anything."""
         bucket = self._buckets.get(state.incarnation)
         if bucket is None:
             bucket = self._add_bucket(state.incarnation, state, now)
@@ -175,27 +173,27 @@
         self._incarnations_by_key = {make_incarnation_key(life): life for life in self._buckets}
 
     def remove_expired(self, now: float) -> None:
-        """Drop limits that were over long ago."""
+        """Remove limits that were withdrawn longer than ``ENDED_LIMIT_RETENTION_S`` ago."""
         for incarnation, bucket in list(self._buckets.items()):
             if bucket.rate is None and now - bucket.rate_received_at > ENDED_LIMIT_RETENTION_S:
                 self._remove_bucket(incarnation)
 
     def keep_only(self, listed: Collection[UpstreamId]) -> None:
-        """Drop those of upstreams that are not known any more."""
+        """Remove the limits of upstreams that are not listed."""
         if any(known not in listed for known in self._upstream_ids):
-            self._buckets = {life: account for life, account in self._buckets.items() if life.id in listed}
+            self._buckets = {life: bucket for life, bucket in self._buckets.items() if life.id in listed}
             self._rebuild_indexes()
 
-    # --- what may be sent --------------------------------------------------------------------------------------------
+    # --- sending -----------------------------------------------------------------------------------------------------
 
     def may_send_to(self, upstream: Upstream, now: float, *, is_retry: bool = False) -> bool:
-        """Tell whether an upstream may be sent one more request; see ``may_send``."""
+        """Return whether this VM may send one more request to an upstream."""
         return upstream.id not in self._upstream_ids or self.may_send(upstream.life, now, is_retry=is_retry)
 
     def may_send(self, incarnation: Life, now: float, *, is_retry: bool = False) -> bool:
-        """Tell whether this VM may send one more request to an upstream. It only looks.
+        """Return whether this VM may send one more request to an incarnation, without acquiring it.
 
-        :param owed: whether its caller was refused before
+        :param is_retry: whether the caller was refused before
         """
         bucket = self._buckets.get(incarnation)
         if bucket is None or bucket.rate is None:
@@ -206,11 +204,11 @@
         return self._is_sender(bucket) and bucket.has_capacity(self.count_vms(), now, is_retry=is_retry)
 
     def _is_sender(self, bucket: SharedBucket) -> bool:
-        """Tell whether this VM is one of those that send to an upstream."""
+        """Return whether this VM is one of the upstream's senders."""
         return bucket.position * self.count_vms() < _compute_senders(bucket)
 
     def may_be_sender(self, key: IncarnationKey, vm: str) -> bool:
-        """Tell whether another VM may be one of those that send to an upstream, and has to know what others sent."""
+        """Return whether another VM may be a sender, and so needs the counts of the others."""
         bucket = self._buckets.get(self._incarnations_by_key.get(key, NO_INCARNATION))
         vms = self.count_vms()
         if bucket is None or vms <= MIN_SENDERS:
@@ -222,7 +220,7 @@
         return share if self.shared else share / max(1, self.count_vms())
 
     def record_request(self, incarnation: Life, now: float) -> bool:
-        """Count a request; return whether its upstream names a limit."""
+        """Count a request; return whether its upstream has a limit."""
         bucket = self._buckets.get(incarnation)
         if bucket is None or bucket.rate is None:
             return False
@@ -237,20 +235,20 @@
         return True
 
     def acquire_permit(self, incarnation: Life, now: float) -> LimitPermit | None:
-        """Take room for a request that is to go out; None where its upstream names no limit.
+        """Acquire a permit for a request; return None if its upstream has no limit.
 
-        The others are told now: while a prompt is read elsewhere, they would else take the same room.
+        The request is announced now rather than when it is sent, so that other VMs do not use the same capacity.
         """
         return LimitPermit(self, incarnation) if self.record_request(incarnation, now) else None
 
     def release_permit(self, incarnation: Life, now: float) -> None:
-        """Keep room that was held and not used for this VM's next request."""
+        """Keep an unused permit for the next request of this VM."""
         bucket = self._buckets.get(incarnation)
         if bucket is not None:
             bucket.release(now)
 
     def describe(self, incarnation: Life) -> dict[str, object]:
-        """Return what this VM's part of a limit follows from, as it is written to the log."""
+        """Return the log fields that explain this VM's part of a limit."""
         bucket = self._buckets.get(incarnation)
         if bucket is None:
             return {}
@@ -262,7 +260,7 @@
         }
 
     def compute_wait(self, incarnation: Life, now: float) -> float:
-        """Return the seconds until a request should find room at an upstream that names a limit, where none has now."""
+        """Return the estimated seconds until an incarnation has capacity for a request of this VM."""
         bucket = self._buckets.get(incarnation)
         if bucket is None or bucket.rate is None:
             return 0.0
@@ -271,22 +269,22 @@
         return bucket.compute_wait(share)
 
     def compute_total_rate(self, incarnations: Iterable[Life]) -> float:
-        """Return the requests a second that some upstreams take by their limits, those that name none left out."""
+        """Return the total rate allowed by the limits of some incarnations, ignoring those without one."""
         share = self.get_reachable_share()
         buckets = (self._buckets.get(life) for life in incarnations)
         return sum(one.compute_allowed_rate(share) for one in buckets if one is not None and one.rate is not None)
 
     def record_refusal(self, incarnations: Iterable[Life], until: float) -> None:
-        """Note that a caller was refused as these upstreams take no more, and may be back by some time."""
+        """Record that a caller was refused because of these limits, and may retry until the given time."""
         for incarnation in incarnations:
             bucket = self._buckets.get(incarnation)
             if bucket is not None:
                 bucket.retries_expected_until = max(bucket.retries_expected_until, until)
 
-    # --- what VMs tell each other ------------------------------------------------------------------------------------
+    # --- gossip ------------------------------------------------------------------------------------------------------
 
     def apply_count(self, spent: RequestCount, now: float) -> RequestCount | None:
-        """Take in what another VM has sent; return it with what was news to this one, None where nothing was."""
+        """Apply a count of another VM; return it with the requests that were new to this VM, or None if none were."""
         bucket = self._buckets.get(self._incarnations_by_key.get(spent.incarnation_key, NO_INCARNATION))
         if bucket is None or spent.origin == self.origin or not self.shared:
             return None
@@ -295,14 +293,14 @@
         return RequestCount(spent.incarnation_key, spent.origin, spent.total, added) if added else None
 
     def list_states(self, now: float) -> list[LimitState]:
-        """Return all that is known, for a peer that may know nothing."""
+        """Return the states of all limits, for a new peer."""
         share = self.get_reachable_share()
         for bucket in self._buckets.values():
             bucket.refill(share, now)
         return [_make_state(life, account) for life, account in self._buckets.items()]
 
     def drain_pending(self) -> tuple[list[LimitState], list[RequestCount]]:
-        """Return what this VM has heard and sent itself since it was last asked, and take it as told."""
+        """Return and clear the states and counts of this VM that were not sent yet."""
         states, counts = list(self._pending_states.values()), list(self._pending_counts.values())
         self._pending_states, self._pending_counts = {}, {}
         return states, counts
@@ -313,13 +311,13 @@
 
 
 def _compute_senders(bucket: SharedBucket) -> float:
-    """Return how many VMs send to an upstream."""
+    """Return how many VMs may send to an upstream."""
     return MIN_SENDERS + SENDERS_PER_RATE * (bucket.rate or 0.0)
 
 
 @lru_cache(maxsize=MAX_CACHED_POSITIONS)
 def _compute_position(key: IncarnationKey, vm: str) -> float:
-    """Return the place of a VM among those that send to an upstream, the same on all VMs."""
+    """Return the position of a VM for an upstream, which is the same on all VMs."""
     return hash_fraction(f"{key}/{vm}")
 
 
@@ -328,5 +326,5 @@
 
 
 def _is_stricter(rate: float | None, other: float | None) -> bool:
-    """Tell whether a limit is lower than another one; None is no limit."""
+    """Return whether a limit is lower than another one; None is no limit."""
     return (math.inf if rate is None else rate) < (math.inf if other is None else other)
--- a/src/beamhatch/relay/limits/messages.py
+++ b/src/beamhatch/relay/limits/messages.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other of limits."""
+"""Messages between VMs about rate limits."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from beamhatch.relay.model import Life
 
 Origin = NewType("Origin", int)
-"""Names one start of a VM, drawn at random: a VM that restarts counts anew, under another one."""
+"""Random id of one start of a VM; a restarted VM counts from zero under a new one."""
 
 IncarnationKey = NewType("IncarnationKey", int)
-"""Names a life that all VMs know by its word, in a fifth of the bytes."""
+"""Short hash of an incarnation."""
 
 
 class LimitState(msgspec.Struct, array_like=True, frozen=True):
-    """What an upstream said of its limit last, as far as the sender knows."""
+    """The limit of an incarnation as the sender knows it."""
 
     incarnation: Life
     version: int
-    """Rises with each change that a VM heard from the upstream behind those that it knew of."""
+    """Incremented by a VM that learns of a change from the upstream itself."""
     rate: float | None
-    """Requests a second from all VMs together; None where it names a limit no longer."""
+    """Requests per second from all VMs together; None if the limit was withdrawn."""
     level: float = 0.0
-    """Requests that it would take at this moment, by what the sender knows; below 0 where it got too many."""
+    """Level of the sender's bucket, in requests; negative after too many."""
 
 
 class RequestCount(msgspec.Struct, array_like=True, frozen=True):
-    """Requests that one VM has sent to an upstream that names a limit, or is about to."""
+    """Requests of one VM to a rate-limited incarnation, sent or about to be sent."""
 
     incarnation_key: IncarnationKey
     origin: Origin
     total: int
-    """All of them so far: whoever is told twice, or misses a word, ends with the same."""
+    """Total so far, so that duplicated and lost messages do not matter."""
     new: int
-    """Those that the sender did not know of before: what counts for a receiver to which the origin is new."""
+    """Requests that were new to the sender; used by a receiver that does not know the origin."""
 
 
 def make_incarnation_key(incarnation: Life) -> IncarnationKey:
-    """Return what names a life, the same on all VMs; two lives hardly ever have one name."""
+    """Return the key of an incarnation, the same on all VMs."""
     return IncarnationKey(zlib.crc32(f"{incarnation.id}/{incarnation.born}".encode()))
--- a/src/beamhatch/relay/limits/retry_schedule.py
+++ b/src/beamhatch/relay/limits/retry_schedule.py
@@ -1,7 +1,6 @@
-"""When callers may come back that all upstreams of a service have no room for, by the limits that they name.
+"""Schedules the retries of callers that were refused because all upstreams of a service are at their rate limits.
 
-This answers the load of callers that want more than all of a service takes: each is told the time at which it should be
-its turn, one behind the other at the pace of the limits, so that nobody comes back in vain with all others at once.
+Each caller is given a slot of its own at the allowed rate, so that callers do not all retry at the same time.
 """
 
 from __future__ import annotations
@@ -11,23 +10,23 @@
 from dataclasses import dataclass
 
 MAX_RETRY_DELAY_S = 3.0
-"""Seconds behind which no turn is promised: callers come back within a third of the time they have left, 4 s of 14."""
+"""Longest delay that a caller is given; slots further ahead are not reserved."""
 
 RETRY_JITTER = 0.3
-"""Part by which times differ where no turn can be promised."""
+"""Relative jitter of the delay if no slot is reserved."""
 
 
 @dataclass(slots=True)
 class RetrySchedule:
-    """The turns that this VM has promised to callers of one service."""
+    """The retry slots that this VM has reserved for callers of one service."""
 
     _next_slot: float = -math.inf
 
     def reserve(self, wait: float, rate: float, now: float) -> float:
-        """Return the seconds after which a caller is to come back.
+        """Reserve the next slot; return the seconds after which the caller should retry.
 
-        :param wait: seconds until there is room for one
-        :param pace: requests a second that are taken from callers of this VM
+        :param wait: seconds until the first request can be accepted
+        :param rate: requests per second accepted from callers of this VM
         """
         interval = 1.0 / rate
         due = max(self._next_slot, now + wait)
@@ -36,4 +35,4 @@
         self._next_slot = due + interval
         return min(
             MAX_RETRY_DELAY_S, due - now + interval * random.random()
-        )  # VMs see room at one moment, and differ by that
+        )  # Jitter: all VMs see free capacity at once.
--- a/src/beamhatch/relay/workspaces/__init__.py
+++ b/src/beamhatch/relay/workspaces/__init__.py
@@ -1,1 +1,1 @@
-"""Workspaces: whose requests are taken, by which key, and how much of them."""
+"""Workspaces: caller keys, admission and quotas."""
--- a/src/beamhatch/relay/workspaces/admission.py
+++ b/src/beamhatch/relay/workspaces/admission.py
@@ -1,4 +1,4 @@
-"""Decide whether a request is taken: whose key it bears, and whether its workspace's quota has room for it."""
+"""Admission of requests by their key and the quota of its workspace."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request is taken."""
+    """The request is admitted."""
 
     keyed: bool = False
-    """True where the configuration has workspaces, so that keys are the relay's business and not the upstream's."""
+    """Whether the configuration has workspaces, so that the relay rather than the upstream checks keys."""
     workspace: WorkspaceName | None = None
-    """Whose request it is; None where the route asks for no key and none was given."""
+    """Workspace of the caller; None if the configuration has none, or on a public route without a known key."""
     cost: int = 0
-    """Units of the workspace's quota that were taken for it."""
+    """Units that were acquired from the workspace's quota."""
     priority: int = 0
-    """Its rank by its workspace, or else by its route; 0 for all where the configuration has no workspaces."""
+    """Priority from the workspace or else the route; 0 if the configuration has no workspaces."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownKey:
-    """The request bears no key that a workspace has."""
+    """The request has no key, or one that no workspace has."""
 
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """The key is unknown to this VM, whose configuration may be out of date: another one may know it."""
+    """The key is unknown to this VM, but its configuration may be outdated."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """The workspace has no quota left."""
+    """The workspace has exhausted its quota."""
 
     workspace: WorkspaceName
     retry_after: float
-    """Seconds after which there should be some."""
+    """Seconds after which the caller should retry."""
 
 
 Decision = Admitted | UnknownKey | Undecided | OverQuota
@@ -55,15 +55,15 @@
 
 @dataclass(slots=True)
 class Admission:
-    """Admits requests to one VM."""
+    """Admission control of one VM."""
 
     allocator: QuotaAllocator | None = None
-    """How this VM's part of the quotas is found; None where quotas are not kept."""
+    """Allocator of this VM's part of the quotas; None if quotas are not enforced."""
     may_be_outdated: Callable[[], bool] = field(default=_is_never_outdated)
-    """Tells whether there may be a newer configuration than this VM's."""
+    """Returns whether a newer configuration than this VM's may exist."""
 
     def decide(self, facts: RequestFacts, route: Route, table: Table, now: float) -> Decision:
-        """Return whether a request is taken; one that is has its cost taken from the quota."""
+        """Return whether a request is admitted; its cost is then acquired from the quota."""
         if not table.workspaces:
             return Admitted()
         workspace = table.find_workspace(facts.key)
@@ -78,7 +78,7 @@
         return Admitted(keyed=True, workspace=workspace.name, cost=cost, priority=_get_priority(workspace, route))
 
     def refund(self, admitted: Admitted, now: float) -> None:
-        """Give back what was taken for a request that reached no upstream."""
+        """Return the units of a request that reached no upstream to the quota."""
         if self.allocator is not None and admitted.workspace is not None and admitted.cost:
             self.allocator.refund(admitted.workspace, admitted.cost, now)
 
--- a/src/beamhatch/relay/workspaces/workspace.py
+++ b/src/beamhatch/relay/workspaces/workspace.py
@@ -1,4 +1,4 @@
-"""A workspace as the operators configure it: its keys and its quota."""
+"""The configuration of a workspace: its keys, priority and quota."""
 
 from __future__ import annotations
 
@@ -11,17 +11,15 @@
     from beamhatch.relay.places import RegionName
 
 WorkspaceName = NewType("WorkspaceName", str)
-"""Name of a workspace."""
 
 KeyDigest = NewType("KeyDigest", bytes)
-"""What is kept of a caller's key: enough to find its workspace by, of no use to whoever reads it in a dump."""
+"""Hash of a caller's key; the key itself is not kept."""
 
 DIGEST_BYTES = 16
-"""Bytes of a digest: keys that were drawn at random don't share one."""
 
 
 class QuotaUnit(Enum):
-    """What a quota counts."""
+    """The unit in which a quota is counted."""
 
     REQUEST = "request"
     TOKEN = "token"
@@ -29,20 +27,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """How much of a workspace's work all VMs together take, in units of its own."""
+    """The rate and burst that all VMs together grant to a workspace."""
 
     unit: QuotaUnit
     rate: float
-    """Units a second."""
+    """Units per second."""
     burst: float
     """Units on top of the rate."""
     default_cost: int = 1
-    """Units of a request that does not tell its tokens."""
+    """Units of a request whose number of tokens is unknown."""
 
     def compute_cost(self, tokens: int) -> int:
-        """Return the units of one request.
+        """Return the units that one request costs.
 
-        :param tokens: of its prompt and its answer; 0 where it does not tell
+        :param tokens: tokens of its prompt and output; 0 if unknown
         """
         if self.unit is QuotaUnit.REQUEST:
             return 1
@@ -51,17 +49,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """One workspace; ``quota`` is None where its work is not limited."""
+    """A workspace; ``quota`` is None if it is unlimited."""
 
     name: WorkspaceName
     keys: tuple[KeyDigest, ...] = ()
     priority: int | None = None
-    """Its rank, 0 for the highest, in place of that of a route; None where the route's holds."""
+    """Priority, 0 being the highest; None to use the route's."""
     quota: Quota | None = None
     regions: frozenset[RegionName] | None = None
-    """Where its requests may be served; None where they may be anywhere."""
+    """Regions that may serve its requests; None for all."""
 
 
 def digest_key(key: str) -> KeyDigest:
-    """Return the digest of a key. A look-up by it tells nobody by its time how much of a wrong key was right."""
+    """Return the digest of a key; looking keys up by digest prevents timing attacks."""
     return KeyDigest(hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES).digest())
