--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -297,7 +297,7 @@
         share = self.get_reachable_share()
         for bucket in self._buckets.values():
             bucket.refill(share, now)
-        return [_make_state(life, account) for life, account in self._buckets.items()]
+        return [_make_state(life, bucket) for life, bucket in self._buckets.items()]
 
     def drain_pending(self) -> tuple[list[LimitState], list[RequestCount]]:
         """Return and clear the states and counts of this VM that were not sent yet."""
--- a/src/beamhatch/relay/limits/retry_schedule.py
+++ b/src/beamhatch/relay/limits/retry_schedule.py
@@ -33,6 +33,5 @@
         if due - now > MAX_RETRY_DELAY_S:
             return MAX_RETRY_DELAY_S * random.uniform(1.0 - RETRY_JITTER, 1.0)
         self._next_slot = due + interval
-        return min(
-            MAX_RETRY_DELAY_S, due - now + interval * random.random()
-        )  # Jitter: all VMs see free capacity at once.
+        # All VMs see free capacity at the same time, so their retries are spread.
+        return min(MAX_RETRY_DELAY_S, due - now + interval * random.random())
--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -1,7 +1,7 @@
-"""How fast workspaces ask for units of their quotas, and are given them: at this VM, in a hall, and everywhere.
+"""Request and grant rates of workspaces on this VM, in a hall, and on all VMs.
 
-Each VM tells a few of its hall what its own callers ask. These add it up, tell their hall the sum, and hand on the sums
-of other halls, so that every VM knows within a second what the whole fleet asks, and how many VMs that covers.
+Each VM reports the rates of its own callers to the aggregators of its hall. These send the sum to their hall and
+forward the sums of other halls, so that every VM learns the rates of all VMs and how many VMs they cover.
 """
 
 from __future__ import annotations
@@ -19,30 +19,25 @@
     from collections.abc import Iterable, Mapping
 
 RATE_TIME_CONSTANT_S = 0.5
-"""Seconds after which a request counts 1/e in a rate: a shorter one is noise for a hall that gets a few a second, and a
-longer one shows a workspace that begins to send many times its usual too late. With 0.7 s, and news every 0.25 to
-0.5 s, the worst windows of fleets under four times the quota were up to 0.18 further over what the platform bears.
-"""
+"""Time constant of the exponential decay of rates."""
 
 TRANSIT_JITTER_S = 0.1
-"""Seconds by which the age of one sum may seem to differ on two ways: two sums of one teller are further apart."""
+"""Seconds by which the apparent age of a sum may differ by route; less than the interval between two sums."""
 
 HALL_USAGE_TTL_S = 0.9
-"""Seconds for which a sum is believed: two of the calm intervals at which it is told, and its way over four VMs. The
-shorter, the sooner a VM that is cut off keeps to its own part.
-"""
+"""Seconds for which a sum is used; covers two idle intervals and the route over four VMs."""
 
 MIN_RATE_PER_S = 1.0
-"""Units a second below which nothing is told."""
+"""Rates below this many units per second are not reported."""
 
 
 class Rates(msgspec.Struct, array_like=True, frozen=True):
-    """What one workspace asks and is given."""
+    """The rates of one workspace."""
 
     requested: int = 0
-    """Units a second."""
+    """Units per second that its callers request."""
     granted: int = 0
-    """Units a second that were taken from the quota."""
+    """Units per second that are granted."""
 
 
 NO_RATES = Rates()
@@ -51,21 +46,21 @@
 
 
 class HallUsage(msgspec.Struct, array_like=True, frozen=True):
-    """The sum over the VMs of a hall."""
+    """The rates of a hall, summed over its VMs, as sent."""
 
     hall: str
     aggregator: str
-    """The VM that added it up."""
+    """VM that computed the sum."""
     age: float
-    """Seconds since it was added up, when it is told: what is handed on in a circle must not look new."""
+    """Seconds since the sum was computed, so that a forwarded sum does not look new."""
     vms: int
-    """How many VMs it covers."""
+    """Number of VMs it covers."""
     rates: RatesByWorkspace
 
 
 @dataclass(frozen=True, slots=True)
 class FleetUsage:
-    """The sum over all VMs that were heard of."""
+    """The rates of all VMs in contact."""
 
     vms: int
     rates: RatesByWorkspace
@@ -73,7 +68,7 @@
 
 @dataclass(slots=True)
 class _DecayingRate:
-    """A rate of which old parts fade."""
+    """An exponentially decaying rate."""
 
     rate: float = 0.0
     updated_at: float = 0.0
@@ -88,26 +83,26 @@
 
 @dataclass(slots=True)
 class LocalUsage:
-    """What the callers of this VM ask and are given."""
+    """The rates of this VM's callers."""
 
     _requested: dict[WorkspaceName, _DecayingRate] = field(default_factory=dict)
     _granted: dict[WorkspaceName, _DecayingRate] = field(default_factory=dict)
 
     def record_requested(self, workspace: WorkspaceName, units: float, now: float) -> None:
-        """Note that a request asked for units."""
+        """Record the units of a request."""
         self._requested.setdefault(workspace, _DecayingRate()).record(units, now)
 
     def record_granted(self, workspace: WorkspaceName, units: float, now: float) -> None:
-        """Note that units were taken from the quota, or given back where ``units`` is below 0."""
+        """Record granted units, or refunded ones if ``units`` is negative."""
         self._granted.setdefault(workspace, _DecayingRate()).record(units, now)
 
     def compute_requested_rate(self, workspace: WorkspaceName, now: float) -> float:
-        """Return the units a second that a workspace's callers ask."""
+        """Return the units per second that a workspace's callers request."""
         meter = self._requested.get(workspace)
         return 0.0 if meter is None else meter.compute_rate(now)
 
     def compute_rates(self, now: float) -> RatesByWorkspace:
-        """Return the rates of the workspaces that ask."""
+        """Return the rates of the active workspaces."""
         rates = {}
         for workspace, meter in list(self._requested.items()):
             requested = meter.compute_rate(now)
@@ -123,7 +118,7 @@
 
 
 def add_rates(parts: Iterable[Mapping[WorkspaceName, Rates]]) -> RatesByWorkspace:
-    """Return the sum of rates, workspace by workspace."""
+    """Return the sums of rates by workspace."""
     total: RatesByWorkspace = {}
     for part in parts:
         for workspace, rates in part.items():
@@ -134,38 +129,38 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownHallUsage:
-    """The sum over the VMs of a hall, with the time at which it was added up."""
+    """The rates of a hall and the time at which they were summed."""
 
     hall: str
     aggregator: str
     vms: int
     rates: RatesByWorkspace
     computed_at: float
-    """Monotonic seconds of this VM."""
+    """In monotonic seconds of this VM."""
 
     def is_newer(self, known: KnownHallUsage | None) -> bool:
-        """Tell whether it is another sum than a known one, and a later one."""
+        """Return whether this is a later sum than a known one."""
         return known is None or self.computed_at > known.computed_at + TRANSIT_JITTER_S
 
     def make_message(self, now: float) -> HallUsage:
-        """Return it as it is told."""
+        """Return the message to send."""
         return HallUsage(self.hall, self.aggregator, round(now - self.computed_at, 3), self.vms, self.rates)
 
 
 @dataclass(slots=True)
 class UsageTracker:
-    """What this VM knows of the usage of all."""
+    """The usage of all VMs as known to this one."""
 
     vm: str
     hall: str
     local: LocalUsage = field(default_factory=LocalUsage)
     members: PeerWords[RatesByWorkspace] = field(default_factory=PeerWords)
-    """What the other VMs of the hall tell of their own callers."""
+    """Rates reported by the other VMs of the hall."""
     _halls: dict[tuple[str, str], KnownHallUsage] = field(default_factory=dict)
-    """The newest sum of each hall and teller."""
+    """Newest sum by hall and aggregator."""
 
     def apply_hall_usage(self, message: HallUsage, now: float) -> KnownHallUsage:
-        """Take in a sum that a peer told; return it."""
+        """Apply a sum from a peer; return it."""
         usage = KnownHallUsage(message.hall, message.aggregator, message.vms, message.rates, now - message.age)
         key = usage.hall, usage.aggregator
         if usage.aggregator != self.vm and usage.is_newer(self._halls.get(key)):
@@ -173,15 +168,15 @@
         return usage
 
     def compute_hall_rates(self, now: float) -> RatesByWorkspace:
-        """Return the sum over the VMs of the own hall, as this VM knows it from them."""
+        """Return the rates of this VM's hall, summed from its members' reports."""
         return add_rates([self.local.compute_rates(now), *self.members.list_values(now)])
 
     def record_own_hall(self, rates: RatesByWorkspace, vms: int, now: float) -> None:
-        """Keep the sum of the own hall that is to be told, over some VMs; those that told nothing are asked nothing."""
+        """Record the sum for this VM's hall; ``vms`` is the number of VMs it covers, silent ones included."""
         self._halls[self.hall, self.vm] = KnownHallUsage(self.hall, self.vm, vms, rates, now)
 
     def list_hall_usages(self, now: float) -> list[KnownHallUsage]:
-        """Return the newest sums: of each hall that which covers the most VMs."""
+        """Return one current sum per hall, the one that covers the most VMs."""
         best: dict[str, KnownHallUsage] = {}
         for usage in self._halls.values():
             if now - usage.computed_at < HALL_USAGE_TTL_S and (
@@ -191,18 +186,18 @@
         return list(best.values())
 
     def get_hall_rates(self, hall: str, now: float) -> RatesByWorkspace:
-        """Return the newest rates of a hall, none where it was not heard of late."""
+        """Return the current rates of a hall, empty if there are none."""
         return next((usage.rates for usage in self.list_hall_usages(now) if usage.hall == hall), {})
 
     def has_remote_usage(self, now: float) -> bool:
-        """Tell whether other VMs are heard, by this VM or by one that adds them up."""
+        """Return whether there are current sums that cover other VMs."""
         return any(
             now - usage.computed_at < HALL_USAGE_TTL_S and (usage.hall != self.hall or usage.vms > 1)
             for usage in self._halls.values()
         )
 
     def compute_fleet_usage(self, now: float) -> FleetUsage:
-        """Return the sum over all VMs that are known of; at the least over this one."""
+        """Return the rates of all VMs in contact, always including this one."""
         halls = self.list_hall_usages(now)
         parts: list[RatesByWorkspace] = [usage.rates for usage in halls]
         vms = sum(usage.vms for usage in halls)
@@ -212,6 +207,6 @@
         return FleetUsage(vms, add_rates(parts))
 
     def remove_expired(self, now: float) -> None:
-        """Drop what is no longer believed."""
+        """Remove expired reports and sums."""
         self.members.forget_old(now)
         self._halls = {key: usage for key, usage in self._halls.items() if now - usage.computed_at < HALL_USAGE_TTL_S}
--- a/src/beamhatch/relay/workspaces/usage_gossip.py
+++ b/src/beamhatch/relay/workspaces/usage_gossip.py
@@ -1,4 +1,4 @@
-"""Tell other VMs how fast workspaces use their quotas, and take in what they tell."""
+"""Exchanges the quota usage of workspaces with other VMs."""
 
 from __future__ import annotations
 
@@ -17,53 +17,52 @@
     from beamhatch.relay.workspaces.usage import KnownHallUsage, RatesByWorkspace
 
 BUSY_INTERVAL_S = 0.2
-"""Seconds between two words on usage while a workspace comes near its quota: news cross four VMs at the most, from a VM
-to one that adds up its hall, to one of another hall, to one that adds up there, to its members.
+"""Interval between messages while a workspace is near its quota. A report crosses at most four VMs: the sender, two
+aggregators and the members of the other hall.
 """
 
 IDLE_INTERVAL_S = 0.3
-"""Seconds between two words while none does: 25 messages a VM and second in a fleet of 78, which are counted by a test.
-"""
+"""Interval between messages while no workspace is near its quota."""
 
 SURGE_CHECK_INTERVAL_S = 0.1
-"""Seconds between two checks for a surge."""
+"""Interval between checks for a surge."""
 
 SURGE_FACTOR = 1.5
-"""Growth of a workspace's demand, as a factor since it was told last, from which on peers are told at once.
+"""Growth of a workspace's demand since the last message from which peers are informed at once.
 
-Until they know, they take all of a surge; only demand above these VMs' part of the quota counts.
+Only demand above the covered VMs' part of the quota counts.
 """
 
 SURGE_DELAY_S = 0.01
-"""Seconds from a surge until peers are told, so that reports of several VMs go out in one message."""
+"""Delay of a message after a surge, so that reports of several VMs are combined."""
 
 REPORTING_SHARE = 0.6
-"""Share of a hall's part of a quota from which on its use is told: as long as all halls are below, none is at its
-quota. On the measured deployment, usual work is at 0.55 of the quotas and would cost a watcher 40 KB/s to tell.
+"""Share of a hall's part of a quota from which its usage is reported. While all halls are below it, no workspace is at
+its quota.
 """
 
 
 DIRECT_TTL_S = 0.7
-"""Seconds behind which a hall no longer counts as heard directly: two calm intervals and a way between regions."""
+"""Seconds after which a hall no longer counts as received directly; covers two idle intervals and a transit."""
 
 
 @dataclass(slots=True)
 class _Peer:
-    """What a VM knows that this one has a connection to."""
+    """What a connected peer knows."""
 
     known_usages: dict[str, KnownHallUsage] = field(default_factory=dict)
-    """The sums that the peer was told, or told itself, by hall."""
+    """Sums exchanged with the peer, by hall."""
     direct_halls: frozenset[str] = frozenset()
-    """The halls that the peer hears directly, and so is not told of from another hall."""
+    """Halls that the peer receives directly, whose sums other halls need not forward to it."""
     sent_direct_halls: frozenset[str] = frozenset()
-    """Those of which it was told that this VM hears them directly."""
+    """The direct halls of this VM that were last sent to the peer."""
     received_at: float = float("-inf")
-    """When it told the sum of its own hall last, in monotonic seconds."""
+    """When it last sent the sum of its own hall, in monotonic seconds."""
     hall: str = ""
 
 
 class UsageGossip:
-    """What this VM says and hears of the use of quotas."""
+    """The usage gossip of one VM."""
 
     def __init__(
         self,
@@ -72,10 +71,10 @@
         list_connections: Callable[[], Iterable[PeerConnection]],
         adds_up: Callable[[], bool],
     ) -> None:
-        """Make one.
+        """Initialize the gossip.
 
-        :param list_connections: returns the connections to peers that are up
-        :param adds_up: tells whether this VM adds up what the VMs of its hall tell
+        :param list_connections: returns the established connections to peers
+        :param adds_up: returns whether this VM is an aggregator of its hall
         """
         self.core = core
         self.tracker = allocator.usage
@@ -84,32 +83,32 @@
         self._adds_up = adds_up
         self._peers: dict[str, _Peer] = {}
         self._sent_local = False
-        """Whether the last word had rates of this VM's callers."""
+        """Whether the last message had rates of this VM's callers."""
         self._sent_rates: RatesByWorkspace = {}
-        """The rates that peers were told last: of the hall where this VM adds up, else of its own callers."""
+        """Rates at the last message: of the hall if this VM aggregates it, else of its own callers."""
         self._covered_vms = 1
-        """The VMs that these are of."""
+        """Number of VMs that these rates cover."""
         self._stopped = False
         self._timer: Any = None
-        """The next time that peers are told."""
+        """Timer of the next message."""
         self._is_expedited = False
-        """Whether that is at once."""
+        """Whether the next message was brought forward."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start sending."""
         self._tick()
         self._check_for_surge()
 
     def stop(self) -> None:
-        """End."""
+        """Stop sending."""
         self._stopped = True
 
     def forget_peer(self, connection: PeerConnection) -> None:
-        """Drop what a peer knew whose connection ended."""
+        """Remove the state of a peer whose connection was closed."""
         self._peers.pop(connection.vm, None)
 
     def handle_usage(self, connection: PeerConnection, message: Usage) -> None:
-        """Take in what a peer told."""
+        """Apply a message from a peer."""
         if not connection.vm:
             return
         now = self.core.clock.now()
@@ -136,7 +135,7 @@
         return peer
 
     def _send_soon(self) -> None:
-        """Bring the next message to peers forward to now."""
+        """Bring the next message forward."""
         if self._timer is None or self._is_expedited:
             return
         self._is_expedited = True
@@ -155,7 +154,7 @@
         self._timer = self.core.clock.call_later(BUSY_INTERVAL_S if busy else IDLE_INTERVAL_S, self._tick)
 
     def _check_for_surge(self) -> None:
-        """Check for a surge."""
+        """Send at once if demand has surged, and schedule the next check."""
         if self._stopped:
             return
         table = self.core.table
@@ -166,13 +165,13 @@
         self.core.clock.call_later(SURGE_CHECK_INTERVAL_S, self._check_for_surge)
 
     def _compute_covered_rates(self, now: float) -> RatesByWorkspace:
-        """Return the rates that this VM is to tell of: those of its hall where it adds them up, else its own."""
+        """Return the rates of the hall if this VM aggregates it, else of its own callers."""
         return self.tracker.compute_hall_rates(now) if self._covered_vms > 1 else self.tracker.local.compute_rates(now)
 
     def _has_surged(self, rates: RatesByWorkspace, before: RatesByWorkspace, vms: int) -> bool:
-        """Tell whether any workspace asks much more of some VMs than before, and more than their part of its quota."""
+        """Return whether demand of any workspace surged beyond the part of its quota for these VMs."""
         table = self.core.table
-        if table is None or not rates:  # most messages on a calm day bear none
+        if table is None or not rates:  # The usual case: most messages have no rates.
             return False
         vm_share = vms / max(1, self._allocator.count_vms())
         quotas = {workspace.name: workspace.quota for workspace in table.workspaces}
@@ -184,7 +183,7 @@
         return False
 
     def _send_usage(self, now: float) -> bool:
-        """Tell peers what they don't know; return whether any workspace comes near its quota."""
+        """Send peers what they do not know; return whether any workspace is near its quota."""
         table = self.core.table
         assert table is not None
         self.tracker.remove_expired(now)
@@ -210,10 +209,10 @@
         return any(usage.rates for usage in halls)
 
     def _list_recipients(self, *, adds_up: bool) -> list[PeerConnection]:
-        """Return the peers that are told: all of the hall; of other halls, those that add up, by those that add up.
+        """Return one connection for each peer to send to.
 
-        A VM that adds up tells all its peers of a hall where it has no connection to one that does. Of two connections
-        to one VM, as both dialled, one is enough.
+        All VMs send to the peers of their hall. Aggregators also send to the aggregators of other halls, or to all
+        peers in a hall where they are not connected to an aggregator.
         """
         connections = {connection.vm: connection for connection in self._list_connections()}.values()
         if not adds_up:
@@ -222,9 +221,9 @@
         return [connection for connection in connections if connection.adds_up or connection.hall not in joined]
 
     def _get_direct_halls(self, now: float) -> frozenset[str]:
-        """Return the other halls whose sums this VM has from VMs there: peers in third halls need not tell it.
+        """Return the other halls whose sums this VM receives from VMs there.
 
-        Without it, each of six halls is told each sum by all others: five times the bytes.
+        Peers in third halls need not forward these sums.
         """
         return frozenset(
             peer.hall
@@ -233,7 +232,7 @@
         )
 
     def _get_covered_halls(self, direct: frozenset[str], now: float) -> frozenset[str]:
-        """Return these and the halls that others of the own hall hear directly, who tell this VM and the hall."""
+        """Return the direct halls of all VMs in this hall, which forward the sums within it."""
         others = [
             peer.direct_halls
             for peer in self._peers.values()
@@ -266,7 +265,7 @@
         connection.tell(Usage(local if sends_local else None, sums, sorted(direct) if sends_direct else None))
 
     def _select_reported_rates(self, sums: RatesByWorkspace, vms: int, now: float) -> RatesByWorkspace:
-        """Return the sums that are worth telling: of quotas that are near, partly spent, or told of by another hall."""
+        """Return the sums to report: of quotas that are near, partly used, or reported by another hall."""
         table = self.core.table
         assert table is not None
         reported = {
