--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -14,7 +14,7 @@
 from bisect import bisect_left
 from enum import Enum
 
-from tests.support.limit_fleet import WINDOW, LimitFleet
+from tests.support.limit_fleet import WINDOW_S, LimitFleet
 
 from beamhatch.relay.model import Life, UpstreamId
 from benchmarks.quarantine import count_bytes, make_fleet
@@ -52,18 +52,18 @@
     busiest, used = 0, []
     demand = LEAST_DEMAND if one_hall else max(LEAST_DEMAND, DEMAND_A_VM * vms)
     for seed in SEEDS:
-        fleet = LimitFleet(vms, rate, seed=seed, news=NEWS, shared=way is Way.SHARED)
+        fleet = LimitFleet(vms, rate, seed=seed, max_delay=NEWS, shared=way is Way.SHARED)
         if way is Way.FEW:
             chosen = fleet.random.sample(fleet.vms, min(2, vms))
             for vm in fleet.vms:
-                vm.knows_of, vm.share = len(chosen), float(vm in chosen)
+                vm.known_vms, vm.allocator = len(chosen), float(vm in chosen)
         asked = fleet.vms[: max(1, vms // 6)] if one_hall else None
         fleet.run(SETTLE, demand, asked)
         since = fleet.now
         fleet.run(TIME, demand, asked)
-        busiest = max(busiest, fleet.count_busiest(since))
-        used.append(fleet.count_rate(since) / rate)
-    return {"busiest": busiest, "limit": round(rate * WINDOW, 1), "used": round(sum(used) / len(used), 2)}
+        busiest = max(busiest, fleet.count_busiest_window(since))
+        used.append(fleet.compute_rate(since) / rate)
+    return {"busiest": busiest, "limit": round(rate * WINDOW_S, 1), "used": round(sum(used) / len(used), 2)}
 
 
 def play(vms: int, halls: int) -> dict[str, object]:
@@ -95,7 +95,7 @@
     return {
         "seconds_to_last_vm": first,
         "seconds_to_last_vm_changed": tell(1.0),
-        "busiest": max(bisect_left(sent, at + WINDOW) - index for index, at in enumerate(sent)),
+        "busiest": max(bisect_left(sent, at + WINDOW_S) - index for index, at in enumerate(sent)),
         "used": round(len(sent) / PLAYED_TIME / PLAYED_RATE, 2),
         "bytes_a_second_and_vm": round(sum(told) / len(told) / PLAYED_TIME),
         "bytes_a_second_at_the_busiest": round(max(told) / PLAYED_TIME),
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.limits.limits import ENDED_LIMIT_RETENTION_S, MAX_BUCKETS, UNLIMITED_RATE_PER_S, Limits
 from beamhatch.relay.limits.messages import LimitState, Origin, RequestCount, make_incarnation_key
 from beamhatch.relay.model import Life, UpstreamId
-from tests.support.limit_fleet import WINDOW, LimitFleet
+from tests.support.limit_fleet import WINDOW_S, LimitFleet
 
 LIFE = Life(UpstreamId("u"), 1)
 OTHER_LIFE = Life(UpstreamId("u"), 2)
@@ -31,7 +31,7 @@
 
 def find_borne(rate: float) -> float:
     """Return the requests of one window that users bear."""
-    return 1.5 * rate * WINDOW + 5
+    return 1.5 * rate * WINDOW_S + 5
 
 
 # --- one VM -----------------------------------------------------------------------------------------------------------
@@ -221,8 +221,8 @@
     fleet.run(SETTLE, find_demand(vms))
     since = fleet.now
     fleet.run(20.0, find_demand(vms))
-    assert fleet.count_busiest(since) <= min(find_borne(rate), 1.1 * rate * WINDOW + BURST)
-    assert fleet.count_rate(since) >= (0.8 if vms <= 8 else 0.6) * rate
+    assert fleet.count_busiest_window(since) <= min(find_borne(rate), 1.1 * rate * WINDOW_S + BURST)
+    assert fleet.compute_rate(since) >= (0.8 if vms <= 8 else 0.6) * rate
 
 
 @pytest.mark.parametrize("vms", SIZES)
@@ -232,8 +232,8 @@
     fleet.run(SETTLE, 30.0, some)
     since = fleet.now
     fleet.run(20.0, 30.0, some)
-    assert fleet.count_busiest(since) <= 2.6 * WINDOW + BURST
-    assert fleet.count_rate(since) >= (0.8 if vms <= 8 else 0.6) * 2.6
+    assert fleet.count_busiest_window(since) <= 2.6 * WINDOW_S + BURST
+    assert fleet.compute_rate(since) >= (0.8 if vms <= 8 else 0.6) * 2.6
 
 
 @pytest.mark.parametrize("vms", SIZES)
@@ -243,7 +243,7 @@
     fleet.run(5.0, 0.1)
     since = fleet.now
     fleet.run(10.0, find_demand(vms))
-    assert fleet.count_busiest(since) <= find_borne(2.6)
+    assert fleet.count_busiest_window(since) <= find_borne(2.6)
 
 
 @pytest.mark.parametrize("vms", [8, 74, 300])
@@ -254,8 +254,8 @@
     for _ in range(6):
         fleet.restart(fleet.random.sample(fleet.vms, max(1, vms // 8)))
         fleet.run(2.0, find_demand(vms))
-    assert fleet.count_busiest(since) <= find_borne(2.6)
-    assert fleet.count_rate(since) >= 0.6 * 2.6
+    assert fleet.count_busiest_window(since) <= find_borne(2.6)
+    assert fleet.compute_rate(since) >= 0.6 * 2.6
 
 
 @pytest.mark.parametrize("vms", [8, 74, 300])
@@ -266,7 +266,7 @@
     new = [fleet.add(f"new{number}") for number in range(vms // 4)]
     fleet.run(0.1, 0.0)
     fleet.run(8.0, find_demand(vms), new)
-    assert fleet.count_busiest(since) <= find_borne(2.6)
+    assert fleet.count_busiest_window(since) <= find_borne(2.6)
 
 
 @pytest.mark.parametrize("vms", [8, 74, 300])
@@ -280,8 +280,8 @@
     sides = [[at for vm in fleet.vms if vm.side == side for at in vm.sent if at > known_at] for side in (0, 1)]
     fleet.heal()
     fleet.run(6.0, find_demand(vms))
-    assert fleet.count_busiest(known_at) <= find_borne(2.6)
-    assert fleet.count_busiest(since) <= 2 * (2.6 * WINDOW + BURST)  # each side takes all for 2 s
+    assert fleet.count_busiest_window(known_at) <= find_borne(2.6)
+    assert fleet.count_busiest_window(since) <= 2 * (2.6 * WINDOW_S + BURST)  # each side takes all for 2 s
     assert all(len(side) >= 0.25 * 2.6 * 30 for side in sides)
 
 
@@ -293,7 +293,7 @@
     fleet.run(1.0, find_demand(vms))
     since = fleet.now
     fleet.run(8.0, find_demand(vms))
-    assert fleet.count_busiest(since) <= 2.0 * WINDOW + BURST
+    assert fleet.count_busiest_window(since) <= 2.0 * WINDOW_S + BURST
     fleet.rate = None
     fleet.run(3.0, find_demand(vms))
     assert all(vm.limits.get_rate(LIFE) is None for vm in fleet.vms)
@@ -316,4 +316,4 @@
             case _:
                 fleet.run(1.0, 200.0, fleet.vms[:1])
         fleet.run(1.5, 60.0)
-    assert fleet.count_busiest(since) <= find_borne(rate)
+    assert fleet.count_busiest_window(since) <= find_borne(rate)
--- a/tests/relay/workspaces/test_quota.py
+++ b/tests/relay/workspaces/test_quota.py
@@ -43,7 +43,7 @@
 
 
 def count_share(fleet: Fleet) -> float:
-    return sum(units for _, units in fleet.taken) / sum(units for _, units in fleet.asked)
+    return sum(units for _, units in fleet.granted) / sum(units for _, units in fleet.requested)
 
 
 @pytest.mark.parametrize("vms", SIZES)
@@ -65,10 +65,10 @@
 def test_a_hot_workspace_gets_its_quota_and_no_more(vms: int, times: float) -> None:
     fleet = Fleet(vms)
     fleet.run(4.0, USUAL * fleet.quota.rate)
-    begun = len(fleet.taken)
+    begun = len(fleet.granted)
     fleet.run(12.0, times * fleet.quota.rate)
-    assert fleet.find_worst() <= 1.0
-    taken = sum(units for _, units in fleet.taken[begun:])
+    assert fleet.compute_worst_window() <= 1.0
+    taken = sum(units for _, units in fleet.granted[begun:])
     assert taken >= 12.0 * fleet.quota.rate
 
 
@@ -76,10 +76,10 @@
     fleet = Fleet(78)
     there = [vm for vm in fleet.vms if vm.hall == "hall-1"]
     fleet.run(4.0, USUAL * fleet.quota.rate)
-    begun = len(fleet.taken)
+    begun = len(fleet.granted)
     fleet.run(12.0, 3.3 * fleet.quota.rate, there)
-    assert fleet.find_worst() <= 1.0
-    assert sum(units for _, units in fleet.taken[begun:]) >= 12.0 * fleet.quota.rate
+    assert fleet.compute_worst_window() <= 1.0
+    assert sum(units for _, units in fleet.granted[begun:]) >= 12.0 * fleet.quota.rate
 
 
 def test_callers_are_treated_alike_in_all_halls() -> None:
@@ -103,7 +103,7 @@
     fleet.run(4.0, USUAL * fleet.quota.rate)
     fleet.cut([vm for vm in fleet.vms if vm.hall == "hall-1"])
     fleet.run(12.0, 3.3 * fleet.quota.rate)
-    assert fleet.find_worst() <= 1.0
+    assert fleet.compute_worst_window() <= 1.0
 
 
 def test_a_hall_that_is_cut_off_is_served_as_usual() -> None:
@@ -124,7 +124,7 @@
     fleet = Fleet(2)
     fleet.cut(fleet.vms, apart=True)
     fleet.run(4.0)
-    share = fleet.vms[0].share
+    share = fleet.vms[0].allocator
     assert share is not None
     share.set_terms(QuotaTerms(8.0, 0.1, 100_000_000))
     assert all(fleet.ask(fleet.vms[0], 100_000) for _ in range(10))
@@ -136,7 +136,7 @@
     fleet.run(4.0, USUAL * fleet.quota.rate)
     fleet.cut(fleet.vms[: int(share * 78)], apart=True)
     fleet.run(12.0, 3.3 * fleet.quota.rate)
-    assert fleet.find_worst() <= 1.0
+    assert fleet.compute_worst_window() <= 1.0
 
 
 @pytest.mark.parametrize("share", [0.55, 1.0])
@@ -145,7 +145,7 @@
     fleet.run(10.0, 3.3 * fleet.quota.rate)
     fleet.restart(fleet.vms[: int(share * 78)])
     fleet.run(8.0, 3.3 * fleet.quota.rate)
-    assert fleet.find_worst() <= 1.0
+    assert fleet.compute_worst_window() <= 1.0
 
 
 def test_vms_that_start_take_at_once_no_more_than_their_pace_brings() -> None:
@@ -153,9 +153,9 @@
     fleet = Fleet(24)
     fleet.run(10.0, 3.3 * fleet.quota.rate)
     fleet.restart(fleet.vms)
-    begun = len(fleet.taken)
+    begun = len(fleet.granted)
     fleet.run(0.2, 4.0 * fleet.quota.rate)
-    assert sum(units for _, units in fleet.taken[begun:]) <= 0.2 * 1.3 * fleet.quota.rate
+    assert sum(units for _, units in fleet.granted[begun:]) <= 0.2 * 1.3 * fleet.quota.rate
 
 
 def test_what_was_taken_too_much_is_still_to_be_made_up_for_behind_a_cut() -> None:
@@ -179,10 +179,10 @@
     fleet.run(4.0, USUAL * fleet.quota.rate)
     fleet.change_quota(32_000, 32_000)
     fleet.run(8.0, USUAL * 160_000)
-    fleet.taken.clear()
+    fleet.granted.clear()
     fleet.run(16.0, USUAL * 160_000)
-    assert fleet.find_worst() <= 1.0
-    assert sum(units for _, units in fleet.taken) >= 0.9 * 16 * 32_000
+    assert fleet.compute_worst_window() <= 1.0
+    assert sum(units for _, units in fleet.granted) >= 0.9 * 16 * 32_000
 
 
 def test_what_is_given_back_can_be_taken_again() -> None:
@@ -190,9 +190,9 @@
     refused = 0
     for _ in range(100):
         for vm in fleet.vms:
-            assert vm.share is not None
+            assert vm.allocator is not None
             if fleet.ask(vm, 3000):
-                vm.share.refund(fleet.workspace.name, 3000, fleet.clock.seconds())
+                vm.allocator.refund(fleet.workspace.name, 3000, fleet.clock.seconds())
             else:
                 refused += 1
         fleet.run(0.1)
@@ -203,8 +203,8 @@
     fleet = Fleet(8)
     fleet.run(6.0, 5 * fleet.quota.rate)
     vm = fleet.vms[0]
-    assert vm.share is not None
-    waits = [vm.share.acquire(fleet.workspace, 3000, fleet.clock.seconds()) for _ in range(20)]
+    assert vm.allocator is not None
+    waits = [vm.allocator.acquire(fleet.workspace, 3000, fleet.clock.seconds()) for _ in range(20)]
     told = [wait for wait in waits if wait is not None]
     assert told
     assert all(0.1 < wait < fleet.terms.window for wait in told)
@@ -212,13 +212,13 @@
 
 @pytest.mark.parametrize("seed", [*range(50), *FOUND_SEEDS])
 def test_no_window_is_over_whatever_happens_to_the_fleet(seed: int) -> None:
-    assert play_drawn_events(seed).find_worst() <= 1.0
+    assert play_drawn_events(seed).compute_worst_window() <= 1.0
 
 
 @pytest.mark.parametrize("seed", CUT_SEEDS)
 def test_no_window_is_over_where_a_surge_comes_with_a_cut(seed: int) -> None:
     """VMs go by what they heard up to 0.9 s ago for as long as a cut is not noticed: 1.011 to 1.032 of the bound."""
-    assert play_drawn_events(seed).find_worst() <= 1.0
+    assert play_drawn_events(seed).compute_worst_window() <= 1.0
 
 
 def play_drawn_events(seed: int) -> Fleet:
@@ -269,7 +269,7 @@
     fleet.run(1.5, 4.0 * fleet.quota.rate)
     fleet.cut(fleet.vms[:1], apart=True)
     fleet.run(2.0, 0.5 * fleet.quota.rate)
-    asked, taken = len(fleet.asked), len(fleet.taken)
+    asked, taken = len(fleet.requested), len(fleet.granted)
     fleet.cut([])
     fleet.run(5.0, 0.5 * fleet.quota.rate)
-    assert len(fleet.taken) - taken == len(fleet.asked) - asked
+    assert len(fleet.granted) - taken == len(fleet.requested) - asked
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -18,13 +18,13 @@
 
 LIFE = Life(UpstreamId("u"), 1)
 
-STEP = 0.005
+STEP_S = 0.005
 """Seconds."""
 
-WINDOW = 4.0
+WINDOW_S = 4.0
 """Seconds over which the users count."""
 
-ANSWER_TIME = 0.1
+RESPONSE_TIME_S = 0.1
 """Seconds from a request to its answer."""
 
 
@@ -38,11 +38,11 @@
     """VMs on different sides of a cut don't hear each other."""
     ready: bool = False
     """It takes callers from when it has met another one, which has the configuration and tells it all limits."""
-    knows_of: int = 0
+    known_vms: int = 0
     """How many VMs it believes that there are."""
-    share: float = 1.0
+    allocator: float = 1.0
     """The part of them that it hears."""
-    told_at: float | None = None
+    limit_received_at: float | None = None
     """When it first had an answer with the word."""
     sent: list[float] = field(default_factory=list)
 
@@ -58,7 +58,7 @@
     """All of them, and what the upstream got."""
 
     def __init__(
-        self, vms: int, rate: float, *, seed: int = 1, news: float = 0.05, shared: bool = True, halls: int = 3
+        self, vms: int, rate: float, *, seed: int = 1, max_delay: float = 0.05, shared: bool = True, halls: int = 3
     ) -> None:
         """Make one.
 
@@ -68,35 +68,35 @@
         random.seed(seed)
         self.now = 1000.0
         self.rate: float | None = rate
-        self.news = news
+        self.max_delay = max_delay
         self.shared = shared
         self.halls = halls
         self.asked = 0
         self.refused = 0
-        self.got: list[float] = []
+        self.received: list[float] = []
         self._due: list[_Due] = []
         self._number = 0
         self.vms: list[Vm] = []
         for number in range(vms):
             self.add(f"vm{number}")
         for vm in self.vms:
-            vm.knows_of, vm.ready = vms, True
+            vm.known_vms, vm.ready = vms, True
 
     # --- what happens to it ------------------------------------------------------------------------------------------
 
     def add(self, name: str) -> Vm:
         """Start a VM; those in touch tell it all that they know as they meet, and each other of it within a second."""
         vm = Vm(name, Limits(own_address=name, shared=self.shared))
-        vm.limits.count_vms = lambda: max(1, vm.knows_of)
-        vm.limits.get_reachable_share = lambda: vm.share
+        vm.limits.count_vms = lambda: max(1, vm.known_vms)
+        vm.limits.get_reachable_share = lambda: vm.allocator
         vm.limits.on_update = lambda: self._spread(vm)
         met = [one for one in self.vms if one.side == 0]
         self.vms.append(vm)
-        vm.knows_of = 1 + len(met)
+        vm.known_vms = 1 + len(met)
         vm.ready = not met
         if met:
             teller = self.random.choice(met)
-            self._later(self.random.uniform(0, self.news), lambda: self._tell_all(teller, vm))
+            self._later(self.random.uniform(0, self.max_delay), lambda: self._tell_all(teller, vm))
         for one in met:
             self._later(self.random.uniform(0, 1.0), lambda one=one: self._note_size(one))  # type: ignore[misc]
         return vm
@@ -108,12 +108,12 @@
         for vm in vms:
             self.add(vm.name)
 
-    def cut(self, vms: Sequence[Vm], *, knows: float = 2.0, others_know: float = 25.0) -> None:
+    def cut(self, vms: Sequence[Vm], *, detected_after: float = 2.0, others_detect_after: float = 25.0) -> None:
         """Cut VMs off from the others; they know it some seconds later, and the others when they miss them for long."""
         for vm in vms:
             vm.side = 1
-        self._later(knows, lambda: self._note_shares(vms))
-        self._later(others_know, lambda: self._note_shares(self.vms))
+        self._later(detected_after, lambda: self._note_shares(vms))
+        self._later(others_detect_after, lambda: self._note_shares(self.vms))
 
     def heal(self) -> None:
         """End all cuts; who is met is told all limits, and what was sent meanwhile is told with what is sent next."""
@@ -123,10 +123,10 @@
 
     def _note_shares(self, vms: Sequence[Vm]) -> None:
         for vm in vms:
-            vm.share = sum(one.side == vm.side for one in self.vms) / len(self.vms)
+            vm.allocator = sum(one.side == vm.side for one in self.vms) / len(self.vms)
 
     def _note_size(self, vm: Vm) -> None:
-        vm.knows_of = len(self.vms)
+        vm.known_vms = len(self.vms)
 
     # --- time --------------------------------------------------------------------------------------------------------
 
@@ -136,11 +136,11 @@
         :param demand: requests a second that would go to the upstream, at VMs drawn at random
         :param vms: those that callers ask; all of them where it is None
         """
-        for _ in range(round(seconds / STEP)):
-            self.now += STEP
+        for _ in range(round(seconds / STEP_S)):
+            self.now += STEP_S
             while self._due and self._due[0].at <= self.now:
                 heapq.heappop(self._due).act()
-            for _ in range(self._draw_count(demand * STEP)):
+            for _ in range(self._draw_count(demand * STEP_S)):
                 self._ask(self.random.choice(vms or self.vms))
 
     def _draw_count(self, mean: float) -> int:
@@ -160,15 +160,15 @@
             return
         vm.limits.record_request(LIFE, self.now)
         vm.sent.append(self.now)
-        self.got.append(self.now)
+        self.received.append(self.now)
         asked_at = self.now
-        self._later(ANSWER_TIME, lambda: self._answer(vm, asked_at))
+        self._later(RESPONSE_TIME_S, lambda: self._answer(vm, asked_at))
 
     def _answer(self, vm: Vm, asked_at: float) -> None:
         if vm not in self.vms:
             return
-        if self.rate is not None and vm.told_at is None:
-            vm.told_at = self.now
+        if self.rate is not None and vm.limit_received_at is None:
+            vm.limit_received_at = self.now
         vm.limits.apply_response(LIFE, self.rate, asked_at, self.now)
 
     def _later(self, seconds: float, act: Callable[[], None]) -> None:
@@ -182,7 +182,7 @@
         words, spent = teller.limits.drain_pending()
         for vm in self.vms:
             if vm is not teller and vm.side == teller.side:
-                delay = self.random.uniform(0.2 * self.news, self.news)
+                delay = self.random.uniform(0.2 * self.max_delay, self.max_delay)
                 self._later(delay, lambda vm=vm: self._hear(vm, words, spent))  # type: ignore[misc]
 
     def _tell_all(self, teller: Vm, vm: Vm) -> None:
@@ -197,11 +197,11 @@
 
     # --- what is counted ---------------------------------------------------------------------------------------------
 
-    def count_busiest(self, since: float) -> int:
+    def count_busiest_window(self, since: float) -> int:
         """Return the most requests of any window behind some time."""
-        later = [at for at in self.got if at > since]
-        return max((bisect_left(later, at + WINDOW) - index for index, at in enumerate(later)), default=0)
+        later = [at for at in self.received if at > since]
+        return max((bisect_left(later, at + WINDOW_S) - index for index, at in enumerate(later)), default=0)
 
-    def count_rate(self, since: float) -> float:
+    def compute_rate(self, since: float) -> float:
         """Return the requests a second since some time."""
-        return sum(at > since for at in self.got) / (self.now - since)
+        return sum(at > since for at in self.received) / (self.now - since)
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -22,16 +22,16 @@
     from beamhatch.relay.fleet.gossip_message import Usage
     from beamhatch.relay.workspaces.quota import QuotaAllocator
 
-DELAY = 0.004
+MESSAGE_DELAY_S = 0.004
 """Seconds of a message between VMs: between halls, and the time that a VM takes."""
 
-TELLERS = 2
+AGGREGATORS = 2
 """VMs of each hall that add up."""
 
-SILENCE_LIMIT = 1.8
+CUT_DETECTION_S = 1.8
 """Seconds behind which a cut is noticed."""
 
-STEP = 0.01
+STEP_S = 0.01
 
 
 def make_workspace(rate: float, burst: float) -> Workspace:
@@ -68,19 +68,21 @@
     def is_wanted(self) -> bool:
         """Tell whether the product would keep the connection."""
         if self.joins_halls:
-            return self.here.adds_up and self.there.adds_up and self.here.place == self.there.place
+            return self.here.adds_up and self.there.adds_up and self.here.position == self.there.position
         return self.hall != self.here.hall or self.here.adds_up or self.there.adds_up
 
     def tell(self, message: Usage) -> None:
         assert self.other is not None
         self.fleet.sent += 1
-        self.fleet.clock.callLater(DELAY, self._arrive, self.other, self.here.life, self.there.life, message)
+        self.fleet.clock.callLater(
+            MESSAGE_DELAY_S, self._arrive, self.other, self.here.incarnation, self.there.incarnation, message
+        )
 
     def _arrive(self, other: _Link, sender_life: int, receiver_life: int, message: Usage) -> None:
-        alive = self.here.life == sender_life and self.there.life == receiver_life
+        alive = self.here.incarnation == sender_life and self.there.incarnation == receiver_life
         if alive and not self.fleet.is_cut(self.here, self.there):
-            assert self.there.talk is not None
-            self.there.talk.handle_usage(other, message)  # type: ignore[arg-type]
+            assert self.there.gossip is not None
+            self.there.gossip.handle_usage(other, message)  # type: ignore[arg-type]
 
 
 @dataclass
@@ -89,21 +91,21 @@
 
     name: str
     hall: str
-    life: int = 0
+    incarnation: int = 0
     links: list[_Link] = field(default_factory=list)
-    talk: UsageGossip | None = None
-    share: QuotaAllocator | None = None
+    gossip: UsageGossip | None = None
+    allocator: QuotaAllocator | None = None
     links_up: list[_Link] = field(default_factory=list)
     adds_up: bool = False
-    place: int = 0
+    position: int = 0
     """Rank among the VMs of its hall that hear each other."""
     side: int = 0
     """VMs on different sides of a cut don't hear each other."""
-    seen_side: int = 0
+    known_side: int = 0
     """What others know of it: they notice a cut when it was silent for some time."""
 
-    def hears(self, other: Vm) -> bool:
-        return self.seen_side == other.seen_side
+    def sees(self, other: Vm) -> bool:
+        return self.known_side == other.known_side
 
 
 class Fleet:
@@ -128,8 +130,8 @@
         self.workspace = make_workspace(rate, burst)
         self.sent = 0
         """Messages between VMs."""
-        self.asked: list[tuple[float, int]] = []
-        self.taken: list[tuple[float, int]] = []
+        self.requested: list[tuple[float, int]] = []
+        self.granted: list[tuple[float, int]] = []
         self.vms = [Vm(f"vm{number}", f"hall-{number % halls}") for number in range(vms)]
         self._connect()
         self._find_links()
@@ -162,15 +164,15 @@
     def _find_links(self) -> None:
         """Work out who adds up, and which connections are up: those to them in a hall, and a few to other halls."""
         for vm in self.vms:
-            members = [one for one in self.vms if one.hall == vm.hall and vm.hears(one)]
-            vm.place = members.index(vm)
-            vm.adds_up = vm.place < TELLERS
+            members = [one for one in self.vms if one.hall == vm.hall and vm.sees(one)]
+            vm.position = members.index(vm)
+            vm.adds_up = vm.position < AGGREGATORS
         for vm in self.vms:
-            vm.links_up = [link for link in vm.links if vm.hears(link.there) and link.is_wanted]
+            vm.links_up = [link for link in vm.links if vm.sees(link.there) and link.is_wanted]
 
     def _start(self, vm: Vm) -> None:
         news = UsageTracker(vm.name, vm.hall)
-        vm.share = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
+        vm.allocator = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
         table = make_table(1, [], [], CallerLimits(), (self.workspace,))
         clock = SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater)
         core: Any = SimpleNamespace(clock=clock, table=table)
@@ -178,8 +180,8 @@
         def list_links() -> Any:
             return vm.links_up
 
-        vm.talk = UsageGossip(core, vm.share, list_links, lambda: vm.adds_up)
-        vm.talk.start()
+        vm.gossip = UsageGossip(core, vm.allocator, list_links, lambda: vm.adds_up)
+        vm.gossip.start()
 
     def cut(self, vms: list[Vm], *, apart: bool = False) -> None:
         """Cut VMs off from the others, and with ``apart`` from each other as well; heal all others."""
@@ -187,11 +189,11 @@
             vm.side = 0
         for number, vm in enumerate(vms):
             vm.side = 1 + number if apart else 1
-        self.clock.callLater(SILENCE_LIMIT, self._notice)
+        self.clock.callLater(CUT_DETECTION_S, self._notice)
 
     def _notice(self) -> None:
         for vm in self.vms:
-            vm.seen_side = vm.side
+            vm.known_side = vm.side
         self._find_links()
 
     def is_cut(self, one: Vm, other: Vm) -> bool:
@@ -200,9 +202,9 @@
     def restart(self, vms: Iterable[Vm]) -> None:
         """Have VMs forget everything."""
         for vm in vms:
-            assert vm.talk is not None
-            vm.talk.stop()
-            vm.life += 1
+            assert vm.gossip is not None
+            vm.gossip.stop()
+            vm.incarnation += 1
             self._start(vm)
 
     def change_quota(self, rate: float, burst: float) -> None:
@@ -210,18 +212,18 @@
         self.workspace = make_workspace(rate, burst)
         table = make_table(2, [], [], CallerLimits(), (self.workspace,))
         for vm in self.vms:
-            assert vm.talk is not None
-            core: Any = vm.talk.core
+            assert vm.gossip is not None
+            core: Any = vm.gossip.core
             core.table = table
 
     def ask(self, vm: Vm, units: int) -> bool:
         """Have a caller of a VM ask; return whether the request was taken."""
-        assert vm.share is not None
+        assert vm.allocator is not None
         now = self.clock.seconds()
-        self.asked.append((now, units))
-        taken = vm.share.acquire(self.workspace, units, now) is None
+        self.requested.append((now, units))
+        taken = vm.allocator.acquire(self.workspace, units, now) is None
         if taken:
-            self.taken.append((now, units))
+            self.granted.append((now, units))
         return taken
 
     def run(self, seconds: float, demand: float = 0.0, at: list[Vm] | None = None) -> None:
@@ -234,23 +236,23 @@
         end = self.clock.seconds() + seconds
         owed = 0.0
         while self.clock.seconds() < end - 1e-9:
-            owed += demand * STEP
+            owed += demand * STEP_S
             while owed > 0:
                 units = 200 if self.random.random() < 0.3 else int(self.random.lognormvariate(7.9, 0.5))
                 owed -= units
                 self.ask(self.random.choice(asked), units)
-            self.clock.advance(STEP)
+            self.clock.advance(STEP_S)
 
-    def find_worst(self) -> float:
+    def compute_worst_window(self) -> float:
         """Return the most units that were taken in a window, as a share of what the platform bears."""
         quota = self.quota
         window = self.terms.window
         bound = (quota.rate * window + quota.burst) * (1 + self.terms.overage) + self.terms.slack
         worst, total, first = 0.0, 0, 0
-        for at, units in self.taken:
+        for at, units in self.granted:
             total += units
-            while self.taken[first][0] <= at - window:
-                total -= self.taken[first][1]
+            while self.granted[first][0] <= at - window:
+                total -= self.granted[first][1]
                 first += 1
             worst = max(worst, total / bound)
         return worst
