--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -56,7 +56,7 @@
         if way is Way.FEW:
             chosen = fleet.random.sample(fleet.vms, min(2, vms))
             for vm in fleet.vms:
-                vm.known_vms, vm.allocator = len(chosen), float(vm in chosen)
+                vm.known_vms, vm.reachable_share = len(chosen), float(vm in chosen)
         asked = fleet.vms[: max(1, vms // 6)] if one_hall else None
         fleet.run(SETTLE, demand, asked)
         since = fleet.now
--- a/tests/relay/limits/__init__.py
+++ b/tests/relay/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of named limits."""
+"""Tests of announced rate limits."""
--- a/tests/relay/limits/test_limit_header.py
+++ b/tests/relay/limits/test_limit_header.py
@@ -1,4 +1,4 @@
-"""What upstreams name as their limits, as it is read."""
+"""Tests of parsing the limits that upstreams announce in responses."""
 
 from __future__ import annotations
 
@@ -30,5 +30,5 @@
     assert PlatformDialect().read_answer(200, [("Server-Limit", word)]).limit == limit
 
 
-def test_an_answer_without_the_word_names_no_limit() -> None:
+def test_a_response_without_the_header_has_no_limit() -> None:
     assert PlatformDialect().read_answer(200, []).limit is None
--- a/tests/relay/workspaces/__init__.py
+++ b/tests/relay/workspaces/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the workspaces."""
+"""Tests of workspaces."""
--- a/tests/relay/workspaces/test_admission.py
+++ b/tests/relay/workspaces/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by keys and quotas: the priority that a request is given."""
+"""Tests of the priority that admission gives to requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(("own", "expected"), [(None, 2), (0, 0), (5, 5)])
-def test_the_workspaces_priority_goes_before_the_routes(own: int | None, expected: int) -> None:
+def test_a_workspaces_priority_overrides_its_routes(own: int | None, expected: int) -> None:
     route = Route("r", "h", "/", RouteKind.SAFE, (Share(ServiceName("s"), 1.0),), 1.0, 0.1, priority=2)
     workspace = Workspace(WorkspaceName("desk"), (KEY,), priority=own)
     table = make_table(1, [route], [], CallerLimits(), (workspace,))
--- a/tests/relay/workspaces/test_quota.py
+++ b/tests/relay/workspaces/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas that a whole fleet keeps: what is taken in each window, and what is refused below the limit."""
+"""Tests of quotas in simulated fleets: no window exceeds its bound, and nothing is refused below the quota."""
 
 from __future__ import annotations
 
@@ -14,27 +14,25 @@
 if TYPE_CHECKING:
     from beamhatch.relay.workspaces.workspace import Workspace
 
-USUAL = 0.55
-"""Share of its rate that a workspace asks on a usual day of the measured deployment."""
+USUAL_LOAD = 0.55
+"""Typical demand of a workspace as a share of its rate."""
 
 SIZES = [1, 8, 78, 195]
 
 FOUND_SEEDS = [197, 269, 303]
-"""Drawn fleets that took up to 1.03 of what the platform bears in a window: a second surge of four times the quota came
-before the first had left the window, and all of a surge was taken until regular messages had told all VMs.
-"""
+"""Seeds that found windows over the bound: a second surge within the window of the first."""
 
 CUT_SEEDS = [615, 1044, 1297]
-"""Drawn fleets in which a surge comes in the second of a cut: until it is noticed, VMs take what nobody tells of."""
+"""Seeds in which a surge coincides with a partition, before VMs detect it."""
 
 
-class StandInNews(UsageTracker):
-    """Tells what it is given to tell."""
+class PresetTracker(UsageTracker):
+    """A tracker that returns a preset usage."""
 
     fleet = FleetUsage(1, {})
 
     def compute_fleet_usage(self, now: float) -> FleetUsage:
-        """Return it."""
+        """Return the preset usage."""
         return self.fleet
 
 
@@ -42,7 +40,7 @@
     return FleetUsage(vms, {workspace.name: Rates(round(asked), round(asked))})
 
 
-def count_share(fleet: Fleet) -> float:
+def compute_granted_share(fleet: Fleet) -> float:
     return sum(units for _, units in fleet.granted) / sum(units for _, units in fleet.requested)
 
 
@@ -50,21 +48,21 @@
 @pytest.mark.parametrize("burst", [1.0, 1.7])
 def test_nothing_is_refused_below_the_quota(vms: int, burst: float) -> None:
     fleet = Fleet(vms)
-    fleet.run(6.0, burst * USUAL * fleet.quota.rate)
-    assert count_share(fleet) == 1.0
+    fleet.run(6.0, burst * USUAL_LOAD * fleet.quota.rate)
+    assert compute_granted_share(fleet) == 1.0
 
 
-def test_nothing_is_refused_though_all_callers_of_a_workspace_are_at_few_vms() -> None:
+def test_nothing_is_refused_if_all_callers_are_at_few_vms() -> None:
     fleet = Fleet(78)
-    fleet.run(6.0, USUAL * fleet.quota.rate, fleet.vms[:3])
-    assert count_share(fleet) == 1.0
+    fleet.run(6.0, USUAL_LOAD * fleet.quota.rate, fleet.vms[:3])
+    assert compute_granted_share(fleet) == 1.0
 
 
 @pytest.mark.parametrize("vms", SIZES)
 @pytest.mark.parametrize("times", [2.0, 3.3, 4.4])
 def test_a_hot_workspace_gets_its_quota_and_no_more(vms: int, times: float) -> None:
     fleet = Fleet(vms)
-    fleet.run(4.0, USUAL * fleet.quota.rate)
+    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
     begun = len(fleet.granted)
     fleet.run(12.0, times * fleet.quota.rate)
     assert fleet.compute_worst_window() <= 1.0
@@ -75,7 +73,7 @@
 def test_a_workspace_that_is_hot_in_one_hall_gets_its_quota_there() -> None:
     fleet = Fleet(78)
     there = [vm for vm in fleet.vms if vm.hall == "hall-1"]
-    fleet.run(4.0, USUAL * fleet.quota.rate)
+    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
     begun = len(fleet.granted)
     fleet.run(12.0, 3.3 * fleet.quota.rate, there)
     assert fleet.compute_worst_window() <= 1.0
@@ -100,7 +98,7 @@
 
 def test_halls_that_are_cut_off_keep_to_their_part() -> None:
     fleet = Fleet(78)
-    fleet.run(4.0, USUAL * fleet.quota.rate)
+    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
     fleet.cut([vm for vm in fleet.vms if vm.hall == "hall-1"])
     fleet.run(12.0, 3.3 * fleet.quota.rate)
     assert fleet.compute_worst_window() <= 1.0
@@ -109,18 +107,18 @@
 def test_a_hall_that_is_cut_off_is_served_as_usual() -> None:
     fleet = Fleet(78)
     fleet.cut([vm for vm in fleet.vms if vm.hall == "hall-1"])
-    fleet.run(8.0, USUAL * fleet.quota.rate)
-    assert count_share(fleet) > 0.995
+    fleet.run(8.0, USUAL_LOAD * fleet.quota.rate)
+    assert compute_granted_share(fleet) > 0.995
 
 
 @pytest.mark.parametrize("vms", [3, 5])
 def test_the_only_vm_of_a_hall_follows_the_others(vms: int) -> None:
     fleet = Fleet(vms)
-    fleet.run(4.0, USUAL * fleet.quota.rate, [vm for vm in fleet.vms if vm.hall == "hall-2"])
-    assert count_share(fleet) == 1.0
+    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate, [vm for vm in fleet.vms if vm.hall == "hall-2"])
+    assert compute_granted_share(fleet) == 1.0
 
 
-def test_changed_terms_hold_for_the_equal_part_as_well() -> None:
+def test_changed_terms_apply_to_the_equal_part() -> None:
     fleet = Fleet(2)
     fleet.cut(fleet.vms, apart=True)
     fleet.run(4.0)
@@ -133,7 +131,7 @@
 @pytest.mark.parametrize("share", [0.35, 1.0])
 def test_single_vms_that_are_cut_off_keep_to_their_part(share: float) -> None:
     fleet = Fleet(78)
-    fleet.run(4.0, USUAL * fleet.quota.rate)
+    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
     fleet.cut(fleet.vms[: int(share * 78)], apart=True)
     fleet.run(12.0, 3.3 * fleet.quota.rate)
     assert fleet.compute_worst_window() <= 1.0
@@ -148,8 +146,8 @@
     assert fleet.compute_worst_window() <= 1.0
 
 
-def test_vms_that_start_take_at_once_no_more_than_their_pace_brings() -> None:
-    """Without it, 24 VMs that have forgotten all they took begin with a second part on top."""
+def test_restarted_vms_grant_no_more_than_the_steady_rate() -> None:
+    """Restarted VMs must not start with a full burst."""
     fleet = Fleet(24)
     fleet.run(10.0, 3.3 * fleet.quota.rate)
     fleet.restart(fleet.vms)
@@ -158,12 +156,12 @@
     assert sum(units for _, units in fleet.granted[begun:]) <= 0.2 * 1.3 * fleet.quota.rate
 
 
-def test_what_was_taken_too_much_is_still_to_be_made_up_for_behind_a_cut() -> None:
+def test_an_excess_is_still_compensated_after_a_partition() -> None:
     workspace = make_workspace(160_000, 160_000)
     terms = QuotaTerms(8.0, 0.1, 190_000)
     assert workspace.quota is not None
     pace = terms.compute_steady_rate(workspace.quota, STEADY_RATE_SHARE)
-    news = StandInNews("vm0", "hall-0")
+    news = PresetTracker("vm0", "hall-0")
     share = DemandAllocator(news, lambda: 24, terms)
     for at, vms, asked in [(100.0, 24, 4 * pace), (101.0, 24, 4 * pace), (101.1, 1, 0.0), (102.1, 1, 0.0)]:
         news.fleet = make_usage(workspace, vms, asked)
@@ -176,11 +174,11 @@
 
 def test_a_lowered_quota_holds_one_window_later() -> None:
     fleet = Fleet(78)
-    fleet.run(4.0, USUAL * fleet.quota.rate)
+    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
     fleet.change_quota(32_000, 32_000)
-    fleet.run(8.0, USUAL * 160_000)
+    fleet.run(8.0, USUAL_LOAD * 160_000)
     fleet.granted.clear()
-    fleet.run(16.0, USUAL * 160_000)
+    fleet.run(16.0, USUAL_LOAD * 160_000)
     assert fleet.compute_worst_window() <= 1.0
     assert sum(units for _, units in fleet.granted) >= 0.9 * 16 * 32_000
 
@@ -212,17 +210,17 @@
 
 @pytest.mark.parametrize("seed", [*range(50), *FOUND_SEEDS])
 def test_no_window_is_over_whatever_happens_to_the_fleet(seed: int) -> None:
-    assert play_drawn_events(seed).compute_worst_window() <= 1.0
+    assert run_random_events(seed).compute_worst_window() <= 1.0
 
 
 @pytest.mark.parametrize("seed", CUT_SEEDS)
 def test_no_window_is_over_where_a_surge_comes_with_a_cut(seed: int) -> None:
-    """VMs go by what they heard up to 0.9 s ago for as long as a cut is not noticed: 1.011 to 1.032 of the bound."""
-    assert play_drawn_events(seed).compute_worst_window() <= 1.0
+    """VMs must not overspend on outdated usage before they detect a partition."""
+    assert run_random_events(seed).compute_worst_window() <= 1.0
 
 
-def play_drawn_events(seed: int) -> Fleet:
-    """Return 24 VMs that were cut apart, healed and restarted under up to four times the quota, as the seed draws."""
+def run_random_events(seed: int) -> Fleet:
+    """Return a fleet after random partitions, restarts and changes of demand."""
     fleet = Fleet(24, seed=seed)
     draw = fleet.random
     for _ in range(6):
@@ -239,19 +237,19 @@
     return fleet
 
 
-def test_equal_parts_refuse_usual_work_that_following_ones_take() -> None:
-    """Of a workspace at its usual 0.55 of the quota, 78 VMs with equal parts refuse a tenth; following ones nothing."""
+def test_equal_parts_refuse_usual_load_that_allocation_by_demand_grants() -> None:
+    """Equal parts refuse requests of a workspace below its quota; allocation by demand must not."""
     shares = {}
     for kind in (EqualAllocator, DemandAllocator):
         fleet = Fleet(78, kind=kind, terms=QuotaTerms(8.0, 0.1, 0.0))
-        fleet.run(16.0, USUAL * fleet.quota.rate, fleet.vms[:60])
-        shares[kind] = count_share(fleet)
+        fleet.run(16.0, USUAL_LOAD * fleet.quota.rate, fleet.vms[:60])
+        shares[kind] = compute_granted_share(fleet)
     assert shares[DemandAllocator] == 1.0
     assert shares[EqualAllocator] < 1.0
 
 
 def test_usage_costs_little_where_no_workspace_is_near_its_quota() -> None:
-    """25 messages a VM and second, with none of a workspace's figures but each VM's own, to two others."""
+    """Idle VMs must send only their own rates, and those only to the aggregators of their hall."""
     fleet = Fleet(78)
     fleet.sent = 0
     fleet.run(10.0, 0.3 * fleet.quota.rate)
@@ -260,10 +258,7 @@
 
 @pytest.mark.parametrize("vms", [8, 24])
 def test_a_vm_that_was_alone_refuses_nothing_below_the_quota(vms: int) -> None:
-    """Its part of what was taken too much grows as it hears the others again: 2 and 3 of its callers' requests refused.
-
-    Without the cut none is: the window has room for all that is asked.
-    """
+    """A VM that was isolated must not compensate more than its share of an excess once it reconnects."""
     fleet = Fleet(vms, seed=0)
     fleet.run(4.0, 0.5 * fleet.quota.rate)
     fleet.run(1.5, 4.0 * fleet.quota.rate)
--- a/tests/relay/workspaces/test_usage_gossip.py
+++ b/tests/relay/workspaces/test_usage_gossip.py
@@ -1,4 +1,4 @@
-"""Who is told how much of their quotas workspaces use."""
+"""Tests of which peers are sent which usage, and when."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False)
 class Peer:
-    """A connection to a VM, which keeps what it is told."""
+    """A connection that records the messages sent on it."""
 
     vm: str
     hall: str
@@ -31,15 +31,15 @@
     def tell(self, message: Usage) -> None:
         self.told.append(message)
 
-    def list_halls(self) -> set[str]:
-        """Return the halls whose sums it was told, and forget that."""
+    def pop_halls(self) -> set[str]:
+        """Return the halls whose sums were sent since the last call."""
         halls = {usage.hall for message in self.told for usage in message.halls}
         self.told.clear()
         return halls
 
 
-class Talker:
-    """A VM of hall "a" that adds up, or doesn't."""
+class GossipingVm:
+    """A VM of hall "a", which is an aggregator unless ``adds_up`` is false."""
 
     def __init__(self, *peers: Peer, adds_up: bool = True) -> None:
         self.clock = task.Clock()
@@ -50,122 +50,122 @@
         core: Any = SimpleNamespace(
             clock=SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater), table=table
         )
-        self.talk = UsageGossip(core, share, lambda: list(peers), lambda: adds_up)  # type: ignore[arg-type]
-        self.talk.start()
+        self.gossip = UsageGossip(core, share, lambda: list(peers), lambda: adds_up)  # type: ignore[arg-type]
+        self.gossip.start()
 
-    def hear(self, peer: Peer, *halls: str, direct: list[str] | None = None) -> None:
-        """Take in sums of some halls, made just now, from a peer."""
+    def receive(self, peer: Peer, *halls: str, direct: list[str] | None = None) -> None:
+        """Receive fresh sums of some halls from a peer."""
         sums = [HallUsage(hall, f"teller-{hall}", 0.0, 3, {DESK: Rates(900, 900)}) for hall in halls]
-        self.talk.handle_usage(peer, Usage(None, sums, direct))  # type: ignore[arg-type]
+        self.gossip.handle_usage(peer, Usage(None, sums, direct))  # type: ignore[arg-type]
 
     def wait(self, seconds: float = 0.31) -> None:
         self.clock.advance(seconds)
 
 
-def test_sums_go_to_those_that_add_up_in_other_halls_and_to_all_of_the_own() -> None:
+def test_sums_are_sent_to_own_hall_and_to_aggregators_elsewhere() -> None:
     near, far, other = Peer("n", "a", adds_up=False), Peer("b1", "b"), Peer("b2", "b", adds_up=False)
-    talker = Talker(near, far, other)
-    talker.wait()
-    assert near.list_halls() == {"a"}
-    assert far.list_halls() == {"a"}
+    vm = GossipingVm(near, far, other)
+    vm.wait()
+    assert near.pop_halls() == {"a"}
+    assert far.pop_halls() == {"a"}
     assert not other.told
 
 
-def test_a_hall_where_nobody_adds_up_is_told_by_all_connections() -> None:
+def test_all_peers_in_a_hall_without_an_aggregator_receive_sums() -> None:
     far, one, two = Peer("b1", "b"), Peer("c1", "c", adds_up=False), Peer("c2", "c", adds_up=False)
-    talker = Talker(far, one, two)
-    talker.wait()
-    assert one.list_halls() == two.list_halls() == {"a"}
+    vm = GossipingVm(far, one, two)
+    vm.wait()
+    assert one.pop_halls() == two.pop_halls() == {"a"}
 
 
-def test_a_vm_that_does_not_add_up_tells_its_own_hall_only() -> None:
+def test_a_vm_that_is_no_aggregator_sends_to_its_own_hall_only() -> None:
     near, far = Peer("n", "a"), Peer("b1", "b")
-    talker = Talker(near, far, adds_up=False)
-    talker.hear(far, "b")
-    talker.wait()
-    assert near.list_halls() == {"b"}
+    vm = GossipingVm(near, far, adds_up=False)
+    vm.receive(far, "b")
+    vm.wait()
+    assert near.pop_halls() == {"b"}
     assert not far.told
 
 
-def test_a_sum_is_handed_on_to_halls_that_do_not_hear_it_directly() -> None:
+def test_sums_are_forwarded_to_halls_that_do_not_receive_them_directly() -> None:
     near, one, two = Peer("n", "a"), Peer("b1", "b"), Peer("c1", "c")
-    talker = Talker(near, one, two)
-    talker.hear(one, "b", "d")
-    talker.wait()
-    assert two.list_halls() == {"a", "b", "d"}
-    assert near.list_halls() == {"a", "b", "d"}
-    talker.hear(two, "c", direct=["b"])
-    talker.hear(one, "b", "d")
-    talker.wait()
-    assert two.list_halls() == {"a", "d"}
-    assert near.list_halls() == {"a", "b", "c", "d"}
-
-
-def test_peers_are_told_which_halls_are_heard_directly_and_when_they_no_longer_are() -> None:
+    vm = GossipingVm(near, one, two)
+    vm.receive(one, "b", "d")
+    vm.wait()
+    assert two.pop_halls() == {"a", "b", "d"}
+    assert near.pop_halls() == {"a", "b", "d"}
+    vm.receive(two, "c", direct=["b"])
+    vm.receive(one, "b", "d")
+    vm.wait()
+    assert two.pop_halls() == {"a", "d"}
+    assert near.pop_halls() == {"a", "b", "c", "d"}
+
+
+def test_peers_learn_of_changes_in_the_direct_halls() -> None:
     one, two = Peer("b1", "b"), Peer("c1", "c")
-    talker = Talker(one, two)
-    talker.hear(one, "b", "d")
-    talker.wait()
+    vm = GossipingVm(one, two)
+    vm.receive(one, "b", "d")
+    vm.wait()
     assert two.told[-1].direct == ["b"]
-    talker.hear(one, "b")
-    talker.wait()
+    vm.receive(one, "b")
+    vm.wait()
     assert two.told[-1].direct is None
-    talker.wait(DIRECT_TTL_S)
-    talker.wait()
+    vm.wait(DIRECT_TTL_S)
+    vm.wait()
     assert [message.direct for message in two.told if message.direct is not None][-1] == []
 
 
-def test_what_another_vm_of_the_hall_hears_directly_counts_as_heard_beside_it() -> None:
+def test_direct_halls_of_another_vm_of_the_hall_count_as_direct() -> None:
     beside, far = Peer("n", "a"), Peer("b1", "b")
-    talker = Talker(beside, far)
-    talker.hear(beside, "a", direct=["c"])
-    talker.wait()
+    vm = GossipingVm(beside, far)
+    vm.receive(beside, "a", direct=["c"])
+    vm.wait()
     assert far.told[-1].direct == ["c"]
     assert beside.told[-1].direct is None
 
 
-def test_of_two_connections_to_one_vm_one_is_told() -> None:
+def test_only_one_of_two_connections_to_a_vm_is_used() -> None:
     first, second = Peer("b1", "b"), Peer("b1", "b")
-    talker = Talker(first, second)
-    talker.wait()
+    vm = GossipingVm(first, second)
+    vm.wait()
     assert len(first.told) + len(second.told) == 2  # at the start and once since
 
 
-def test_a_peer_that_comes_back_is_told_everything_again() -> None:
+def test_a_reconnected_peer_is_sent_everything_again() -> None:
     far = Peer("b1", "b")
-    talker = Talker(far)
-    talker.hear(far, "b", direct=["c", "d"])
-    talker.wait()
-    talker.talk.forget_peer(far)  # type: ignore[arg-type]
+    vm = GossipingVm(far)
+    vm.receive(far, "b", direct=["c", "d"])
+    vm.wait()
+    vm.gossip.forget_peer(far)  # type: ignore[arg-type]
     far.told.clear()
-    talker.hear(Peer("n", "a"), "c")
-    talker.wait()
-    assert far.list_halls() == {"a", "c"}
+    vm.receive(Peer("n", "a"), "c")
+    vm.wait()
+    assert far.pop_halls() == {"a", "c"}
 
 
-def test_a_surge_is_told_at_once_by_who_sees_it_and_handed_on_at_once() -> None:
+def test_a_surge_is_sent_and_forwarded_at_once() -> None:
     near, far = Peer("n", "a"), Peer("b1", "b")
-    talker = Talker(near, far)
-    talker.wait()
+    vm = GossipingVm(near, far)
+    vm.wait()
     near.told.clear()
-    talker.talk.tracker.local.record_requested(DESK, 900, talker.clock.seconds())
-    talker.wait(0.1)
-    talker.wait(0.02)
+    vm.gossip.tracker.local.record_requested(DESK, 900, vm.clock.seconds())
+    vm.wait(0.1)
+    vm.wait(0.02)
     (message,) = near.told
     assert message.own is not None
     assert message.own[DESK].requested > 1000
     near.told.clear()
-    talker.hear(far, "b")
-    talker.wait(0.02)
+    vm.receive(far, "b")
+    vm.wait(0.02)
     (message,) = near.told
     assert [usage.hall for usage in message.halls if usage.hall != "a"] == ["b"]
 
 
-def test_what_is_asked_as_before_is_told_at_the_regular_times_alone() -> None:
+def test_steady_demand_is_sent_at_regular_intervals_only() -> None:
     near = Peer("n", "a")
-    talker = Talker(near)
-    talker.wait()
+    vm = GossipingVm(near)
+    vm.wait()
     for _ in range(5):
-        talker.talk.tracker.local.record_requested(DESK, 20, talker.clock.seconds())
-        talker.wait(0.1)
+        vm.gossip.tracker.local.record_requested(DESK, 20, vm.clock.seconds())
+        vm.wait(0.1)
     assert len(near.told) <= 3
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(eq=False)
-class Vm:
+class LimitVm:
     """One VM; a restart begins another life."""
 
     name: str
@@ -40,7 +40,7 @@
     """It takes callers from when it has met another one, which has the configuration and tells it all limits."""
     known_vms: int = 0
     """How many VMs it believes that there are."""
-    allocator: float = 1.0
+    reachable_share: float = 1.0
     """The part of them that it hears."""
     limit_received_at: float | None = None
     """When it first had an answer with the word."""
@@ -76,7 +76,7 @@
         self.received: list[float] = []
         self._due: list[_Due] = []
         self._number = 0
-        self.vms: list[Vm] = []
+        self.vms: list[LimitVm] = []
         for number in range(vms):
             self.add(f"vm{number}")
         for vm in self.vms:
@@ -84,11 +84,11 @@
 
     # --- what happens to it ------------------------------------------------------------------------------------------
 
-    def add(self, name: str) -> Vm:
+    def add(self, name: str) -> LimitVm:
         """Start a VM; those in touch tell it all that they know as they meet, and each other of it within a second."""
-        vm = Vm(name, Limits(own_address=name, shared=self.shared))
+        vm = LimitVm(name, Limits(own_address=name, shared=self.shared))
         vm.limits.count_vms = lambda: max(1, vm.known_vms)
-        vm.limits.get_reachable_share = lambda: vm.allocator
+        vm.limits.get_reachable_share = lambda: vm.reachable_share
         vm.limits.on_update = lambda: self._spread(vm)
         met = [one for one in self.vms if one.side == 0]
         self.vms.append(vm)
@@ -101,14 +101,14 @@
             self._later(self.random.uniform(0, 1.0), lambda one=one: self._note_size(one))  # type: ignore[misc]
         return vm
 
-    def restart(self, vms: Sequence[Vm]) -> None:
+    def restart(self, vms: Sequence[LimitVm]) -> None:
         """Have VMs forget everything."""
         for vm in vms:
             self.vms.remove(vm)
         for vm in vms:
             self.add(vm.name)
 
-    def cut(self, vms: Sequence[Vm], *, detected_after: float = 2.0, others_detect_after: float = 25.0) -> None:
+    def cut(self, vms: Sequence[LimitVm], *, detected_after: float = 2.0, others_detect_after: float = 25.0) -> None:
         """Cut VMs off from the others; they know it some seconds later, and the others when they miss them for long."""
         for vm in vms:
             vm.side = 1
@@ -121,16 +121,16 @@
             vm.side = 0
         self._later(1.0, lambda: self._note_shares(self.vms))
 
-    def _note_shares(self, vms: Sequence[Vm]) -> None:
+    def _note_shares(self, vms: Sequence[LimitVm]) -> None:
         for vm in vms:
-            vm.allocator = sum(one.side == vm.side for one in self.vms) / len(self.vms)
+            vm.reachable_share = sum(one.side == vm.side for one in self.vms) / len(self.vms)
 
-    def _note_size(self, vm: Vm) -> None:
+    def _note_size(self, vm: LimitVm) -> None:
         vm.known_vms = len(self.vms)
 
     # --- time --------------------------------------------------------------------------------------------------------
 
-    def run(self, seconds: float, demand: float, vms: Sequence[Vm] | None = None) -> None:
+    def run(self, seconds: float, demand: float, vms: Sequence[LimitVm] | None = None) -> None:
         """Let time pass.
 
         :param demand: requests a second that would go to the upstream, at VMs drawn at random
@@ -151,7 +151,7 @@
             left += self.random.expovariate(1.0)
         return count
 
-    def _ask(self, vm: Vm) -> None:
+    def _ask(self, vm: LimitVm) -> None:
         if not vm.ready:
             return
         self.asked += 1
@@ -164,7 +164,7 @@
         asked_at = self.now
         self._later(RESPONSE_TIME_S, lambda: self._answer(vm, asked_at))
 
-    def _answer(self, vm: Vm, asked_at: float) -> None:
+    def _answer(self, vm: LimitVm, asked_at: float) -> None:
         if vm not in self.vms:
             return
         if self.rate is not None and vm.limit_received_at is None:
@@ -177,7 +177,7 @@
 
     # --- what they tell each other -----------------------------------------------------------------------------------
 
-    def _spread(self, teller: Vm) -> None:
+    def _spread(self, teller: LimitVm) -> None:
         """Tell all others what a VM itself has done; what they hand on is in the time that this takes."""
         words, spent = teller.limits.drain_pending()
         for vm in self.vms:
@@ -185,11 +185,11 @@
                 delay = self.random.uniform(0.2 * self.max_delay, self.max_delay)
                 self._later(delay, lambda vm=vm: self._hear(vm, words, spent))  # type: ignore[misc]
 
-    def _tell_all(self, teller: Vm, vm: Vm) -> None:
+    def _tell_all(self, teller: LimitVm, vm: LimitVm) -> None:
         self._hear(vm, teller.limits.list_states(self.now), [])
         vm.ready = True
 
-    def _hear(self, vm: Vm, words: list[LimitState], spent: list[RequestCount]) -> None:
+    def _hear(self, vm: LimitVm, words: list[LimitState], spent: list[RequestCount]) -> None:
         for word in words:
             vm.limits.apply_state(word, self.now)
         for one in spent:
