--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that send to one upstream that names a limit, without requests, a network or a store."""
+"""A simulated fleet of VMs that send to one rate-limited upstream, without a network or a store."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 @dataclass(eq=False)
 class LimitVm:
-    """One VM; a restart begins another life."""
+    """A simulated VM; a restart replaces it by a new one."""
 
     name: str
     limits: Limits
     side: int = 0
-    """VMs on different sides of a cut don't hear each other."""
+    """VMs on different sides of a cut do not receive each other's messages."""
     ready: bool = False
-    """It takes callers from when it has met another one, which has the configuration and tells it all limits."""
+    """Whether it accepts callers, which is after it received the limits from another VM."""
     known_vms: int = 0
-    """How many VMs it believes that there are."""
+    """Number of VMs known to it."""
     reachable_share: float = 1.0
-    """The part of them that it hears."""
+    """Share of all VMs that it is in contact with."""
     limit_received_at: float | None = None
-    """When it first had an answer with the word."""
+    """When it first received a response with the limit."""
     sent: list[float] = field(default_factory=list)
 
 
@@ -55,14 +55,14 @@
 
 
 class LimitFleet:
-    """All of them, and what the upstream got."""
+    """The VMs and the requests that the upstream received."""
 
     def __init__(
         self, vms: int, rate: float, *, seed: int = 1, max_delay: float = 0.05, shared: bool = True, halls: int = 3
     ) -> None:
         """Make one.
 
-        :param news: seconds that what one VM tells takes to another one at the most
+        :param max_delay: longest delay of an update between VMs, in seconds
         """
         self.random = random.Random(seed)
         random.seed(seed)
@@ -102,7 +102,7 @@
         return vm
 
     def restart(self, vms: Sequence[LimitVm]) -> None:
-        """Have VMs forget everything."""
+        """Restart VMs, which lose their state."""
         for vm in vms:
             self.vms.remove(vm)
         for vm in vms:
@@ -198,10 +198,10 @@
     # --- what is counted ---------------------------------------------------------------------------------------------
 
     def count_busiest_window(self, since: float) -> int:
-        """Return the most requests of any window behind some time."""
+        """Return the largest number of requests in any window after a time."""
         later = [at for at in self.received if at > since]
         return max((bisect_left(later, at + WINDOW_S) - index for index, at in enumerate(later)), default=0)
 
     def compute_rate(self, since: float) -> float:
-        """Return the requests a second since some time."""
+        """Return the requests per second after a time."""
         return sum(at > since for at in self.received) / (self.now - since)
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that keep the quota of one workspace together, on a paused clock, without requests or a store."""
+"""A simulated fleet of VMs that enforce the quota of one workspace, on a fake clock without a network."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from beamhatch.relay.workspaces.quota import QuotaAllocator
 
 MESSAGE_DELAY_S = 0.004
-"""Seconds of a message between VMs: between halls, and the time that a VM takes."""
+"""Seconds that a message takes between VMs."""
 
 AGGREGATORS = 2
-"""VMs of each hall that add up."""
+"""Number of aggregators per hall."""
 
 CUT_DETECTION_S = 1.8
-"""Seconds behind which a cut is noticed."""
+"""Seconds after which a partition is detected."""
 
 STEP_S = 0.01
 
@@ -66,7 +66,7 @@
 
     @property
     def is_wanted(self) -> bool:
-        """Tell whether the product would keep the connection."""
+        """Whether a real VM would keep this connection."""
         if self.joins_halls:
             return self.here.adds_up and self.there.adds_up and self.here.position == self.there.position
         return self.hall != self.here.hall or self.here.adds_up or self.there.adds_up
@@ -87,7 +87,7 @@
 
 @dataclass
 class Vm:
-    """One VM; a restart begins another life."""
+    """A simulated VM; a restart begins another incarnation."""
 
     name: str
     hall: str
@@ -98,18 +98,18 @@
     links_up: list[_Link] = field(default_factory=list)
     adds_up: bool = False
     position: int = 0
-    """Rank among the VMs of its hall that hear each other."""
+    """Position among the connected VMs of its hall."""
     side: int = 0
-    """VMs on different sides of a cut don't hear each other."""
+    """VMs on different sides of a cut do not receive each other's messages."""
     known_side: int = 0
-    """What others know of it: they notice a cut when it was silent for some time."""
+    """The side as detected by the other VMs."""
 
     def sees(self, other: Vm) -> bool:
         return self.known_side == other.known_side
 
 
 class Fleet:
-    """All of them, and what they took."""
+    """The VMs and the units that they granted."""
 
     def __init__(
         self,
@@ -200,7 +200,7 @@
         return one.side != other.side
 
     def restart(self, vms: Iterable[Vm]) -> None:
-        """Have VMs forget everything."""
+        """Restart VMs, which lose their state."""
         for vm in vms:
             assert vm.gossip is not None
             vm.gossip.stop()
@@ -208,7 +208,7 @@
             self._start(vm)
 
     def change_quota(self, rate: float, burst: float) -> None:
-        """Have the operators write another quota."""
+        """Change the configured quota."""
         self.workspace = make_workspace(rate, burst)
         table = make_table(2, [], [], CallerLimits(), (self.workspace,))
         for vm in self.vms:
@@ -244,7 +244,7 @@
             self.clock.advance(STEP_S)
 
     def compute_worst_window(self) -> float:
-        """Return the most units that were taken in a window, as a share of what the platform bears."""
+        """Return the most units granted in any window, as a share of the window bound."""
         quota = self.quota
         window = self.terms.window
         bound = (quota.rate * window + quota.burst) * (1 + self.terms.overage) + self.terms.slack
