--- a/src/beamhatch/relay/choosing/shortage.py
+++ b/src/beamhatch/relay/choosing/shortage.py
@@ -78,7 +78,9 @@
     limited = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
     if not limited:
         return None
-    return Shortage(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in limited), limits.find_pace(limited))
+    return Shortage(
+        Obstacle.LIMITED, min(limits.compute_wait(life, now) for life in limited), limits.compute_total_rate(limited)
+    )
 
 
 def spread_retry(wait: float, draw: float, *, owed: bool) -> float:
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -46,9 +46,9 @@
     from beamhatch.relay.engines.balancing import ServiceDemand
     from beamhatch.relay.fleet.departure_gossip import DepartureGossip
     from beamhatch.relay.fleet.membership import Membership, Mention
-    from beamhatch.relay.limits.talk import LimitTalk
+    from beamhatch.relay.limits.gossip import LimitGossip
     from beamhatch.relay.model import Service
-    from beamhatch.relay.workspaces.usage_talk import UsageTalk
+    from beamhatch.relay.workspaces.usage_gossip import UsageGossip
 
 HEARTBEAT_INTERVAL_S = 0.5
 """Seconds between two regular heartbeats."""
@@ -134,11 +134,11 @@
         """The newest configuration version that any peer has announced."""
         self.is_store_unreachable: Callable[[], bool] = lambda: False
         """Returns whether the store does not answer this VM."""
-        self.usage: UsageTalk | None = None
+        self.usage: UsageGossip | None = None
         """Exchange of quota usage; None if disabled."""
         self.departures: DepartureGossip | None = None
         """Exchange of upstreams' departures; None if disabled."""
-        self.limits: LimitTalk | None = None
+        self.limits: LimitGossip | None = None
         """Exchange of rate limits that upstreams announce; None if disabled."""
 
     def start(self) -> None:
@@ -198,7 +198,7 @@
         """Forget a closed connection."""
         self._connections.discard(connection)
         if self.usage is not None:
-            self.usage.forget(connection)
+            self.usage.forget_peer(connection)
         if connection.dialled_address is not None:
             self._dialled_addresses.pop(connection.dialled_address, None)
         if connection.vm and not self._stopped:
@@ -373,7 +373,7 @@
                 self._apply_backlog(connection)
             case Usage():
                 if self.usage is not None:
-                    self.usage.take(connection, message)
+                    self.usage.handle_usage(connection, message)
             case _:
                 self._handle_upstream_message(connection, message)
 
@@ -387,7 +387,7 @@
                     self.departures.handle_update(connection, message)
             case LimitUpdate():
                 if self.limits is not None:
-                    self.limits.take(connection, message)
+                    self.limits.handle_update(connection, message)
             case _:
                 self._handle_store_message(connection, message)
 
@@ -436,7 +436,7 @@
             if self.departures is not None:
                 self.departures.send_pending(connection)
             if self.limits is not None:
-                self.limits.tell_all(connection)
+                self.limits.send_all(connection)
         if is_new and connection.dialled_address is None:
             self._send_hello(connection)
 
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
-from beamhatch.relay.limits.words import LimitWord, Spent
+from beamhatch.relay.limits.messages import LimitState, RequestCount
 from beamhatch.relay.model import Life
 from beamhatch.relay.quarantine.crashes import CrashUpdate
 from beamhatch.relay.quarantine.quarantine import ClearUpdate, HoldUpdate
@@ -129,8 +129,8 @@
 class LimitUpdate(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
     """Rate limits that upstreams announced, and counts of the requests sent to them."""
 
-    words: list[LimitWord] = []
-    spent: list[Spent] = []
+    words: list[LimitState] = []
+    spent: list[RequestCount] = []
 
 
 class ConfigurationRequest(msgspec.Struct, tag="ask_configuration", frozen=True):
--- /dev/null
+++ b/src/beamhatch/relay/limits/messages.py
@@ -0,0 +1,44 @@
+"""Messages between VMs about rate limits."""
+
+from __future__ import annotations
+
+import zlib
+from typing import NewType
+
+import msgspec
+
+from beamhatch.relay.model import Life
+
+Origin = NewType("Origin", int)
+"""Random id of one start of a VM; a restarted VM counts from zero under a new one."""
+
+IncarnationKey = NewType("IncarnationKey", int)
+"""Short hash of an incarnation."""
+
+
+class LimitState(msgspec.Struct, array_like=True, frozen=True):
+    """The limit of an incarnation as the sender knows it."""
+
+    incarnation: Life
+    version: int
+    """Incremented by a VM that learns of a change from the upstream itself."""
+    rate: float | None
+    """Requests per second from all VMs together; None if the limit was withdrawn."""
+    level: float = 0.0
+    """Level of the sender's bucket, in requests; negative after too many."""
+
+
+class RequestCount(msgspec.Struct, array_like=True, frozen=True):
+    """Requests of one VM to a rate-limited incarnation, sent or about to be sent."""
+
+    incarnation_key: IncarnationKey
+    origin: Origin
+    total: int
+    """Total so far, so that duplicated and lost messages do not matter."""
+    new: int
+    """Requests that were new to the sender; used by a receiver that does not know the origin."""
+
+
+def make_incarnation_key(incarnation: Life) -> IncarnationKey:
+    """Return the key of an incarnation, the same on all VMs."""
+    return IncarnationKey(zlib.crc32(f"{incarnation.id}/{incarnation.born}".encode()))
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -380,7 +380,7 @@
         self._drop_permit()
         now = self.core.clock.now()
         self._permit = self.core.eligibility.acquire_permit(step.upstream, self.request.service.cold, now)
-        if self.core.eligibility.limits.find(step.upstream.life) is not None:
+        if self.core.eligibility.limits.get_rate(step.upstream.life) is not None:
             self._reserve_by_permit(step)
             return
         attempt = ReserveAttempt(self, step)
@@ -589,7 +589,7 @@
             self.core.find_demand(self.request.service.name).end_stream(self._memory_acquired_at, self.core.clock.now())
         self._release_held()
         if not self.request.may_have_run:
-            self.core.admission.give_back(self._admitted, self.core.clock.now())
+            self.core.admission.refund(self._admitted, self.core.clock.now())
         self.core.exchanges.discard(self)
 
     def _record_outcome(self, label: str) -> None:
@@ -626,9 +626,9 @@
         resting = eligibility.backoffs.is_active(upstream.life, now)
         if resting or eligibility.evacuations.is_evacuated(upstream.hall):
             return
-        if not eligibility.limits.may_be_sent(upstream, now):
+        if not eligibility.limits.may_send_to(upstream, now):
             return
-        eligibility.limits.spend(upstream.life, now)
+        eligibility.limits.record_request(upstream.life, now)
         self.write_log("given back", target=call.target, to=upstream.id)
         self.core.client.open(upstream.address, call, AnnouncementSink(self.core.announcements, upstream))
 
--- a/src/beamhatch/relay/workspaces/admission.py
+++ b/src/beamhatch/relay/workspaces/admission.py
@@ -1,4 +1,4 @@
-"""Decide whether a request is taken: whose key it bears, and whether its workspace's quota has room for it."""
+"""Admission of requests by their key and the quota of its workspace."""
 
 from __future__ import annotations
 
@@ -9,86 +9,86 @@
     from collections.abc import Callable
 
     from beamhatch.relay.model import RequestFacts, Route, Table
-    from beamhatch.relay.workspaces.quota import QuotaShare
+    from beamhatch.relay.workspaces.quota import QuotaAllocator
     from beamhatch.relay.workspaces.workspace import Workspace, WorkspaceName
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request is taken."""
+    """The request is admitted."""
 
     keyed: bool = False
-    """True where the configuration has workspaces, so that keys are the relay's business and not the upstream's."""
+    """Whether the configuration has workspaces, so that the relay rather than the upstream checks keys."""
     workspace: WorkspaceName | None = None
-    """Whose request it is; None where the route asks for no key and none was given."""
+    """Workspace of the caller; None if the configuration has none, or on a public route without a known key."""
     cost: int = 0
-    """Units of the workspace's quota that were taken for it."""
+    """Units that were acquired from the workspace's quota."""
     priority: int = 0
-    """Its rank by its workspace, or else by its route; 0 for all where the configuration has no workspaces."""
+    """Priority from the workspace or else the route; 0 if the configuration has no workspaces."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownKey:
-    """The request bears no key that a workspace has."""
+    """The request has no key, or one that no workspace has."""
 
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """The key is unknown to this VM, whose configuration may be out of date: another one may know it."""
+    """The key is unknown to this VM, but its configuration may be outdated."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """The workspace has no quota left."""
+    """The workspace has exhausted its quota."""
 
     workspace: WorkspaceName
     retry_after: float
-    """Seconds after which there should be some."""
+    """Seconds after which the caller should retry."""
 
 
 Decision = Admitted | UnknownKey | Undecided | OverQuota
 
 
-def _is_never_behind() -> bool:
+def _is_never_outdated() -> bool:
     return False
 
 
 @dataclass(slots=True)
 class Admission:
-    """Admits requests to one VM."""
+    """Admission control of one VM."""
 
-    share: QuotaShare | None = None
-    """How this VM's part of the quotas is found; None where quotas are not kept."""
-    may_be_behind: Callable[[], bool] = field(default=_is_never_behind)
-    """Tells whether there may be a newer configuration than this VM's."""
+    allocator: QuotaAllocator | None = None
+    """Allocator of this VM's part of the quotas; None if quotas are not enforced."""
+    may_be_outdated: Callable[[], bool] = field(default=_is_never_outdated)
+    """Returns whether a newer configuration than this VM's may exist."""
 
     def decide(self, facts: RequestFacts, route: Route, table: Table, now: float) -> Decision:
-        """Return whether a request is taken; one that is has its cost taken from the quota."""
+        """Return whether a request is admitted; its cost is then acquired from the quota."""
         if not table.workspaces:
             return Admitted()
         workspace = table.find_workspace(facts.key)
         if workspace is None:
-            return self._decide_unknown(facts, route)
-        if self.share is None or workspace.quota is None:
-            return Admitted(keyed=True, workspace=workspace.name, priority=_find_priority(workspace, route))
-        cost = workspace.quota.measure(facts.prompt_tokens + facts.output_tokens)
-        wait = self.share.take(workspace, cost, now)
+            return self._decide_without_workspace(facts, route)
+        if self.allocator is None or workspace.quota is None:
+            return Admitted(keyed=True, workspace=workspace.name, priority=_get_priority(workspace, route))
+        cost = workspace.quota.compute_cost(facts.prompt_tokens + facts.output_tokens)
+        wait = self.allocator.acquire(workspace, cost, now)
         if wait is not None:
             return OverQuota(workspace.name, wait)
-        return Admitted(keyed=True, workspace=workspace.name, cost=cost, priority=_find_priority(workspace, route))
+        return Admitted(keyed=True, workspace=workspace.name, cost=cost, priority=_get_priority(workspace, route))
 
-    def give_back(self, admitted: Admitted, now: float) -> None:
-        """Give back what was taken for a request that reached no upstream."""
-        if self.share is not None and admitted.workspace is not None and admitted.cost:
-            self.share.give_back(admitted.workspace, admitted.cost, now)
+    def refund(self, admitted: Admitted, now: float) -> None:
+        """Return the units of a request that reached no upstream to the quota."""
+        if self.allocator is not None and admitted.workspace is not None and admitted.cost:
+            self.allocator.refund(admitted.workspace, admitted.cost, now)
 
-    def _decide_unknown(self, facts: RequestFacts, route: Route) -> Decision:
+    def _decide_without_workspace(self, facts: RequestFacts, route: Route) -> Decision:
         if route.public:
             return Admitted(keyed=True, priority=route.priority)
-        if facts.key is not None and self.may_be_behind():
+        if facts.key is not None and self.may_be_outdated():
             return Undecided()
         return UnknownKey()
 
 
-def _find_priority(workspace: Workspace, route: Route) -> int:
+def _get_priority(workspace: Workspace, route: Route) -> int:
     return route.priority if workspace.priority is None else workspace.priority
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that keep the quota of one workspace together, on a paused clock, without requests or a store."""
+"""A simulated fleet of VMs that enforce the quota of one workspace, on a fake clock without a network."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from twisted.internet import task
 
 from beamhatch.relay.model import CallerLimits, hash_fraction, make_table
-from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
-from beamhatch.relay.workspaces.usage import UsageNews
-from beamhatch.relay.workspaces.usage_talk import UsageTalk
+from beamhatch.relay.workspaces.quota import DemandAllocator, EqualAllocator, QuotaTerms
+from beamhatch.relay.workspaces.usage import UsageTracker
+from beamhatch.relay.workspaces.usage_gossip import UsageGossip
 from beamhatch.relay.workspaces.workspace import Quota, QuotaUnit, Workspace, WorkspaceName
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from beamhatch.relay.fleet.gossip_message import Usage
-    from beamhatch.relay.workspaces.quota import QuotaShare
+    from beamhatch.relay.workspaces.quota import QuotaAllocator
 
-DELAY = 0.004
-"""Seconds of a message between VMs: between halls, and the time that a VM takes."""
+MESSAGE_DELAY_S = 0.004
+"""Seconds that a message takes between VMs."""
 
-TELLERS = 2
-"""VMs of each hall that add up."""
+AGGREGATORS = 2
+"""Number of aggregators per hall."""
 
-SILENCE_LIMIT = 1.8
-"""Seconds behind which a cut is noticed."""
+CUT_DETECTION_S = 1.8
+"""Seconds after which a partition is detected."""
 
-STEP = 0.01
+STEP_S = 0.01
 
 
 def make_workspace(rate: float, burst: float) -> Workspace:
@@ -66,48 +66,50 @@
 
     @property
     def is_wanted(self) -> bool:
-        """Tell whether the product would keep the connection."""
+        """Whether a real VM would keep this connection."""
         if self.joins_halls:
-            return self.here.adds_up and self.there.adds_up and self.here.place == self.there.place
+            return self.here.adds_up and self.there.adds_up and self.here.position == self.there.position
         return self.hall != self.here.hall or self.here.adds_up or self.there.adds_up
 
     def send(self, message: Usage) -> None:
         assert self.other is not None
         self.fleet.sent += 1
-        self.fleet.clock.callLater(DELAY, self._arrive, self.other, self.here.life, self.there.life, message)
+        self.fleet.clock.callLater(
+            MESSAGE_DELAY_S, self._arrive, self.other, self.here.incarnation, self.there.incarnation, message
+        )
 
     def _arrive(self, other: _Link, sender_life: int, receiver_life: int, message: Usage) -> None:
-        alive = self.here.life == sender_life and self.there.life == receiver_life
+        alive = self.here.incarnation == sender_life and self.there.incarnation == receiver_life
         if alive and not self.fleet.is_cut(self.here, self.there):
-            assert self.there.talk is not None
-            self.there.talk.take(other, message)  # type: ignore[arg-type]
+            assert self.there.gossip is not None
+            self.there.gossip.handle_usage(other, message)  # type: ignore[arg-type]
 
 
 @dataclass
 class Vm:
-    """One VM; a restart begins another life."""
+    """A simulated VM; a restart begins another incarnation."""
 
     name: str
     hall: str
-    life: int = 0
+    incarnation: int = 0
     links: list[_Link] = field(default_factory=list)
-    talk: UsageTalk | None = None
-    share: QuotaShare | None = None
+    gossip: UsageGossip | None = None
+    allocator: QuotaAllocator | None = None
     links_up: list[_Link] = field(default_factory=list)
     adds_up: bool = False
-    place: int = 0
-    """Rank among the VMs of its hall that hear each other."""
+    position: int = 0
+    """Position among the connected VMs of its hall."""
     side: int = 0
-    """VMs on different sides of a cut don't hear each other."""
-    seen_side: int = 0
-    """What others know of it: they notice a cut when it was silent for some time."""
+    """VMs on different sides of a cut do not receive each other's messages."""
+    known_side: int = 0
+    """The side as detected by the other VMs."""
 
-    def hears(self, other: Vm) -> bool:
-        return self.seen_side == other.seen_side
+    def sees(self, other: Vm) -> bool:
+        return self.known_side == other.known_side
 
 
 class Fleet:
-    """All of them, and what they took."""
+    """The VMs and the units that they granted."""
 
     def __init__(
         self,
@@ -117,7 +119,7 @@
         rate: float = 160_000,
         burst: float = 160_000,
         terms: QuotaTerms | None = None,
-        kind: type[FollowingShare | EqualShare] = FollowingShare,
+        kind: type[DemandAllocator | EqualAllocator] = DemandAllocator,
         halls: int = 3,
     ) -> None:
         self.clock = task.Clock()
@@ -128,8 +130,8 @@
         self.workspace = make_workspace(rate, burst)
         self.sent = 0
         """Messages between VMs."""
-        self.asked: list[tuple[float, int]] = []
-        self.taken: list[tuple[float, int]] = []
+        self.requested: list[tuple[float, int]] = []
+        self.granted: list[tuple[float, int]] = []
         self.vms = [Vm(f"vm{number}", f"hall-{number % halls}") for number in range(vms)]
         self._connect()
         self._find_links()
@@ -162,15 +164,15 @@
     def _find_links(self) -> None:
         """Work out who adds up, and which connections are up: those to them in a hall, and a few to other halls."""
         for vm in self.vms:
-            members = [one for one in self.vms if one.hall == vm.hall and vm.hears(one)]
-            vm.place = members.index(vm)
-            vm.adds_up = vm.place < TELLERS
+            members = [one for one in self.vms if one.hall == vm.hall and vm.sees(one)]
+            vm.position = members.index(vm)
+            vm.adds_up = vm.position < AGGREGATORS
         for vm in self.vms:
-            vm.links_up = [link for link in vm.links if vm.hears(link.there) and link.is_wanted]
+            vm.links_up = [link for link in vm.links if vm.sees(link.there) and link.is_wanted]
 
     def _start(self, vm: Vm) -> None:
-        news = UsageNews(vm.name, vm.hall)
-        vm.share = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
+        news = UsageTracker(vm.name, vm.hall)
+        vm.allocator = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
         table = make_table(1, [], [], CallerLimits(), (self.workspace,))
         clock = SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater)
         core: Any = SimpleNamespace(clock=clock, table=table)
@@ -178,8 +180,8 @@
         def list_links() -> Any:
             return vm.links_up
 
-        vm.talk = UsageTalk(core, vm.share, list_links, lambda: vm.adds_up)
-        vm.talk.start()
+        vm.gossip = UsageGossip(core, vm.allocator, list_links, lambda: vm.adds_up)
+        vm.gossip.start()
 
     def cut(self, vms: list[Vm], *, apart: bool = False) -> None:
         """Cut VMs off from the others, and with ``apart`` from each other as well; heal all others."""
@@ -187,41 +189,41 @@
             vm.side = 0
         for number, vm in enumerate(vms):
             vm.side = 1 + number if apart else 1
-        self.clock.callLater(SILENCE_LIMIT, self._notice)
+        self.clock.callLater(CUT_DETECTION_S, self._notice)
 
     def _notice(self) -> None:
         for vm in self.vms:
-            vm.seen_side = vm.side
+            vm.known_side = vm.side
         self._find_links()
 
     def is_cut(self, one: Vm, other: Vm) -> bool:
         return one.side != other.side
 
     def restart(self, vms: Iterable[Vm]) -> None:
-        """Have VMs forget everything."""
+        """Restart VMs, which lose their state."""
         for vm in vms:
-            assert vm.talk is not None
-            vm.talk.stop()
-            vm.life += 1
+            assert vm.gossip is not None
+            vm.gossip.stop()
+            vm.incarnation += 1
             self._start(vm)
 
     def change_quota(self, rate: float, burst: float) -> None:
-        """Have the operators write another quota."""
+        """Change the configured quota."""
         self.workspace = make_workspace(rate, burst)
         table = make_table(2, [], [], CallerLimits(), (self.workspace,))
         for vm in self.vms:
-            assert vm.talk is not None
-            core: Any = vm.talk.core
+            assert vm.gossip is not None
+            core: Any = vm.gossip.core
             core.table = table
 
     def ask(self, vm: Vm, units: int) -> bool:
         """Have a caller of a VM ask; return whether the request was taken."""
-        assert vm.share is not None
+        assert vm.allocator is not None
         now = self.clock.seconds()
-        self.asked.append((now, units))
-        taken = vm.share.take(self.workspace, units, now) is None
+        self.requested.append((now, units))
+        taken = vm.allocator.acquire(self.workspace, units, now) is None
         if taken:
-            self.taken.append((now, units))
+            self.granted.append((now, units))
         return taken
 
     def run(self, seconds: float, demand: float = 0.0, at: list[Vm] | None = None) -> None:
@@ -234,23 +236,23 @@
         end = self.clock.seconds() + seconds
         owed = 0.0
         while self.clock.seconds() < end - 1e-9:
-            owed += demand * STEP
+            owed += demand * STEP_S
             while owed > 0:
                 units = 200 if self.random.random() < 0.3 else int(self.random.lognormvariate(7.9, 0.5))
                 owed -= units
                 self.ask(self.random.choice(asked), units)
-            self.clock.advance(STEP)
+            self.clock.advance(STEP_S)
 
-    def find_worst(self) -> float:
-        """Return the most units that were taken in a window, as a share of what the platform bears."""
+    def compute_worst_window(self) -> float:
+        """Return the most units granted in any window, as a share of the window bound."""
         quota = self.quota
         window = self.terms.window
         bound = (quota.rate * window + quota.burst) * (1 + self.terms.overage) + self.terms.slack
         worst, total, first = 0.0, 0, 0
-        for at, units in self.taken:
+        for at, units in self.granted:
             total += units
-            while self.taken[first][0] <= at - window:
-                total -= self.taken[first][1]
+            while self.granted[first][0] <= at - window:
+                total -= self.granted[first][1]
                 first += 1
             worst = max(worst, total / bound)
         return worst
