--- a/benchmarks/own_words.py
+++ b/benchmarks/own_words.py
@@ -13,7 +13,7 @@
 import time
 
 from beamhatch.platform.standin.store import StoreFault
-from beamhatch.relay.choosing.backoffs import Backoffs
+from beamhatch.relay.choosing.rests import Backoffs
 from beamhatch.relay.model import Life, UpstreamId
 from benchmarks.quarantine import count_bytes, make_fleet
 
--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from beamhatch.relay.api import UNCLEAR_LIMIT, AnswerFacts, BadRequest, Dialect, Headers, NamedLimit, SendTerms
-from beamhatch.relay.choosing.upstream_stats import Load
+from beamhatch.relay.choosing.standing import Load
 from beamhatch.relay.model import Handle, Phase, PromptPart, RequestFacts, Reservation, Stage, Upstream
 from beamhatch.relay.upstreams.http_client import Call
 from beamhatch.relay.upstreams.retry_after import read_retry_after
--- a/src/beamhatch/platform/settings.py
+++ b/src/beamhatch/platform/settings.py
@@ -11,7 +11,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address
 from beamhatch.relay.places import Places, RegionName
-from beamhatch.relay.requests.retry_budget import RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudgetTerms
 from beamhatch.relay.workspaces.quota import QuotaTerms
 
 READY_PATH = "/api/ready"
--- a/src/beamhatch/platform/standin/trial.py
+++ b/src/beamhatch/platform/standin/trial.py
@@ -15,7 +15,7 @@
 from beamhatch.platform.store import PlatformStore
 from beamhatch.relay.daemon import Daemon, RelaySettings
 from beamhatch.relay.model import Address
-from beamhatch.relay.requests.retry_budget import RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudgetTerms
 from beamhatch.relay.upstreams.http_client import HttpClient
 
 HOST = "desk.example"
--- a/src/beamhatch/relay/api.py
+++ b/src/beamhatch/relay/api.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from beamhatch.relay.choosing.upstream_stats import Load
+    from beamhatch.relay.choosing.standing import Load
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.model import Fingerprint, Handle, Phase, RequestFacts, Reservation, Stage, Table, Upstream
     from beamhatch.relay.upstreams.http_client import Call
--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.distance import PLAIN_BYTES, UNKNOWN_CACHE_TRANSFER, CacheTransfer, DistanceCosts
+from beamhatch.relay.choosing.pace import PrefillEstimators
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
-from beamhatch.relay.choosing.prefill_model import PrefillEstimators
 from beamhatch.relay.choosing.spill import CostSpillPolicy, SpillPolicy
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Handle, Phase, Upstream, UpstreamId, hash_fraction
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from beamhatch.relay.choosing.upstream_stats import UpstreamStats, UpstreamStatsRegistry
+    from beamhatch.relay.choosing.standing import UpstreamStats, UpstreamStatsRegistry
 
 UNRESPONSIVE_COST_S = 30.0
 """Cost of an unresponsive upstream: high enough that it is used only when there is no other."""
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.backoffs import Backoffs
 from beamhatch.relay.choosing.cold_gate import ColdGate, Permit, UnlimitedGate
+from beamhatch.relay.choosing.rests import Backoffs
 from beamhatch.relay.fleet.evacuations import Evacuations
 from beamhatch.relay.limits.limits import LimitPermit, Limits
 from beamhatch.relay.places import Places
--- a/src/beamhatch/relay/choosing/peer_backlog.py
+++ b/src/beamhatch/relay/choosing/peer_backlog.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.fleet.peer_values import PeerValues
+from beamhatch.relay.fleet.peer_words import PeerValues
 
 if TYPE_CHECKING:
     from beamhatch.relay.model import UpstreamId
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -11,26 +11,26 @@
 from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.cold_transitions import ColdTransitions
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
+from beamhatch.relay.choosing.lack import Shortage, detect_shortage
+from beamhatch.relay.choosing.pace import PrefillEstimators, PrefillModel
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
-from beamhatch.relay.choosing.prefill_model import PrefillEstimators, PrefillModel
 from beamhatch.relay.choosing.prefill_times import PrefillTimes
-from beamhatch.relay.choosing.shortage import Shortage, detect_shortage
-from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
-from beamhatch.relay.engines.demand_estimation import DemandEstimator
-from beamhatch.relay.engines.phase_changes import PendingPhaseChanges, PhaseChangeUpdate
+from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
+from beamhatch.relay.engines.changing import PendingPhaseChanges, PhaseChangeUpdate
+from beamhatch.relay.engines.demand import DemandEstimator
 from beamhatch.relay.fleet.evacuations import MAX_UNPLACED_HALLS, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
-from beamhatch.relay.limits.retry_schedule import RetrySchedule
+from beamhatch.relay.limits.returns import RetrySchedule
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
 from beamhatch.relay.places import Places
-from beamhatch.relay.quarantine.gossip import QuarantineGossip, QuarantineGossipDependencies
 from beamhatch.relay.quarantine.quarantine import Quarantine
+from beamhatch.relay.quarantine.talk import QuarantineGossip, QuarantineGossipDependencies
+from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetTerms
 from beamhatch.relay.requests.exchange import QUARANTINE_REASON, REGION_RETRY_AFTER_S, RelayExchange
 from beamhatch.relay.requests.fingerprint import compute_fingerprint
-from beamhatch.relay.requests.memory_queues import MemoryQueues
-from beamhatch.relay.requests.output_lengths import OutputLengths
-from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
+from beamhatch.relay.requests.lengths import OutputLengths
+from beamhatch.relay.requests.memory_lines import MemoryQueues
 from beamhatch.relay.upstreams.announcements import Announcements
 from beamhatch.relay.upstreams.listing import Listing
 from beamhatch.relay.workspaces.admission import Admission, Admitted, OverQuota, Undecided
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -10,19 +10,19 @@
 from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.chooser import LeastCostChooser
 from beamhatch.relay.choosing.cold_gate import ColdBound, CountingGate, KnownVms
+from beamhatch.relay.choosing.pace import PrefillEstimators
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
-from beamhatch.relay.choosing.prefill_model import PrefillEstimators
 from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
 from beamhatch.relay.choosing.sponsor_gate import SponsorGate
-from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.core import Core, Terms
 from beamhatch.relay.engines.leadership import Leadership
-from beamhatch.relay.engines.phase_controller import PhaseController
-from beamhatch.relay.fleet.departure_gossip import DepartureGossip
+from beamhatch.relay.engines.ordering import PhaseController
+from beamhatch.relay.fleet.departure_talk import DepartureGossip
 from beamhatch.relay.fleet.gossip import Gossip
 from beamhatch.relay.fleet.membership import Member, Membership
 from beamhatch.relay.fleet.store_watcher import DirectivesWatcher, ListingWatcher, StoreWatcher
-from beamhatch.relay.limits.gossip import LimitGossip
+from beamhatch.relay.limits.talk import LimitGossip
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Address, CallerLimits
 from beamhatch.relay.places import Places
@@ -31,7 +31,7 @@
 from beamhatch.relay.upstreams.listing import DRAIN_TIME, GONE_GRACE_SHARE, Listing
 from beamhatch.relay.workspaces.quota import DemandAllocator, EqualAllocator, QuotaTerms
 from beamhatch.relay.workspaces.usage import UsageTracker
-from beamhatch.relay.workspaces.usage_gossip import UsageGossip
+from beamhatch.relay.workspaces.usage_talk import UsageGossip
 
 if TYPE_CHECKING:
     from beamhatch.clock import Clock
@@ -39,7 +39,7 @@
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.api import Dialect, Documents, Store
     from beamhatch.relay.callers.http_server import IncomingRequest, Responder
-    from beamhatch.relay.requests.retry_budget import RetryBudgetTerms
+    from beamhatch.relay.requests.budget import RetryBudgetTerms
     from beamhatch.relay.workspaces.quota import QuotaAllocator, QuotaLimitChange
 
 BACKLOG = 1024
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -6,11 +6,11 @@
 from statistics import median
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.prefill_model import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
+from beamhatch.relay.choosing.pace import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
 from beamhatch.relay.engines.balancing import ServiceDemand
 from beamhatch.relay.engines.throughput import CapacityParameters
 from beamhatch.relay.fleet.gossip_message import DemandReport
-from beamhatch.relay.fleet.peer_values import PeerValues
+from beamhatch.relay.fleet.peer_words import PeerValues
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/src/beamhatch/relay/engines/phase_controller.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -15,7 +15,7 @@
     choose_changes,
     evaluate_changes,
 )
-from beamhatch.relay.engines.phase_changes import MAX_CHANGE_S, PhaseChangeUpdate
+from beamhatch.relay.engines.changing import MAX_CHANGE_S, PhaseChangeUpdate
 from beamhatch.relay.model import Phase, UpstreamId
 from beamhatch.relay.upstreams.http_fetch import fetch
 
--- a/src/beamhatch/relay/engines/throughput.py
+++ b/src/beamhatch/relay/engines/throughput.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from beamhatch.relay.choosing.prefill_model import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
+from beamhatch.relay.choosing.pace import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
 
 MAX_PREFILL_UTILIZATION = 0.9
 """Maximum share of a prefill engine's time to plan with; above it prompts queue for long."""
--- a/src/beamhatch/relay/fleet/peer_state.py
+++ b/src/beamhatch/relay/fleet/far_words.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
+    from beamhatch.relay.engines.changing import PhaseChangeUpdate
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.fleet.membership import Member
     from beamhatch.relay.model import Life
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -13,6 +13,7 @@
 
 from beamhatch.relay.api import Document, ListingNews
 from beamhatch.relay.engines.fleet_demand import FleetDemand
+from beamhatch.relay.fleet.far_words import EMPTY_HEARTBEAT
 from beamhatch.relay.fleet.gossip_message import (
     MAX_MENTIONS,
     ConfigurationRequest,
@@ -31,7 +32,6 @@
     unpack_document,
 )
 from beamhatch.relay.fleet.peer_connection import PeerClientFactory, PeerConnection, PeerHandler, PeerServerFactory
-from beamhatch.relay.fleet.peer_state import EMPTY_HEARTBEAT
 from beamhatch.relay.fleet.peer_traffic import PeerTraffic
 from beamhatch.relay.fleet.throttle import Throttle
 from beamhatch.relay.mechanism import Mechanism
@@ -41,14 +41,14 @@
     from collections.abc import Callable, Sequence
 
     from beamhatch.relay.api import Documents
-    from beamhatch.relay.choosing.prefill_model import PrefillSample
+    from beamhatch.relay.choosing.pace import PrefillSample
     from beamhatch.relay.core import Core
     from beamhatch.relay.engines.balancing import ServiceDemand
-    from beamhatch.relay.fleet.departure_gossip import DepartureGossip
+    from beamhatch.relay.fleet.departure_talk import DepartureGossip
     from beamhatch.relay.fleet.membership import Membership, Mention
-    from beamhatch.relay.limits.gossip import LimitGossip
+    from beamhatch.relay.limits.talk import LimitGossip
     from beamhatch.relay.model import Service
-    from beamhatch.relay.workspaces.usage_gossip import UsageGossip
+    from beamhatch.relay.workspaces.usage_talk import UsageGossip
 
 HEARTBEAT_INTERVAL_S = 0.5
 """Seconds between two regular heartbeats."""
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from beamhatch.relay.choosing.prefill_model import PrefillSample
-from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
+from beamhatch.relay.choosing.pace import PrefillSample
+from beamhatch.relay.engines.changing import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
-from beamhatch.relay.limits.messages import LimitState, RequestCount
+from beamhatch.relay.limits.words import LimitState, RequestCount
 from beamhatch.relay.model import Life
-from beamhatch.relay.quarantine.crashes import CrashUpdate
+from beamhatch.relay.quarantine.ends import CrashUpdate
 from beamhatch.relay.quarantine.quarantine import ClearUpdate, HoldUpdate
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.usage import HallUsage, RatesByWorkspace
--- a/src/beamhatch/relay/fleet/peer_connection.py
+++ b/src/beamhatch/relay/fleet/peer_connection.py
@@ -8,8 +8,8 @@
 from twisted.internet.protocol import ClientFactory, Factory, connectionDone
 from twisted.protocols.basic import Int32StringReceiver
 
+from beamhatch.relay.fleet.far_words import ReceivedState, SentState
 from beamhatch.relay.fleet.gossip_message import MAX_MESSAGE_BYTES, Message, MessageError, decode, encode
-from beamhatch.relay.fleet.peer_state import ReceivedState, SentState
 
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
--- a/src/beamhatch/relay/limits/bucket.py
+++ b/src/beamhatch/relay/limits/account.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from beamhatch.relay.limits.messages import Origin
+    from beamhatch.relay.limits.words import Origin
 
 MIN_RATE_PER_S = 0.1
 """Lowest rate at which requests are sent, even if the limit is lower or 0.
--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -13,14 +13,14 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.limits.bucket import SharedBucket
-from beamhatch.relay.limits.messages import LimitState, Origin, RequestCount, make_incarnation_key
+from beamhatch.relay.limits.account import SharedBucket
+from beamhatch.relay.limits.words import LimitState, Origin, RequestCount, make_incarnation_key
 from beamhatch.relay.model import Life, UpstreamId, hash_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable
 
-    from beamhatch.relay.limits.messages import IncarnationKey
+    from beamhatch.relay.limits.words import IncarnationKey
     from beamhatch.relay.model import Upstream
 
 UNLIMITED_RATE_PER_S = 1000.0
--- a/src/beamhatch/relay/limits/gossip.py
+++ b/src/beamhatch/relay/limits/talk.py
@@ -15,7 +15,7 @@
 
     from beamhatch.clock import Clock
     from beamhatch.relay.fleet.peer_connection import PeerConnection
-    from beamhatch.relay.limits.messages import LimitState, RequestCount
+    from beamhatch.relay.limits.words import LimitState, RequestCount
     from beamhatch.relay.upstreams.announcements import Announcements
 
 MIN_BATCH_DELAY_S = 0.005
--- a/src/beamhatch/relay/quarantine/attribution.py
+++ b/src/beamhatch/relay/quarantine/attribution.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping
 
     from beamhatch.relay.model import Fingerprint
-    from beamhatch.relay.quarantine.crashes import UpstreamCrash
+    from beamhatch.relay.quarantine.ends import UpstreamCrash
 
 MIN_CRASHES = 3
 """Minimum number of crashes for a request to be taken as their cause.
--- a/src/beamhatch/relay/quarantine/detection.py
+++ b/src/beamhatch/relay/quarantine/detection.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.quarantine.crashes import MAX_ANNOUNCED_RUNS, BrokenRun, CrashUpdate
+from beamhatch.relay.quarantine.ends import MAX_ANNOUNCED_RUNS, BrokenRun, CrashUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Set
--- a/src/beamhatch/relay/quarantine/quarantine.py
+++ b/src/beamhatch/relay/quarantine/quarantine.py
@@ -14,7 +14,7 @@
 
 from beamhatch.relay.model import Fingerprint
 from beamhatch.relay.quarantine.attribution import MIN_CRASHES, Attribution, CoverAttribution
-from beamhatch.relay.quarantine.crashes import RETENTION_S, CrashUpdate, UpstreamCrashes
+from beamhatch.relay.quarantine.ends import RETENTION_S, CrashUpdate, UpstreamCrashes
 
 if TYPE_CHECKING:
     from collections.abc import Collection
--- a/src/beamhatch/relay/quarantine/gossip.py
+++ b/src/beamhatch/relay/quarantine/talk.py
@@ -13,8 +13,8 @@
 
 from beamhatch.relay.fleet.gossip_message import QuarantineUpdate
 from beamhatch.relay.fleet.throttle import Throttle
-from beamhatch.relay.quarantine.crashes import SAME_CRASH_WINDOW_S, CrashUpdate
 from beamhatch.relay.quarantine.detection import MIN_RUN_S, CrashDetector
+from beamhatch.relay.quarantine.ends import SAME_CRASH_WINDOW_S, CrashUpdate
 from beamhatch.relay.quarantine.quarantine import HOLD_S, ClearUpdate, HoldUpdate
 
 if TYPE_CHECKING:
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -12,13 +12,13 @@
 from beamhatch.relay.callers.http_server import RequestHandler
 from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.eligibility import Obstacle
-from beamhatch.relay.choosing.shortage import spread_retry
+from beamhatch.relay.choosing.lack import spread_retry
 from beamhatch.relay.choosing.spill import SpillReason, get_spill_reason
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
 from beamhatch.relay.places import Distance
-from beamhatch.relay.requests.memory_queue import Claim
-from beamhatch.relay.requests.memory_queues import QueuedRequest, QueueKey, QueueTerms
+from beamhatch.relay.requests.line import Claim
+from beamhatch.relay.requests.memory_lines import QueuedRequest, QueueKey, QueueTerms
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
 from beamhatch.relay.requests.response import NOT_RUN_STATUSES, BufferedResponse
 from beamhatch.relay.upstreams.announcements import AnnouncementSink
@@ -34,7 +34,7 @@
     from beamhatch.relay.choosing.eligibility import SendPermit
     from beamhatch.relay.core import Core
     from beamhatch.relay.model import Fingerprint, Life, Regions, RequestFacts, Route, Service, Table, Upstream
-    from beamhatch.relay.requests.memory_queue import MemoryQueue
+    from beamhatch.relay.requests.line import MemoryQueue
     from beamhatch.relay.upstreams.http_client import Head
     from beamhatch.relay.workspaces.admission import Admitted
 
--- a/src/beamhatch/relay/requests/memory_queue.py
+++ b/src/beamhatch/relay/requests/line.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Generic, TypeVar
 
-from beamhatch.relay.requests.workspace_scheduler import FifoScheduler, WorkspaceScheduler
+from beamhatch.relay.requests.fair_order import FifoScheduler, WorkspaceScheduler
 
 if TYPE_CHECKING:
     from beamhatch.relay.workspaces.workspace import WorkspaceName
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from beamhatch.relay.choosing.chooser import Chooser
     from beamhatch.relay.model import Regions, RequestFacts, Route, Service
-    from beamhatch.relay.requests.retry_budget import RetryBudget
+    from beamhatch.relay.requests.budget import RetryBudget
 
 MAX_SENDS = 6
 """Maximum number of sends of one request, which bounds the load that one caller can cause."""
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.backoffs import Backoffs
+from beamhatch.relay.choosing.rests import Backoffs
 from beamhatch.relay.limits.limits import Limits
 from beamhatch.relay.upstreams.http_client import AnswerSink
 
@@ -21,7 +21,7 @@
     from beamhatch.observe.journal import Journal
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.api import AnswerFacts, Dialect, NamedLimit
-    from beamhatch.relay.limits.messages import LimitState
+    from beamhatch.relay.limits.words import LimitState
     from beamhatch.relay.model import Life, Upstream, UpstreamId
     from beamhatch.relay.upstreams.http_client import Fault, Head
     from beamhatch.relay.upstreams.listing import Listing
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -11,9 +11,9 @@
 
 if TYPE_CHECKING:
     from beamhatch.relay.api import AnswerFacts
-    from beamhatch.relay.choosing.backoffs import BackoffProbe
     from beamhatch.relay.choosing.eligibility import SendPermit
-    from beamhatch.relay.choosing.prefill_model import PrefillEstimator
+    from beamhatch.relay.choosing.pace import PrefillEstimator
+    from beamhatch.relay.choosing.rests import BackoffProbe
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Send
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -9,7 +9,7 @@
 from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
 
 if TYPE_CHECKING:
-    from beamhatch.relay.choosing.backoffs import BackoffProbe
+    from beamhatch.relay.choosing.rests import BackoffProbe
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Reserve
--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from beamhatch.relay.fleet.peer_values import PeerValues
+from beamhatch.relay.fleet.peer_words import PeerValues
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 if TYPE_CHECKING:
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -11,7 +11,7 @@
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.platform.standin.upstream import StandInEngine
 from beamhatch.relay.engines.balancing import PhaseChange, ServiceDemand
-from beamhatch.relay.engines.phase_controller import _LastOrdered
+from beamhatch.relay.engines.ordering import _LastOrdered
 from beamhatch.relay.engines.throughput import CapacityParameters
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
+from beamhatch.relay.engines.changing import PhaseChangeUpdate
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
 from beamhatch.relay.places import Places, RegionName
 from beamhatch.relay.workspaces.workspace import WorkspaceName
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beamhatch.platform.standin.upstream import StandInEngine, UpstreamFault
-from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
+from beamhatch.relay.engines.changing import PhaseChangeUpdate
 from beamhatch.relay.model import Phase, UpstreamId
 from tests.support.platform import MODEL, PLAIN, Platform, make_platform
 
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -15,7 +15,7 @@
 
 from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
 from beamhatch.relay.choosing.spill import EstimateLoad, SpillPolicy
-from beamhatch.relay.choosing.upstream_stats import Load, UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import Load, UpstreamStatsRegistry
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Distance, Places, RegionName
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from beamhatch.relay.choosing.chooser import SAMPLE_SIZE, LeastCostChooser, Need
-from beamhatch.relay.choosing.upstream_stats import Load, UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import Load, UpstreamStatsRegistry
 from beamhatch.relay.model import Address, Handle, Phase, ServiceName, Upstream, UpstreamId
 
 NEED = Need("p1", 5000, 6000)
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -12,7 +12,7 @@
     DistanceCosts,
     compute_cache_transfer,
 )
-from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Address, Engine, Handle, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Places, RegionName
--- a/tests/relay/choosing/test_prefill_model.py
+++ b/tests/relay/choosing/test_pace.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beamhatch.relay.choosing.prefill_model import (
+from beamhatch.relay.choosing.pace import (
     DECODE_RATE_FACTOR,
     DEFAULT_TOKENS_PER_S,
     MIN_SAMPLES,
--- a/tests/relay/choosing/test_peer_backlog.py
+++ b/tests/relay/choosing/test_peer_work.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
-from beamhatch.relay.fleet.peer_values import VALUE_TTL_S
+from beamhatch.relay.fleet.peer_words import VALUE_TTL_S
 from beamhatch.relay.model import UpstreamId
 
 ENGINE = UpstreamId("e1")
--- a/tests/relay/choosing/test_backoffs.py
+++ b/tests/relay/choosing/test_rests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beamhatch.relay.choosing.backoffs import MAX_JITTER, PROBE_TIMEOUT_S, RECOVERY_ANSWERS, Backoffs
+from beamhatch.relay.choosing.rests import MAX_JITTER, PROBE_TIMEOUT_S, RECOVERY_ANSWERS, Backoffs
 from beamhatch.relay.model import Life, UpstreamId
 
 ONE = Life(UpstreamId("one"), 1)
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -5,7 +5,7 @@
 import random
 
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
-from beamhatch.relay.choosing.shortage import (
+from beamhatch.relay.choosing.lack import (
     EVACUATED_RETRY_S,
     LEAVING_RETRY_S,
     PROBE_RETRY_S,
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -8,7 +8,7 @@
 
 from beamhatch.relay.choosing.chooser import MAX_CANDIDATES, LeastCostChooser
 from beamhatch.relay.choosing.spill import CostSpillPolicy
-from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 from beamhatch.relay.places import Distance
--- a/tests/relay/engines/test_changing.py
+++ b/tests/relay/engines/test_changing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamhatch.relay.engines.phase_changes import MAX_CHANGE_S, PendingPhaseChanges, PhaseChangeUpdate
+from beamhatch.relay.engines.changing import MAX_CHANGE_S, PendingPhaseChanges, PhaseChangeUpdate
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
 
 ENGINE = UpstreamId("u1")
--- a/tests/relay/engines/test_demand_estimation.py
+++ b/tests/relay/engines/test_demand_estimation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from beamhatch.relay.engines.demand_estimation import DemandEstimator
+from beamhatch.relay.engines.demand import DemandEstimator
 
 
 def test_running_streams_count_in_residence() -> None:
--- a/tests/relay/fleet/test_peer_state.py
+++ b/tests/relay/fleet/test_far_words.py
@@ -7,16 +7,16 @@
 import msgspec
 import pytest
 
-from beamhatch.relay.engines.phase_changes import PhaseChangeUpdate
+from beamhatch.relay.engines.changing import PhaseChangeUpdate
 from beamhatch.relay.fleet.evacuations import Evacuation
-from beamhatch.relay.fleet.gossip_message import DemandReport, Heartbeat, decode, encode
-from beamhatch.relay.fleet.peer_state import (
+from beamhatch.relay.fleet.far_words import (
     EMPTY_HEARTBEAT,
     MIN_DEMAND_CHANGE,
     RESEND_INTERVAL_S,
     ReceivedState,
     SentState,
 )
+from beamhatch.relay.fleet.gossip_message import DemandReport, Heartbeat, decode, encode
 from beamhatch.relay.model import Phase
 
 WHOLE = Heartbeat(
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from beamhatch.relay.limits.bucket import MAX_DEBT_S, MAX_ORIGINS, MIN_RATE_PER_S, RELEASED_PERMIT_TTL_S
+from beamhatch.relay.limits.account import MAX_DEBT_S, MAX_ORIGINS, MIN_RATE_PER_S, RELEASED_PERMIT_TTL_S
 from beamhatch.relay.limits.limits import ENDED_LIMIT_RETENTION_S, MAX_BUCKETS, UNLIMITED_RATE_PER_S, Limits
-from beamhatch.relay.limits.messages import LimitState, Origin, RequestCount, make_incarnation_key
+from beamhatch.relay.limits.words import LimitState, Origin, RequestCount, make_incarnation_key
 from beamhatch.relay.model import Life, UpstreamId
 from tests.support.limit_fleet import WINDOW_S, LimitFleet
 
--- a/tests/relay/limits/test_retry_schedule.py
+++ b/tests/relay/limits/test_returns.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from beamhatch.relay.limits.retry_schedule import MAX_RETRY_DELAY_S, RetrySchedule
+from beamhatch.relay.limits.returns import MAX_RETRY_DELAY_S, RetrySchedule
 
 NOW = 100.0
 
--- a/tests/relay/quarantine/test_attribution.py
+++ b/tests/relay/quarantine/test_attribution.py
@@ -16,7 +16,7 @@
     CountAttribution,
     CoverAttribution,
 )
-from beamhatch.relay.quarantine.crashes import UpstreamCrash
+from beamhatch.relay.quarantine.ends import UpstreamCrash
 
 CRASHING = Fingerprint(b"deadly")
 BOTH = (CountAttribution(), CoverAttribution())
--- a/tests/relay/quarantine/test_detection.py
+++ b/tests/relay/quarantine/test_detection.py
@@ -5,8 +5,8 @@
 import pytest
 
 from beamhatch.relay.model import Address, Fingerprint, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.quarantine.crashes import MAX_ANNOUNCED_RUNS, CrashUpdate
 from beamhatch.relay.quarantine.detection import SETTLE_S, CrashDetector
+from beamhatch.relay.quarantine.ends import MAX_ANNOUNCED_RUNS, CrashUpdate
 from beamhatch.relay.upstreams.http_client import Connection
 from tests.support.network import Network, PausedClock
 
--- a/tests/relay/quarantine/test_quarantine.py
+++ b/tests/relay/quarantine/test_quarantine.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.model import Fingerprint
-from beamhatch.relay.quarantine.crashes import (
+from beamhatch.relay.quarantine.ends import (
     MAX_CRASHES,
     MAX_RUNS,
     RETENTION_S,
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -6,7 +6,7 @@
 
 from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
 from beamhatch.relay.choosing.distance import EVENT_BYTES, compute_cache_transfer
-from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.model import (
     Address,
     Engine,
@@ -22,8 +22,8 @@
     Upstream,
     UpstreamId,
 )
+from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetTerms
 from beamhatch.relay.requests.request import RelayRequest, Reserve
-from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from beamhatch.relay.choosing.chooser import LeastCostChooser
-from beamhatch.relay.choosing.upstream_stats import UpstreamStatsRegistry
+from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.model import (
     Address,
     Engine,
@@ -23,8 +23,8 @@
     Upstream,
     UpstreamId,
 )
+from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetTerms
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
-from beamhatch.relay.requests.retry_budget import RetryBudget, RetryBudgetTerms
 from beamhatch.relay.upstreams.listing import Entry, Listing
 
 SERVICE = ServiceName("s")
--- a/tests/relay/workspaces/test_usage_gossip.py
+++ b/tests/relay/workspaces/test_usage_gossip.py
@@ -12,7 +12,7 @@
 from beamhatch.relay.model import CallerLimits, make_table
 from beamhatch.relay.workspaces.quota import DemandAllocator, QuotaTerms
 from beamhatch.relay.workspaces.usage import HallUsage, Rates, UsageTracker
-from beamhatch.relay.workspaces.usage_gossip import DIRECT_TTL_S, UsageGossip
+from beamhatch.relay.workspaces.usage_talk import DIRECT_TTL_S, UsageGossip
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 from tests.support.quota_fleet import make_workspace
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -9,8 +9,8 @@
 from beamhatch.platform import store as platform_store
 from beamhatch.platform.epochs import Epoch
 from beamhatch.platform.run import main
-from beamhatch.relay.choosing.backoffs import Backoffs
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
+from beamhatch.relay.choosing.rests import Backoffs
 from beamhatch.relay.core import Core
 from beamhatch.relay.daemon import Daemon
 from beamhatch.relay.limits.limits import Limits
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from beamhatch.relay.limits.messages import LimitState, RequestCount
+    from beamhatch.relay.limits.words import LimitState, RequestCount
 
 LIFE = Life(UpstreamId("u"), 1)
 
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -20,7 +20,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address
 from beamhatch.relay.places import Places
-from beamhatch.relay.requests.retry_budget import RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudgetTerms
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.workspaces.quota import QuotaTerms
 from tests.support.network import Network, PausedClock
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -13,7 +13,7 @@
 from beamhatch.relay.model import CallerLimits, hash_fraction, make_table
 from beamhatch.relay.workspaces.quota import DemandAllocator, EqualAllocator, QuotaTerms
 from beamhatch.relay.workspaces.usage import UsageTracker
-from beamhatch.relay.workspaces.usage_gossip import UsageGossip
+from beamhatch.relay.workspaces.usage_talk import UsageGossip
 from beamhatch.relay.workspaces.workspace import Quota, QuotaUnit, Workspace, WorkspaceName
 
 if TYPE_CHECKING:
