--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -185,7 +185,7 @@
             else:
                 retry_after_s = spread_retry(shortage.wait, random.random(), owed=self._is_returning)
             step = request.refuse_unavailable(
-                f"request may not be sent to any upstream: {shortage.obstacle.value}", retry_after_s
+                f"nothing may be sent to any upstream: {shortage.obstacle.value}", retry_after_s
             )
         else:
             vm_count = max(self.core.vms, self.core.vms_lately)
@@ -496,7 +496,7 @@
         usual_retry_s = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vms > 1 else wait
         # The retry may reach another VM, which may have room earlier.
         retry_after_s = min(wait, max_retry_after_s, usual_retry_s)
-        self._end_with_error(503, "all available upstreams are cold", round(max(MIN_RETRY_AFTER_S, retry_after_s), 2))
+        self._end_with_error(503, "its upstreams are cold", round(max(MIN_RETRY_AFTER_S, retry_after_s), 2))
 
     def _get_cold_wait(self, step: Refuse | Fail) -> float | None:
         """Return the time until a cold upstream has room, or None if a cold upstream would not help."""
@@ -548,9 +548,9 @@
     def _handle_timeout(self) -> None:
         self._deadline_timer = None
         if self.request.may_have_run:
-            self._end_with_error(TIMEOUT_STATUS, "request timed out", None)
+            self._end_with_error(TIMEOUT_STATUS, "the time is over", None)
         else:
-            self._refuse("request timed out")
+            self._refuse("the time is over")
 
     def _end_with_error(self, status: int, reason: str, retry_after_s: float | None) -> None:
         if self._ended:
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -184,14 +184,14 @@
     def plan(self, usable: list[Upstream], chooser: Chooser, budget: RetryBudget, vm_count: int, now: float) -> Step:
         """Return what to do next."""
         if self.may_have_run and not self.may_run_again:
-            return Fail("an upstream may have run the request, and it may not run again")
+            return Fail("it may have run, and may not run again")
         if self.sends >= MAX_SENDS:
-            return self._give_up("maximum number of sends reached")
+            return self._give_up("too many upstreams turned it away")
         step = self._choose(usable, chooser, now)
         if step is None:
-            return self._give_up("no upstream available", no_upstream=True)
+            return self._give_up("no upstream can take it", no_upstream=True)
         if isinstance(step, Send) and self._counts_as_retry(step.stage) and not budget.allows(now, vm_count):
-            return self._give_up("retry budget exhausted")
+            return self._give_up("the budget for repeated sends is spent")
         return step
 
     def _choose(self, usable: list[Upstream], chooser: Chooser, now: float) -> Step | None:
@@ -220,7 +220,7 @@
             if decode is not None and not chooser.is_unreachable(decode, now):
                 return Reserve(decode, self.facts.prompt_tokens + self.reserve_output_tokens, engine.hold_lifetime)
         if not self._full_upstreams:
-            return self._give_up("no decode engine available", no_upstream=True)
+            return self._give_up("no decode engine can be asked", no_upstream=True)
         return self._wait_for_memory(now)
 
     def record_waiting(self, now: float) -> None:
