--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -59,7 +59,7 @@
     if temporary:
         return min(temporary, key=lambda shortage: shortage.wait)
     obstacle = found.most_common(1)[0][0]
-    return Shortage(obstacle, EVACUATED_RETRY_S if obstacle is Obstacle.EVACUATED else LEAVING_RETRY_S)
+    return Shortage(obstacle, EVACUATED_RETRY_S if obstacle is Obstacle.EMPTIED else LEAVING_RETRY_S)
 
 
 def _detect_backoff(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
@@ -69,7 +69,7 @@
         return None
     waits = [end - now for end in (eligibility.backoffs.get_end(life, now) for life in backing_off) if end is not None]
     probing = len(backing_off) > len(waits)
-    return Shortage(Obstacle.BACKING_OFF, PROBE_RETRY_S if probing else min(waits))
+    return Shortage(Obstacle.RESTING, PROBE_RETRY_S if probing else min(waits))
 
 
 def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
