--- a/src/beamhatch/platform/settings.py
+++ b/src/beamhatch/platform/settings.py
@@ -11,7 +11,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address
 from beamhatch.relay.places import Places, RegionName
-from beamhatch.relay.requests.budget import RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudgetLimits
 from beamhatch.relay.workspaces.quota import QuotaTerms
 
 READY_PATH = "/api/ready"
@@ -90,7 +90,7 @@
         ready_path=READY_PATH,
         store_address=_read_address(read.provider.address),
         grace=bounds.grace_s,
-        budget=RetryBudgetTerms(bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s),
+        budget=RetryBudgetLimits(bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s),
         quota=QuotaTerms(bounds.quota_window_s, bounds.quota_overage, bounds.quota_slack),
         peer_address=_read_address(read.listen.control) if read.listen.control else None,
         seeds=read.seeds,
--- a/src/beamhatch/platform/standin/trial.py
+++ b/src/beamhatch/platform/standin/trial.py
@@ -15,7 +15,7 @@
 from beamhatch.platform.store import PlatformStore
 from beamhatch.relay.daemon import Daemon, RelaySettings
 from beamhatch.relay.model import Address
-from beamhatch.relay.requests.budget import RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudgetLimits
 from beamhatch.relay.upstreams.http_client import HttpClient
 
 HOST = "desk.example"
@@ -39,7 +39,7 @@
         ready_path="/api/ready",
         store_address=store.address,
         grace=3.0,
-        budget=RetryBudgetTerms(),
+        budget=RetryBudgetLimits(),
         peer_address=None,
     )
     journal = Journal(clock, 2)
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -26,7 +26,7 @@
 from beamhatch.relay.places import Places
 from beamhatch.relay.quarantine.quarantine import Quarantine
 from beamhatch.relay.quarantine.talk import QuarantineGossip, QuarantineGossipDependencies
-from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetLimits
 from beamhatch.relay.requests.exchange import QUARANTINE_REASON, REGION_RETRY_AFTER_S, RelayExchange
 from beamhatch.relay.requests.fingerprint import compute_fingerprint
 from beamhatch.relay.requests.lengths import OutputLengths
@@ -94,7 +94,7 @@
 class Terms:
     """Bounds that the platform sets; a reload may change them."""
 
-    budget: RetryBudgetTerms = field(default_factory=RetryBudgetTerms)
+    budget: RetryBudgetLimits = field(default_factory=RetryBudgetLimits)
 
 
 @dataclass(frozen=True, slots=True)
@@ -457,7 +457,7 @@
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = RetryBudget(self.terms.budget, self.started)
-        budget.terms = self.terms.budget
+        budget.limits = self.terms.budget
         return budget
 
     def find_demand(self, service: ServiceName) -> DemandEstimator:
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -39,7 +39,7 @@
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.api import Dialect, Documents, Store
     from beamhatch.relay.callers.http_server import IncomingRequest, Responder
-    from beamhatch.relay.requests.budget import RetryBudgetTerms
+    from beamhatch.relay.requests.budget import RetryBudgetLimits
     from beamhatch.relay.workspaces.quota import QuotaAllocator, QuotaLimitChange
 
 BACKLOG = 1024
@@ -79,7 +79,7 @@
     store_address: Address
     grace: float
     """Seconds that a planned stop may take."""
-    budget: RetryBudgetTerms
+    budget: RetryBudgetLimits
     quota: QuotaTerms = field(default_factory=QuotaTerms)
     peer_address: Address | None = None
     seeds: list[str] = field(default_factory=list)
--- a/src/beamhatch/relay/requests/budget.py
+++ b/src/beamhatch/relay/requests/budget.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetryBudgetTerms:
+class RetryBudgetLimits:
     """The limits on retries for all VMs together, in any window."""
 
     ratio: float = 0.2
@@ -31,7 +31,7 @@
 class RetryBudget:
     """A count of this VM's requests and retries to one service in a sliding window."""
 
-    terms: RetryBudgetTerms
+    limits: RetryBudgetLimits
     started_at: float = -1e9
     """Monotonic time in seconds at which the VM started."""
     _requests: deque[float] = field(default_factory=deque)
@@ -48,13 +48,13 @@
     def allows(self, now: float, vm_count: int) -> bool:
         """Return whether one more retry is allowed when the slack is shared by this many VMs."""
         self._trim(now)
-        slack = self.terms.slack / max(MIN_VMS, vm_count)
-        if now - self.started_at < self.terms.window_s:
+        slack = self.limits.slack / max(MIN_VMS, vm_count)
+        if now - self.started_at < self.limits.window_s:
             slack *= FIRST_WINDOW_SHARE
-        allowance = self.terms.ratio * len(self._requests) + slack
+        allowance = self.limits.ratio * len(self._requests) + slack
         return len(self._retries) + 1 <= SAFETY_FACTOR * allowance
 
     def _trim(self, now: float) -> None:
         for times in (self._requests, self._retries):
-            while times and times[0] <= now - self.terms.window_s:
+            while times and times[0] <= now - self.limits.window_s:
                 times.popleft()
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -18,7 +18,7 @@
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
 from beamhatch.relay.places import Distance
 from beamhatch.relay.requests.line import Claim
-from beamhatch.relay.requests.memory_lines import QueuedRequest, QueueKey, QueueTerms
+from beamhatch.relay.requests.memory_lines import QueuedRequest, QueueKey, QueueOptions
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
 from beamhatch.relay.requests.response import NOT_RUN_STATUSES, BufferedResponse
 from beamhatch.relay.upstreams.announcements import AnnouncementSink
@@ -108,7 +108,7 @@
             facts,
             route,
             service,
-            reserve_output_tokens=0
+            reserved_output_tokens=0
             if service.engine is None
             else core.find_lengths(service.name).compute_reserve_tokens(facts),
             reserves_memory=Mechanism.RESERVATIONS not in core.without,
@@ -117,7 +117,7 @@
             body_bytes=len(incoming.body),
         )
         self._claim = Claim(
-            admitted.workspace, admitted.priority, facts.prompt_tokens + self.request.reserve_output_tokens
+            admitted.workspace, admitted.priority, facts.prompt_tokens + self.request.reserved_output_tokens
         )
         self.fingerprint = fingerprint
         self._incoming = incoming
@@ -132,7 +132,7 @@
         self._cold_timer: Any = None
         self._memory_acquired_at: float | None = None
         """Monotonic time in seconds at which the request got decode memory."""
-        self._is_returning = core.is_return(route, facts.time_left)
+        self._is_caller_retry = core.is_return(route, facts.time_left)
         self._deadline_timer: Any = None
         self._upstream_failure: BufferedResponse | None = None
         self._first_event_s = 0.0
@@ -183,7 +183,7 @@
             if shortage.obstacle is Obstacle.LIMITED:
                 retry_after_s = self.core.promise_turn(service, shortage)
             else:
-                retry_after_s = spread_retry(shortage.wait, random.random(), owed=self._is_returning)
+                retry_after_s = spread_retry(shortage.wait, random.random(), owed=self._is_caller_retry)
             step = request.refuse_unavailable(
                 f"request may not be sent to any upstream: {shortage.obstacle.value}", retry_after_s
             )
@@ -200,7 +200,7 @@
         return self.core.lines.get(self.request.service.name, self.request.regions)
 
     def _list_usable(self) -> list[Upstream]:
-        returning = self._is_returning or self.request.may_have_run
+        returning = self._is_caller_retry or self.request.may_have_run
         return self.core.list_usable(self.request.service.name, self.request.regions, owed=returning)
 
     def _refuse_in_regions(self, step: Refuse, regions: Regions) -> Refuse:
@@ -336,7 +336,7 @@
         began_to_wait = (
             self.request.reservation_lost or self.request.may_have_run or self._cold_wait_began_at is not None
         )
-        precedes_late = self._is_returning or self.request.response_begun or began_to_wait
+        precedes_late = self._is_caller_retry or self.request.response_begun or began_to_wait
         if not self._in_queue and not precedes_late and not queue.has_room(max_wait_s, now):
             displaced = queue.find_displaced(self._claim, now)
             if displaced is not None and displaced.has_attempt:
@@ -362,7 +362,7 @@
                 workspace=self._claim.workspace,
             )
         on_time_until = self._incoming.arrived + max_wait_s
-        terms = QueueTerms(on_time_until, now + self.request.max_memory_wait_s, precedes_late, self._claim)
+        terms = QueueOptions(on_time_until, now + self.request.max_memory_wait_s, precedes_late, self._claim)
         self.core.lines.enqueue(self, QueueKey(self.request.service.name, self.request.regions), terms)
 
     @property
@@ -528,11 +528,13 @@
             retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_SHARE * max(0.0, self.deadline - self.core.clock.now()))
         else:
             retry_after_s = (
-                self._predict_memory_wait() if memory_full else RETRY_AFTER_SHARE * self.request.route.target_latency
+                self._compute_memory_retry_after()
+                if memory_full
+                else RETRY_AFTER_SHARE * self.request.route.target_latency
             )
         self._end_with_error(503, reason, round(max(MIN_RETRY_AFTER_S, retry_after_s), 2))
 
-    def _predict_memory_wait(self) -> float:
+    def _compute_memory_retry_after(self) -> float:
         """Return the time in which decode memory should be freed, from how long streams hold it, with jitter."""
         now = self.core.clock.now()
         residence = self.core.find_demand(self.request.service.name).estimate_residence(now)
@@ -648,7 +650,7 @@
         """Leave the queue for decode memory, if waiting in it."""
         if self._in_queue:
             self._in_queue = False
-            self._queue.leave(self)
+            self._queue.remove(self)
 
     def record_memory_acquired(self) -> None:
         """Record that the request holds decode memory from now on, until its end."""
@@ -712,7 +714,7 @@
         waited = self._in_queue
         self.leave_queue()
         self.request.apply_regions(regions)
-        if self._is_unsent_outside(regions):
+        if self._is_connecting_outside_regions(regions):
             self._stop_attempt()
             waited = True
         if self._attempt is None or self._is_prefilling:
@@ -725,7 +727,7 @@
         """Return whether a prefill is under way, during which the reservation is not in use."""
         return isinstance(self._attempt, Attempt) and self._attempt.send.stage is Stage.PREFILL
 
-    def _is_unsent_outside(self, regions: Regions) -> bool:
+    def _is_connecting_outside_regions(self, regions: Regions) -> bool:
         """Return whether a send to an upstream outside the allowed regions waits for its connection."""
         attempt = self._attempt
         if not isinstance(attempt, Attempt) or attempt.sent:
--- a/src/beamhatch/relay/requests/line.py
+++ b/src/beamhatch/relay/requests/line.py
@@ -46,12 +46,12 @@
     enqueued_at: float
     on_time_until: float
     waits_until: float
-    precedes_late: bool
+    late_with_precedence: bool
     claim: Claim
 
     def is_on_time(self, now: float) -> bool:
         """Return whether the response can still meet the target latency."""
-        return not self.precedes_late and now < self.on_time_until
+        return not self.late_with_precedence and now < self.on_time_until
 
 
 @dataclass(slots=True)
@@ -91,14 +91,14 @@
         """Record that a request got decode memory, whether it waited or not."""
         self.scheduler.record_served(claim.workspace, claim.tokens, now)
 
-    def join(
+    def add(
         self,
         waiter: Waiter,
         on_time_until: float,
         waits_until: float,
         now: float,
         *,
-        precedes_late: bool = False,
+        late_with_precedence: bool = False,
         claim: Claim = DEFAULT_CLAIM,
     ) -> None:
         """Append a request, unless it is in the queue already.
@@ -108,7 +108,7 @@
         :param precedes_late: treat the request as late, but serve it before other late requests of its workspace
         """
         if all(entry.waiter is not waiter for entry in self._entries):
-            self._entries.append(_QueueEntry(waiter, now, on_time_until, waits_until, precedes_late, claim))
+            self._entries.append(_QueueEntry(waiter, now, on_time_until, waits_until, late_with_precedence, claim))
 
     def find_displaced(self, claim: Claim, now: float) -> Waiter | None:
         """Return the waiting request that a new one displaces, or None.
@@ -124,7 +124,7 @@
         gives_way = last.claim.priority >= claim.priority and lead > last.claim.tokens + claim.tokens
         return last.waiter if gives_way else None
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Remove a request."""
         self._entries = [entry for entry in self._entries if entry.waiter is not waiter]
 
@@ -153,7 +153,7 @@
                 not entry.is_on_time(now),
                 entry.claim.priority,
                 ranks.get(entry.claim.workspace, 0),
-                not entry.precedes_late,
+                not entry.late_with_precedence,
                 entry.enqueued_at,
             ),
         )
--- a/src/beamhatch/relay/requests/memory_lines.py
+++ b/src/beamhatch/relay/requests/memory_lines.py
@@ -71,14 +71,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueueTerms:
+class QueueOptions:
     """The terms on which a request waits; times are monotonic, in seconds."""
 
     on_time_until: float
     """Time from which on its response is late."""
     waits_until: float
     """Time up to which it waits."""
-    precedes_late: bool
+    late_with_precedence: bool
     """Whether it is treated as late, but served before other late requests of its workspace."""
     claim: Claim = DEFAULT_CLAIM
 
@@ -113,12 +113,17 @@
             queue = self._queues[key] = MemoryQueue(self._schedulers[service])
         return queue
 
-    def enqueue(self, waiter: QueuedRequest, key: QueueKey, terms: QueueTerms) -> None:
+    def enqueue(self, waiter: QueuedRequest, key: QueueKey, options: QueueOptions) -> None:
         """Queue a request; its ``advance`` is called when it is next, or when its waiting time is over."""
         now = self._clock.now()
         queue = self.get(key.service, key.regions)
-        queue.join(
-            waiter, terms.on_time_until, terms.waits_until, now, precedes_late=terms.precedes_late, claim=terms.claim
+        queue.add(
+            waiter,
+            options.on_time_until,
+            options.waits_until,
+            now,
+            late_with_precedence=options.late_with_precedence,
+            claim=options.claim,
         )
         self._schedule_poll(key)
 
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -109,7 +109,7 @@
     """Id of the last event that the caller has received."""
     response_begun: bool = False
     """True once a part of the response was sent to the caller."""
-    reserve_output_tokens: int = 0
+    reserved_output_tokens: int = 0
     """Tokens that are reserved for the output, in addition to the prompt."""
     regions: Regions = None
     """Regions that it may be served in; None if it may be in any."""
@@ -122,7 +122,7 @@
     _handoffs: int = 0
     _refused_by: set[UpstreamId] = field(default_factory=set)
     _failed_upstreams: set[UpstreamId] = field(default_factory=set)
-    _first_send_counted: bool = False
+    _non_prefill_sent: bool = False
     """True once a send other than a prefill was made; the next such send is a retry."""
     reservation: Reservation | None = None
     """Decode memory that is reserved for this request and not yet used."""
@@ -155,7 +155,7 @@
             tokens,
             cache=compute_cache_transfer(engine, facts.prompt_tokens),
             body_bytes=self.body_bytes,
-            answer_bytes=EVENT_BYTES * (self.reserve_output_tokens or facts.output_tokens) // engine.event_tokens,
+            answer_bytes=EVENT_BYTES * (self.reserved_output_tokens or facts.output_tokens) // engine.event_tokens,
             decode_hall="" if self.reservation is None else self.reservation.upstream.hall,
         )
 
@@ -218,7 +218,7 @@
         if len(self._full_upstreams) < MAX_RESERVE_ATTEMPTS:
             decode = self._choose_decode(usable, chooser, now, self.handle, self._full_upstreams)
             if decode is not None and not chooser.is_unreachable(decode, now):
-                return Reserve(decode, self.facts.prompt_tokens + self.reserve_output_tokens, engine.hold_lifetime)
+                return Reserve(decode, self.facts.prompt_tokens + self.reserved_output_tokens, engine.hold_lifetime)
         if not self._full_upstreams:
             return self._give_up("no decode engine available", no_upstream=True)
         return self._wait_for_memory(now)
@@ -301,7 +301,7 @@
     def _counts_as_retry(self, stage: Stage) -> bool:
         if stage is Stage.PREFILL:
             return self._prefill_sends > 0
-        return self._first_send_counted
+        return self._non_prefill_sent
 
     def _give_up(self, reason: str, *, no_upstream: bool = False) -> Step:
         if self.may_have_run:
@@ -322,7 +322,7 @@
             return
         if send.stage is Stage.DECODE:
             self._handoffs += 1
-        self._first_send_counted = True
+        self._non_prefill_sent = True
         self.may_have_run = True
         self.possible_runs += 1
 
@@ -342,7 +342,7 @@
             self.may_have_run = self.possible_runs > 0
         self._refused_by.add(send.upstream.id)
 
-    def record_broken(self, send: Send) -> None:
+    def record_failed(self, send: Send) -> None:
         """Record that an upstream failed or closed the connection; the request may still run there."""
         self._failed_upstreams.add(send.upstream.id)
         if send.stage is Stage.PREFILL:
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -177,7 +177,7 @@
         if fault is Fault.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
             self._report_broken_run(now - self._started_at)
         if self._sent:
-            self.request.record_broken(self.send)
+            self.request.record_failed(self.send)
         else:
             self.request.record_unreachable(self.send)
         self.exchange.replan_after(self)
@@ -269,7 +269,7 @@
             return
         self.cancel()
         if self._sent:
-            self.request.record_broken(self.send)
+            self.request.record_failed(self.send)
         else:
             self.request.record_unreachable(self.send)
         self.exchange.replan_after(self)
--- a/tests/relay/requests/test_fairness.py
+++ b/tests/relay/requests/test_fairness.py
@@ -43,7 +43,7 @@
     scheduler: WorkspaceScheduler
     rates: dict[WorkspaceName, float]
     seed: int = 1
-    asked: Counter[WorkspaceName] = field(default_factory=Counter)
+    requested: Counter[WorkspaceName] = field(default_factory=Counter)
     served: Counter[WorkspaceName] = field(default_factory=Counter)
     on_time: Counter[WorkspaceName] = field(default_factory=Counter)
     priorities: dict[WorkspaceName, int] = field(default_factory=dict)
@@ -72,7 +72,7 @@
 
     def compute_on_time_share_of_others(self) -> float:
         """Return the share of the other workspaces' requests that were served on time."""
-        return sum(self.on_time[one] for one in OTHERS) / sum(self.asked[one] for one in OTHERS)
+        return sum(self.on_time[one] for one in OTHERS) / sum(self.requested[one] for one in OTHERS)
 
     def _schedule_arrival(self, workspace: WorkspaceName, now: float) -> None:
         self._push(now + self.random.expovariate(self.rates[workspace]), workspace)
@@ -82,7 +82,7 @@
 
     def _arrive(self, workspace: WorkspaceName, now: float) -> None:
         claim = Claim(workspace, self.priorities.get(workspace, 1), int(self.random.lognormvariate(8.0, 0.5)))
-        self.asked[workspace] += 1
+        self.requested[workspace] += 1
         waiter = claim, now
         if self.free_slots and not self.queue.has_on_time(now):
             self._serve(waiter, now)
@@ -91,16 +91,16 @@
             displaced = self.queue.find_displaced(claim, now)
             if displaced is None:
                 return
-            self.queue.leave(displaced)
-        self.queue.join(waiter, now + ON_TIME_S, now + MAX_WAIT_S, now, claim=claim)
+            self.queue.remove(displaced)
+        self.queue.add(waiter, now + ON_TIME_S, now + MAX_WAIT_S, now, claim=claim)
 
     def _serve_queue(self, now: float) -> None:
         while self.free_slots and len(self.queue):
             first, *expired = self.queue.list_due(now)
-            self.queue.leave(first)
+            self.queue.remove(first)
             self._serve(first, now)
             for waiter in expired:
-                self.queue.leave(waiter)
+                self.queue.remove(waiter)
 
     def _serve(self, waiter: tuple[Claim, float], now: float) -> None:
         claim, arrived = waiter
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(("times", "least"), [(2.0, 0.8), (4.0, 0.75), (8.0, 0.7)])
-def test_a_workspace_above_its_usual_load_delays_the_others_little(times: float, least: float) -> None:
+def test_overloading_workspace_barely_delays_the_others(times: float, least: float) -> None:
     assert simulate(StartTimeFairScheduler, times).compute_on_time_share_of_others() > least
 
 
@@ -144,8 +144,8 @@
 def test_each_workspace_is_served_at_least_a_quarter_as_often_as_the_average(times: float) -> None:
     for seed in range(3):
         simulation = simulate(StartTimeFairScheduler, times, seed)
-        average = simulation.served.total() / simulation.asked.total()
-        assert all(simulation.served[one] / simulation.asked[one] > average / 4 for one in (HOT, *OTHERS))
+        average = simulation.served.total() / simulation.requested.total()
+        assert all(simulation.served[one] / simulation.requested[one] > average / 4 for one in (HOT, *OTHERS))
 
 
 def test_the_lead_of_a_workspace_after_a_burst_is_limited() -> None:
@@ -168,7 +168,7 @@
     assert scheduler.rank([OTHERS[0], HOT], 5.0) == [HOT, OTHERS[0]]
 
 
-def test_accounts_are_deleted_some_time_after_their_last_request() -> None:
+def test_idle_accounts_are_deleted() -> None:
     for scheduler in (StartTimeFairScheduler(), DeficitRoundRobinScheduler()):
         for number in range(1000):
             scheduler.record_served(WorkspaceName(f"w{number}"), 100, number * 1.0)
@@ -188,42 +188,42 @@
 
 def test_the_lower_priority_number_goes_first_among_requests_on_time() -> None:
     queue: MemoryQueue[str] = MemoryQueue(StartTimeFairScheduler())
-    queue.join("low", 1.0, 3.0, 0.0, claim=Claim(OTHERS[0], 2, 100))
-    queue.join("high", 1.0, 3.0, 0.1, claim=Claim(OTHERS[1], 1, 100))
-    queue.join("late", 0.0, 3.0, 0.1, claim=Claim(OTHERS[2], 0, 100))
+    queue.add("low", 1.0, 3.0, 0.0, claim=Claim(OTHERS[0], 2, 100))
+    queue.add("high", 1.0, 3.0, 0.1, claim=Claim(OTHERS[1], 1, 100))
+    queue.add("late", 0.0, 3.0, 0.1, claim=Claim(OTHERS[2], 0, 100))
     assert queue.list_due(0.2) == ["high"]
-    queue.leave("high")
+    queue.remove("high")
     assert queue.list_due(0.2) == ["low"]
 
 
-def test_requests_that_precede_late_ones_do_so_within_their_workspace_only() -> None:
+def test_late_requests_with_precedence_go_first_only_within_their_workspace() -> None:
     queue: MemoryQueue[str] = MemoryQueue(StartTimeFairScheduler())
     queue.record_served(Claim(OTHERS[0], 1, 100), 0.0)
     queue.record_served(Claim(HOT, 1, 3000), 0.0)
-    queue.join("hot late", 0.0, 3.0, 0.0, claim=Claim(HOT, 1, 100))
-    queue.join("hot precedes late", 0.0, 3.0, 0.1, precedes_late=True, claim=Claim(HOT, 1, 100))
-    queue.join("other late", 0.0, 3.0, 0.2, claim=Claim(OTHERS[0], 1, 100))
+    queue.add("hot late", 0.0, 3.0, 0.0, claim=Claim(HOT, 1, 100))
+    queue.add("hot precedes late", 0.0, 3.0, 0.1, late_with_precedence=True, claim=Claim(HOT, 1, 100))
+    queue.add("other late", 0.0, 3.0, 0.2, claim=Claim(OTHERS[0], 1, 100))
     for name in ("other late", "hot precedes late", "hot late"):
         assert queue.list_due(0.3) == [name]
-        queue.leave(name)
+        queue.remove(name)
 
 
 def test_requests_without_a_workspace_are_served_in_order_of_arrival() -> None:
     queue: MemoryQueue[int] = MemoryQueue(StartTimeFairScheduler())
     for number in range(4):
-        queue.join(number, 1.0, 3.0, number / 10, claim=Claim(tokens=1000))
+        queue.add(number, 1.0, 3.0, number / 10, claim=Claim(tokens=1000))
         queue.record_served(Claim(tokens=5000), number / 10)
     assert queue.find_displaced(Claim(tokens=10), 0.5) is None
     for number in range(4):
         assert queue.list_due(0.5) == [number]
-        queue.leave(number)
+        queue.remove(number)
 
 
 def test_a_waiting_request_is_displaced_by_a_workspace_that_was_served_far_less() -> None:
     queue: MemoryQueue[str] = MemoryQueue(StartTimeFairScheduler())
     queue.record_served(Claim(OTHERS[0], 1, 100), 0.0)
     queue.record_served(Claim(HOT, 1, 5000), 0.0)
-    queue.join("hot", 1.0, 3.0, 0.1, claim=Claim(HOT, 1, 3000))
+    queue.add("hot", 1.0, 3.0, 0.1, claim=Claim(HOT, 1, 3000))
     assert queue.find_displaced(Claim(HOT, 1, 1000), 0.2) is None
     assert queue.find_displaced(Claim(OTHERS[0], 1, 3000), 0.2) is None
     assert queue.find_displaced(Claim(OTHERS[0], 2, 1000), 0.2) is None
--- a/tests/relay/requests/test_lengths.py
+++ b/tests/relay/requests/test_lengths.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("off_by", [0.1, 0.5, 1.5])
 @pytest.mark.parametrize("seed", range(4))
-def test_the_reserve_covers_its_share_of_outputs_at_any_error_of_estimates(off_by: float, seed: int) -> None:
+def test_reserve_covers_the_configured_share_of_outputs_whatever_the_estimate_error(off_by: float, seed: int) -> None:
     lengths = learn(draw_outputs(100, seed, off_by=off_by))
     later = draw_outputs(300, seed + 100, off_by=off_by)
     covered = sum(tokens <= lengths.compute_reserve_tokens(facts) for facts, tokens in later) / len(later)
--- a/tests/relay/requests/test_line.py
+++ b/tests/relay/requests/test_line.py
@@ -18,47 +18,47 @@
     queue = make_queue(freed=16)
     for number in range(2):
         assert queue.has_room(0.5, NOW)
-        queue.join(f"r{number}", NOW + 0.5, NOW + 3, NOW)
+        queue.add(f"r{number}", NOW + 0.5, NOW + 3, NOW)
     assert not queue.has_room(0.5, NOW)
 
 
 def test_late_requests_take_no_room_from_those_on_time() -> None:
     queue = make_queue(freed=16)
     for number in range(20):
-        queue.join(f"late{number}", NOW, NOW + 3, NOW)
+        queue.add(f"late{number}", NOW, NOW + 3, NOW)
     assert queue.has_room(0.5, NOW)
     assert not queue.has_on_time(NOW)
-    queue.join("on time", NOW + 0.5, NOW + 3.1, NOW + 0.1)
+    queue.add("on time", NOW + 0.5, NOW + 3.1, NOW + 0.1)
     assert queue.list_due(NOW + 0.1) == ["on time"]
-    queue.leave("on time")
+    queue.remove("on time")
     assert queue.list_due(NOW + 0.1) == ["late0"]
 
 
 def test_requests_whose_waiting_time_is_over_are_due_though_not_next() -> None:
     queue = make_queue(freed=0)
-    queue.join("old", NOW, NOW + 3.0, NOW)
-    queue.join("newer", NOW, NOW + 4.0, NOW + 1.0)
-    queue.join("on time", NOW + 9.0, NOW + 6.0, NOW + 3.0)
+    queue.add("old", NOW, NOW + 3.0, NOW)
+    queue.add("newer", NOW, NOW + 4.0, NOW + 1.0)
+    queue.add("on time", NOW + 9.0, NOW + 6.0, NOW + 3.0)
     assert queue.list_due(NOW + 3.5) == ["on time", "old"]
     assert queue.list_due(NOW + 4.5) == ["on time", "old", "newer"]
 
 
-def test_requests_on_time_are_served_first_then_those_that_precede_late_ones_then_late_ones() -> None:
+def test_order_is_on_time_then_late_with_precedence_then_late() -> None:
     queue = make_queue(freed=16)
-    queue.join("late", NOW, NOW + 3, NOW)
-    queue.join("precedes late", NOW + 0.5, NOW + 3, NOW + 0.1, precedes_late=True)
-    queue.join("precedes late too", NOW + 0.5, NOW + 3, NOW + 0.2, precedes_late=True)
+    queue.add("late", NOW, NOW + 3, NOW)
+    queue.add("precedes late", NOW + 0.5, NOW + 3, NOW + 0.1, late_with_precedence=True)
+    queue.add("precedes late too", NOW + 0.5, NOW + 3, NOW + 0.2, late_with_precedence=True)
     assert not queue.has_on_time(NOW + 0.2)
-    queue.join("on time", NOW + 0.7, NOW + 3, NOW + 0.2)
-    queue.join("on time too", NOW + 0.8, NOW + 3, NOW + 0.3)
+    queue.add("on time", NOW + 0.7, NOW + 3, NOW + 0.2)
+    queue.add("on time too", NOW + 0.8, NOW + 3, NOW + 0.3)
     assert queue.has_on_time(NOW + 0.3)
     for name in ("on time", "on time too", "precedes late", "precedes late too", "late"):
         assert queue.list_due(NOW + 0.3) == [name]
-        queue.leave(name)
+        queue.remove(name)
 
 
-def test_requests_that_precede_late_ones_take_no_room_from_new_ones() -> None:
+def test_late_requests_with_precedence_take_no_room_from_new_ones() -> None:
     queue = make_queue(freed=16)
     for number in range(20):
-        queue.join(f"precedes{number}", NOW + 0.5, NOW + 3, NOW, precedes_late=True)
+        queue.add(f"precedes{number}", NOW + 0.5, NOW + 3, NOW, late_with_precedence=True)
     assert queue.has_room(0.5, NOW + 0.2)
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -22,7 +22,7 @@
     Upstream,
     UpstreamId,
 )
-from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetLimits
 from beamhatch.relay.requests.request import RelayRequest, Reserve
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 def make_request() -> RelayRequest:
     route = Route("r", "h", "/", RouteKind.STREAMING, (Share(SERVICE, 1),), 14.0, 0.9)
     facts = RequestFacts("q", None, None, 5000, 100)
-    return RelayRequest(facts, route, Service(SERVICE, ENGINE), reserve_output_tokens=80, body_bytes=700)
+    return RelayRequest(facts, route, Service(SERVICE, ENGINE), reserved_output_tokens=80, body_bytes=700)
 
 
 def make_upstream(name: str, hall: str) -> Upstream:
@@ -79,7 +79,7 @@
 
 
 def test_need_has_the_halls_of_engines_without_memory() -> None:
-    request, chooser, budget = make_request(), RecordingChooser(), RetryBudget(RetryBudgetTerms())
+    request, chooser, budget = make_request(), RecordingChooser(), RetryBudget(RetryBudgetLimits())
     usable = [make_upstream("u1", "a"), make_upstream("u2", "a"), make_upstream("u3", "b")]
     for _ in range(3):
         step = request.plan(usable, chooser, budget, 1, NOW)
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -23,7 +23,7 @@
     Upstream,
     UpstreamId,
 )
-from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetLimits
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
 from beamhatch.relay.upstreams.listing import Entry, Listing
 
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.may_have_run = 0
+        self.possible_runs = 0
         self.step: Step | None = None
         self.under_way: Send | None = None
 
@@ -55,7 +55,7 @@
         route = Route("r", "h", "/", kind, (Share(SERVICE, 1),), 14.0, 0.9, attempts, resumable)
         traits = Engine(128, 60_000, 0.5, 2.0 if holds else 0.0) if engine else None
         self.request = RelayRequest(RequestFacts("q", None, None, 5000, 100), route, Service(SERVICE, traits))
-        self.budget = RetryBudget(RetryBudgetTerms())
+        self.budget = RetryBudget(RetryBudgetLimits())
         self.chooser = LeastCostChooser(UpstreamStatsRegistry(), "h")
         phases = [Phase.PREFILL, Phase.PREFILL, Phase.DECODE, Phase.DECODE, Phase.DECODE]
         if not self.request.split:
@@ -70,7 +70,7 @@
         if isinstance(self.step, Send):
             self.under_way = self.step
         elif isinstance(self.step, Refuse):
-            assert self.may_have_run == 0, "told that it has not run although it may have"
+            assert self.possible_runs == 0, "told that it has not run although it may have"
 
     @precondition(lambda self: isinstance(self.step, Reserve))
     @rule(granted=st.booleans(), reached=st.booleans())
@@ -94,19 +94,19 @@
 
     @precondition(lambda self: self.under_way is not None)
     @rule()
-    def turn_away(self) -> None:
+    def refuse_send(self) -> None:
         send = self._send()
         self.request.record_not_run(send)
 
     @precondition(lambda self: self.under_way is not None)
     @rule(events=st.integers(0, 3))
-    def break_off(self, events: int) -> None:
+    def fail_send(self, events: int) -> None:
         send = self._send()
         if send.stage is not Stage.PREFILL:
-            self.may_have_run += 1
+            self.possible_runs += 1
             if events and self.request.route.kind is RouteKind.STREAMING:
                 self.request.record_event((self.request.last_event or 0) + events)
-        self.request.record_broken(send)
+        self.request.record_failed(send)
 
     @precondition(lambda self: self.under_way is not None and self.under_way.stage is Stage.PREFILL)
     @rule()
@@ -119,14 +119,14 @@
         assert send is not None
         self.under_way = None
         if send.stage is not Stage.PREFILL:
-            assert self.may_have_run == 0 or self.request.route.idempotent, "a second run"
-            assert self.may_have_run < self.request.route.max_attempts, "more runs than the route allows"
+            assert self.possible_runs == 0 or self.request.route.idempotent, "a second run"
+            assert self.possible_runs < self.request.route.max_attempts, "more runs than the route allows"
         self.request.record_sent(send, self.budget, self.now)
         return send
 
     @precondition(lambda self: isinstance(self.step, (Refuse, Fail)))
     @rule()
-    def rest(self) -> None:
+    def stay_ended(self) -> None:
         """Do nothing: the request has ended."""
 
     @invariant()
@@ -143,15 +143,15 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.truth: dict[str, Entry] = {}
+        self.expected_entries: dict[str, Entry] = {}
         self.revision = 0
-        self.news: list[Entry] = []
-        self.direct = Listing()
-        self.told = Listing()
+        self.updates: list[Entry] = []
+        self.in_order = Listing()
+        self.out_of_order = Listing()
         self.drained: set[str] = set()
-        self.went_at: dict[str, float] = {}
+        self.deleted_at: dict[str, float] = {}
         """Time at which each deleted upstream was deleted."""
-        self.best: dict[UpstreamId, Entry] = {}
+        self.newest_received: dict[UpstreamId, Entry] = {}
         """The newest entry of each upstream that the second listing has received."""
 
     @rule(name=names, draining=st.booleans(), gone=st.booleans())
@@ -162,55 +162,57 @@
             self.drained.add(name)
         entry = Entry(UpstreamId(name), self.revision, upstream)
         if not gone:
-            self.went_at.pop(name, None)
-        elif name in self.truth and self.truth[name].upstream is not None:
-            self.went_at[name] = self.now
-        self.truth[name] = entry
-        self.news.append(entry)
-        self.direct.take(entry, self.now)
-
-    @precondition(lambda self: self.news)
+            self.deleted_at.pop(name, None)
+        elif name in self.expected_entries and self.expected_entries[name].upstream is not None:
+            self.deleted_at[name] = self.now
+        self.expected_entries[name] = entry
+        self.updates.append(entry)
+        self.in_order.take(entry, self.now)
+
+    @precondition(lambda self: self.updates)
     @rule(data=st.data())
-    def hear(self, data: st.DataObject) -> None:
+    def receive_update(self, data: st.DataObject) -> None:
         """Hear any news again, late or out of order."""
-        entry = data.draw(st.sampled_from(self.news))
-        self.told.take(entry, self.now)
-        best = self.best.get(entry.id)
+        entry = data.draw(st.sampled_from(self.updates))
+        self.out_of_order.take(entry, self.now)
+        best = self.newest_received.get(entry.id)
         if best is None or best.revision < entry.revision:
-            self.best[entry.id] = entry
+            self.newest_received[entry.id] = entry
 
     @rule()
-    def hear_whole(self) -> None:
-        listed = [entry for entry in self.truth.values() if entry.upstream is not None]
-        self.told.take_whole(listed, self.revision, self.now)
-        self.best = {entry.id: entry for entry in self.truth.values()}
+    def receive_snapshot(self) -> None:
+        listed = [entry for entry in self.expected_entries.values() if entry.upstream is not None]
+        self.out_of_order.take_whole(listed, self.revision, self.now)
+        self.newest_received = {entry.id: entry for entry in self.expected_entries.values()}
         assert {entry.id for entry in listed} == {
-            name for name in self.told.list_ids() if self.told.find(name) is not None
+            name for name in self.out_of_order.list_ids() if self.out_of_order.find(name) is not None
         }
 
     @rule()
     def catch_up(self) -> None:
-        for entry in self.direct.list_since(0, 0.0):
-            self.told.take(entry, self.now)
-        self.best = {entry.id: entry for entry in self.truth.values()}
-        for name in self.truth:
-            assert self.told.find(UpstreamId(name)) == self.direct.find(UpstreamId(name))
+        for entry in self.in_order.list_since(0, 0.0):
+            self.out_of_order.take(entry, self.now)
+        self.newest_received = {entry.id: entry for entry in self.expected_entries.values()}
+        for name in self.expected_entries:
+            assert self.out_of_order.find(UpstreamId(name)) == self.in_order.find(UpstreamId(name))
 
     @rule(passed=st.floats(0, 4))
     def wait(self, passed: float) -> None:
         self.now += passed
 
     @invariant()
-    def believes_the_newest_that_it_heard(self) -> None:
-        for name, entry in self.best.items():
-            assert self.told.find(name) == entry.upstream
+    def keeps_newest_received_entry(self) -> None:
+        for name, entry in self.newest_received.items():
+            assert self.out_of_order.find(name) == entry.upstream
 
     @invariant()
-    def gives_no_work_to_those_that_leave(self) -> None:
-        usable = {one.id for one in self.direct.list_usable(SERVICE, self.now)}
+    def lists_only_usable_upstreams(self) -> None:
+        usable = {one.id for one in self.in_order.list_usable(SERVICE, self.now)}
         assert not usable & self.drained
-        staying = {name for name, entry in self.truth.items() if entry.upstream is not None} - self.drained
-        lapsed = {name for name, at in self.went_at.items() if self.now - at < self.direct.gone_grace} - self.drained
+        staying = {name for name, entry in self.expected_entries.items() if entry.upstream is not None} - self.drained
+        lapsed = {
+            name for name, at in self.deleted_at.items() if self.now - at < self.in_order.gone_grace
+        } - self.drained
         assert usable == (staying | lapsed if len(lapsed) >= len(staying) else staying)
 
 
@@ -219,7 +221,7 @@
 
 
 def test_the_retry_budget_allows_a_share_of_requests_and_of_the_slack() -> None:
-    budget = RetryBudget(RetryBudgetTerms(ratio=0.2, slack=60, window_s=10))
+    budget = RetryBudget(RetryBudgetLimits(ratio=0.2, slack=60, window_s=10))
     for number in range(100):
         budget.record_request(number * 0.01)
     allowed = 0
@@ -230,7 +232,7 @@
     assert budget.allows(12.0, vm_count=10)
 
 
-def test_a_route_with_shares_keeps_them_and_its_choice_per_caller() -> None:
+def test_route_splits_requests_by_share_and_always_chooses_the_same_service_for_a_caller() -> None:
     shares = (Share(ServiceName("a"), 90), Share(ServiceName("b"), 10))
     route = Route("r", "h", "/", RouteKind.SAFE, shares, 1, 1)
     chosen = [route.choose_service(f"q{number}") for number in range(2000)]
@@ -240,7 +242,7 @@
 
 def test_vms_that_restart_together_do_not_use_the_slack_twice() -> None:
     """Retries before and after a restart that fall into one window must not exceed the slack."""
-    terms = RetryBudgetTerms(ratio=0.2, slack=56, window_s=10)
+    terms = RetryBudgetLimits(ratio=0.2, slack=56, window_s=10)
     sent = 0
     for started in (-1e9, 1.0):
         for _ in range(8):
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -20,7 +20,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Without
 from beamhatch.relay.model import Address
 from beamhatch.relay.places import Places
-from beamhatch.relay.requests.budget import RetryBudgetTerms
+from beamhatch.relay.requests.budget import RetryBudgetLimits
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.workspaces.quota import QuotaTerms
 from tests.support.network import Network, PausedClock
@@ -343,7 +343,7 @@
             ready_path="/api/ready",
             store_address=store,
             grace=8.0,
-            budget=RetryBudgetTerms(0.2, 56, 10),
+            budget=RetryBudgetLimits(0.2, 56, 10),
             quota=quota or QuotaTerms(),
             peer_address=Address(name, 8002),
             seeds=seeds or [],
