--- a/src/beamhatch/relay/requests/budget.py
+++ b/src/beamhatch/relay/requests/budget.py
@@ -1,4 +1,4 @@
-"""Limit retries to a share of the recent requests plus this VM's part of a slack that all VMs share."""
+"""Limit retries to a share of the recent requests, plus this VM's part of a fixed number that all VMs share."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from dataclasses import dataclass, field
 
 SAFETY_FACTOR = 0.8
-"""Share of the allowance that is used, since the number of other VMs and what they sent is known only roughly."""
+"""Share of the allowance that is used, since the number of other VMs is known only approximately."""
 
 MIN_VMS = 6
-"""Minimum number of VMs that the slack is divided by."""
+"""Minimum number of VMs among which the slack is divided."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetLimits:
-    """The limits on retries for all VMs together, in any window."""
+    """The limits on retries of all VMs together within one window."""
 
     ratio: float = 0.2
     """Retries allowed per request."""
     slack: float = 50.0
-    """Retries allowed in addition."""
+    """Retries allowed in addition to that, whatever the number of requests."""
     window_s: float = 10.0
 
 
 FIRST_WINDOW_SHARE = 0.3
-"""Share of the slack that a VM uses in its first window, since it does not know what it sent before a restart."""
+"""Share of the slack that a VM uses in its first window, since retries from before a restart are not counted."""
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
         self._retries.append(now)
 
     def allows(self, now: float, vm_count: int) -> bool:
-        """Return whether one more retry is allowed when the slack is shared by this many VMs."""
+        """Return whether one more retry is allowed if ``vm_count`` VMs share the slack."""
         self._trim(now)
         slack = self.limits.slack / max(MIN_VMS, vm_count)
         if now - self.started_at < self.limits.window_s:
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -39,10 +39,10 @@
     from beamhatch.relay.workspaces.admission import Admitted
 
 RESPONSE_MARGIN_S = 0.03
-"""Time before the caller's deadline at which it is answered, so that the response still arrives."""
+"""Time before the caller's deadline at which the request times out, so that the error response still arrives."""
 
 MIN_SEND_TIME_S = 0.02
-"""Minimum time left for a send."""
+"""Minimum time before the deadline for a send to start; with less, the request times out."""
 
 RETRY_AFTER_SHARE = 0.5
 """Share of the target latency after which a refused caller may retry."""
@@ -51,41 +51,41 @@
 """Share of the target latency within which decode memory has to be free for the response to be on time."""
 
 FIRST_EVENT_SHARE = 0.9
-"""Share of the target latency that the predicted first event may take, since some take longer than predicted."""
+"""Share of the target latency up to which a predicted first event is on time; the rest is a margin for errors."""
 
 RETRY_JITTER = 0.3
-"""Relative jitter of the times to retry, so that callers that were refused together do not retry together."""
+"""Relative jitter of the retry-after time, so that callers refused together do not retry together."""
 
 MAX_RETRY_AFTER_SHARE = 0.33
-"""Maximum time to retry, as a share of the time that the caller has left; it would not wait for longer."""
+"""Maximum retry-after time, as a share of the time left until the caller's deadline."""
 
 MIN_RETRY_AFTER_S = 0.15
-"""Minimum time to retry, long enough for other VMs to receive updates from this one."""
+"""Minimum retry-after time, long enough for other VMs to receive updates from this one."""
 
 MIN_COLD_WAIT_S = 0.02
-"""Minimum wait for a cold upstream, which bounds how often a waiting request is planned."""
+"""Minimum wait for a cold upstream, which bounds how often a waiting request is planned again."""
 
 COLD_MARGIN_S = 0.002
-"""Margin after the time at which a cold upstream should have room, for the granularity of timers."""
+"""Delay added to the wait for a cold upstream, since timers may fire slightly early."""
 
 MAY_HAVE_RUN_STATUS = 502
-"""Status of an error of the relay after a send that may have run."""
+"""Status of an error response of the relay if the request may have run."""
 
 TIMEOUT_STATUS = 504
 """Status of a request that timed out and may have run."""
 
 REGION_RETRY_AFTER_S = 1.0
-"""Time after which a caller may retry if no upstream in an allowed region can serve it."""
+"""Retry-after time if no upstream in an allowed region can serve the request."""
 
 QUARANTINE_REASON = "each upstream that began to run it has ended"
-"""Reason given to the caller of a request in quarantine."""
+"""Reason sent to the caller of a request in quarantine."""
 
 MAX_IDLE_S = 1.0
-"""Maximum idle time of a reused connection for a request that may not be sent twice."""
+"""Maximum idle time of a reused connection for a send that may not be repeated."""
 
 
 class RelayExchange(RequestHandler, QueuedRequest):
-    """The exchange that serves one caller's request."""
+    """The handler of one caller's request."""
 
     def __init__(
         self,
@@ -126,7 +126,7 @@
         self._attempt: Attempt | ReserveAttempt | None = None
         self._in_queue = False
         self._permit: SendPermit | None = None
-        """Permit to send at a cold or limited engine that reserves memory for the request, or is asked to."""
+        """Permit to send to the cold or limited engine that has reserved, or is asked to reserve, memory."""
         self._cold_wait_began_at: float | None = None
         """Monotonic time in seconds at which the request began to wait for a cold upstream."""
         self._cold_timer: Any = None
@@ -164,7 +164,7 @@
         request = self.request
         service = request.service.name
         hold = self.core.quarantine.get_hold(self.fingerprint, now)
-        if hold is not None:  # a run in progress continues: if it succeeds, the request leaves quarantine
+        if hold is not None:  # an attempt under way continues: if it succeeds, the request leaves quarantine
             self.core.tally.count("quarantine_refusals_total")
             wait = math.ceil(hold.until - now)
             return (
@@ -204,7 +204,7 @@
         return self.core.list_usable(self.request.service.name, self.request.regions, owed=returning)
 
     def _refuse_in_regions(self, step: Refuse, regions: Regions) -> Refuse:
-        """Return the refusal, changed if upstreams outside the allowed regions might have served the request."""
+        """Return the refusal, with another reason and retry-after time if the allowed regions exclude upstreams."""
         obstacles = self.core.count_obstacles(self.request.service.name, regions)
         if not obstacles[Obstacle.REGION] or obstacles[Obstacle.COLD]:
             return step
@@ -219,33 +219,33 @@
     def _release_unusable(self) -> None:
         """Release the KV cache and the reservation if their upstream may no longer be used for the request.
 
-        A plan uses an existing reservation without checking its upstream again, so without this a stream could begin in
-        a hall that was evacuated meanwhile. A reservation at a cold or limited engine stays usable with its permit. A
-        KV cache in an evacuated hall stays usable, but not one outside the allowed regions.
+        A plan uses an existing reservation without checking its upstream again. Without this check, a stream could
+        begin in a hall that was evacuated in the meantime. A reservation at a cold or limited engine stays usable with
+        its permit. A KV cache in an evacuated hall stays usable, but not one outside the allowed regions.
         """
         request = self.request
-        handle, held = request.handle, request.reservation
+        handle, reservation = request.handle, request.reservation
         if handle is not None and self.core.is_over(handle.upstream):
             request.drop_handle()
         elif handle is not None and not self.core.eligibility.is_in_regions(handle.upstream, request.regions):
             self._send_release(handle.upstream, self.core.dialect.make_release(handle))
             request.drop_handle()
-        if held is None:
+        if reservation is None:
             self._drop_permit()
             return
-        if self.core.is_over(held.upstream):
+        if self.core.is_over(reservation.upstream):
             self._drop_permit()
             request.abandon_reservation()
-            self.write_log("memory given up", to=held.upstream.id, obstacle="started again")
+            self.write_log("memory given up", to=reservation.upstream.id, obstacle="started again")
             return
-        obstacle = self.core.find_obstacle(held.upstream, request.service.name, request.regions)
+        obstacle = self.core.find_obstacle(reservation.upstream, request.service.name, request.regions)
         has_room = self._permit is not None and obstacle in (Obstacle.COLD, Obstacle.LIMITED)
         if obstacle is None or has_room:
             return
         self._drop_permit()
         request.abandon_reservation()
-        self.write_log("memory given up", to=held.upstream.id, obstacle=obstacle.name.lower())
-        self._release_reservation(held)
+        self.write_log("memory given up", to=reservation.upstream.id, obstacle=obstacle.name.lower())
+        self._release_reservation(reservation)
 
     def withdraw_from(self, incarnation: Life) -> None:
         """Cancel an attempt at an upstream that accepts no more requests, if it is not sent yet, and plan again."""
@@ -333,14 +333,12 @@
             return
         if not self._in_queue:
             self.core.find_demand(self.request.service.name).record_wait(now)
-        began_to_wait = (
-            self.request.reservation_lost or self.request.may_have_run or self._cold_wait_began_at is not None
-        )
-        precedes_late = self._is_caller_retry or self.request.response_begun or began_to_wait
-        if not self._in_queue and not precedes_late and not queue.has_room(max_wait_s, now):
+        was_delayed = self.request.reservation_lost or self.request.may_have_run or self._cold_wait_began_at is not None
+        late_with_precedence = self._is_caller_retry or self.request.response_begun or was_delayed
+        if not self._in_queue and not late_with_precedence and not queue.has_room(max_wait_s, now):
             displaced = queue.find_displaced(self._claim, now)
             if displaced is not None and displaced.has_attempt:
-                displaced = None  # it may be about to get memory
+                displaced = None  # its reservation may be about to succeed
             self.write_log(
                 "line is full",
                 waiting=len(queue),
@@ -362,8 +360,8 @@
                 workspace=self._claim.workspace,
             )
         on_time_until = self._incoming.arrived + max_wait_s
-        terms = QueueOptions(on_time_until, now + self.request.max_memory_wait_s, precedes_late, self._claim)
-        self.core.lines.enqueue(self, QueueKey(self.request.service.name, self.request.regions), terms)
+        options = QueueOptions(on_time_until, now + self.request.max_memory_wait_s, late_with_precedence, self._claim)
+        self.core.lines.enqueue(self, QueueKey(self.request.service.name, self.request.regions), options)
 
     @property
     def has_attempt(self) -> bool:
@@ -388,7 +386,7 @@
         attempt.start(self.core.dialect.make_reserve(step.upstream, step.tokens, step.lifetime_s))
 
     def _reserve_by_permit(self, step: Reserve) -> None:
-        """Skip the reservation at an engine that announces a request limit, since the call would count against it.
+        """Skip the reservation at an engine that announces a request limit, since a call counts against that limit.
 
         Such an engine gets few requests and usually has free memory; otherwise it refuses the stream.
         """
@@ -466,12 +464,16 @@
         self._end()
 
     def keep_upstream_failure(self, response: BufferedResponse) -> None:
-        """Keep an upstream's error response, which the caller gets if no other upstream succeeds."""
+        """Keep an upstream's error response for the caller in case no other upstream succeeds.
+
+        If the request is not idempotent, a response whose status says that it has not run is not kept, since another
+        upstream may have run it.
+        """
         if self.request.route.idempotent or response.head.status not in NOT_RUN_STATUSES:
             self._upstream_failure = response
 
     def _wait_or_end(self, step: Refuse | Fail) -> None:
-        """End the request, or wait for a cold upstream if one will have room in time."""
+        """Wait for a cold upstream if one will have room in time; otherwise end the request."""
         wait = self._get_cold_wait(step)
         if wait is None:
             self._give_up(step)
@@ -496,10 +498,14 @@
         usual_retry_s = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vms > 1 else wait
         # The retry may reach another VM, which may have room earlier.
         retry_after_s = min(wait, max_retry_after_s, usual_retry_s)
-        self._end_with_error(503, "all available upstreams are cold", round(max(MIN_RETRY_AFTER_S, retry_after_s), 2))
+        self._end_with_error(
+            503,
+            "all available upstreams are cold and have no room yet",
+            round(max(MIN_RETRY_AFTER_S, retry_after_s), 2),
+        )
 
     def _get_cold_wait(self, step: Refuse | Fail) -> float | None:
-        """Return the time until a cold upstream has room, or None if a cold upstream would not help."""
+        """Return the seconds until a cold upstream has room, or None if none could serve the request."""
         if not step.no_upstream or (isinstance(step, Refuse) and step.retry_after_s is not None):
             return None
         return self.core.find_cold_wait(self.request.service.name, self.request.regions, self.request.tried)
@@ -535,11 +541,14 @@
         self._end_with_error(503, reason, round(max(MIN_RETRY_AFTER_S, retry_after_s), 2))
 
     def _compute_memory_retry_after(self) -> float:
-        """Return the time in which decode memory should be freed, from how long streams hold it, with jitter."""
+        """Return the retry-after time when decode memory is full.
+
+        This is the mean time for which streams hold memory, with jitter, limited by the time left to the deadline.
+        """
         now = self.core.clock.now()
-        residence = self.core.find_demand(self.request.service.name).estimate_residence(now)
+        residence_s = self.core.find_demand(self.request.service.name).estimate_residence(now)
         time_left = self.deadline - now
-        return min(residence * random.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER), MAX_RETRY_AFTER_SHARE * time_left)
+        return min(residence_s * random.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER), MAX_RETRY_AFTER_SHARE * time_left)
 
     def _fail(self, step: Fail) -> None:
         if self._upstream_failure is not None and not self._responder.begun:
@@ -574,7 +583,7 @@
         self._end()
 
     def abort(self, reason: str) -> None:
-        """End the request at once, as at the end of a planned shutdown."""
+        """End the request at once with an error response, because the VM shuts down."""
         if self.request.may_have_run:
             self._end_with_error(MAY_HAVE_RUN_STATUS, reason, None)
         else:
@@ -613,20 +622,20 @@
             self._release_reservation(request.reservation)
             request.reservation = None
 
-    def _release_reservation(self, held: Reservation) -> None:
-        if held.id is not None:
-            self._send_release(held.upstream, self.core.dialect.make_unreserve(held))
+    def _release_reservation(self, reservation: Reservation) -> None:
+        if reservation.id is not None:
+            self._send_release(reservation.upstream, self.core.dialect.make_unreserve(reservation))
 
     def _send_release(self, upstream: Upstream, call: Call) -> None:
-        """Send a release to an upstream if it may be sent anything now; otherwise what it holds expires there.
+        """Send a release to an upstream if it may receive calls now; otherwise let the held memory expire there.
 
-        Nothing is sent if its hall is evacuated, or if it backs off or is at its limit. A release counts against the
-        limit like any other call.
+        Nothing is sent if the upstream's hall is evacuated, or if the upstream backs off or is at its limit. A release
+        counts against the limit like any other call.
         """
         eligibility = self.core.eligibility
         now = self.core.clock.now()
-        resting = eligibility.backoffs.is_active(upstream.life, now)
-        if resting or eligibility.evacuations.is_evacuated(upstream.hall):
+        backs_off = eligibility.backoffs.is_active(upstream.life, now)
+        if backs_off or eligibility.evacuations.is_evacuated(upstream.hall):
             return
         if not eligibility.limits.may_send_to(upstream, now):
             return
@@ -647,7 +656,7 @@
         self.core.journal.write("RELAY", event, request=self.request.facts.id, route=self.request.route.name, **fields)
 
     def leave_queue(self) -> None:
-        """Leave the queue for decode memory, if waiting in it."""
+        """Remove the request from the queue for decode memory, if it waits there."""
         if self._in_queue:
             self._in_queue = False
             self._queue.remove(self)
@@ -660,7 +669,7 @@
             self.core.lines.get(self.request.service.name).record_served(self._claim, self._memory_acquired_at)
 
     def record_first_event(self) -> None:
-        """Record how long decode memory was held before the first event."""
+        """Record how long decode memory was held before the first event, when that event arrives."""
         if self._memory_acquired_at is not None and not self.request.response_begun:
             seconds = self.core.clock.now() - self._memory_acquired_at
             self.core.find_demand(self.request.service.name).record_first_event(seconds)
@@ -671,7 +680,7 @@
         return None if self._attempt is None else self._attempt.upstream.hall
 
     def compute_elapsed_s(self) -> float:
-        """Return the time since the request arrived."""
+        """Return the seconds since the request arrived."""
         return round(self.core.clock.now() - self._incoming.arrived, 4)
 
     # --- events from the caller and configuration changes ------------------------------------------------------------
@@ -685,12 +694,12 @@
         self._end()
 
     def pause(self) -> None:
-        """Pause the upstream while the caller reads too slowly."""
+        """Pause reading from the upstream while the caller reads too slowly."""
         if self._attempt is not None:
             self._attempt.pause()
 
     def go_on(self) -> None:
-        """Resume the upstream."""
+        """Resume reading from the upstream."""
         if self._attempt is not None:
             self._attempt.go_on()
 
@@ -707,19 +716,19 @@
         self._start_deadline_timer()
 
     def _apply_regions(self, regions: Regions, version: int) -> None:
-        """Apply changed regions: release what is held outside them; a run in progress ends where it is."""
+        """Apply changed regions: release memory held outside them; a send made already completes on its upstream."""
         if regions == self.request.regions:
             return
         self.write_log("regions changed", regions=None if regions is None else sorted(regions), version=version)
-        waited = self._in_queue
+        needs_plan = self._in_queue
         self.leave_queue()
         self.request.apply_regions(regions)
         if self._is_connecting_outside_regions(regions):
             self._stop_attempt()
-            waited = True
+            needs_plan = True
         if self._attempt is None or self._is_prefilling:
-            self._release_unusable()  # otherwise left to the plan after the attempt, which may be using it
-        if waited:
+            self._release_unusable()  # otherwise an attempt may be using the memory: the plan after it does this
+        if needs_plan:
             self.advance()
 
     @property
--- a/src/beamhatch/relay/requests/fair_order.py
+++ b/src/beamhatch/relay/requests/fair_order.py
@@ -1,7 +1,6 @@
 """Order workspaces that wait for the same resource by the tokens that each was served recently.
 
-Each VM schedules on its own. A scheduler holds no queue: it records what was served and ranks the workspaces given to
-it.
+Each VM schedules independently. A scheduler has no queue: it counts the tokens served and ranks the given workspaces.
 """
 
 from __future__ import annotations
@@ -17,17 +16,20 @@
     from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 ACCOUNT_RETENTION_S = 4.0
-"""Seconds after its last request at which a workspace is forgotten."""
+"""Seconds after a workspace was last served at which its account is deleted."""
 
 MAX_LEAD_TOKENS = 30_000.0
-"""Tokens by which a workspace may be ahead of the one served least; bounds how long a past burst delays it."""
+"""Maximum number of tokens by which a workspace's account is ahead; bounds how long a past burst delays it."""
 
 QUANTUM_TOKENS = 3000.0
 """Tokens that each workspace is credited in one round."""
 
 
 class WorkspaceScheduler(ABC):
-    """A policy for the order in which workspaces are served."""
+    """A policy for the order in which workspaces are served.
+
+    A workspace of None stands for all requests without a workspace.
+    """
 
     @abstractmethod
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
@@ -35,15 +37,15 @@
 
     @abstractmethod
     def rank(self, owners: Iterable[WorkspaceName | None], now: float) -> Sequence[WorkspaceName | None]:
-        """Return the waiting workspaces, the next one first."""
+        """Return the waiting workspaces, the next one first, or an empty sequence if none is preferred."""
 
     @abstractmethod
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
-        """Return by how many tokens ``owner`` is ahead of ``other``; 0 if the policy does not count tokens."""
+        """Return how many more tokens ``owner`` was served than ``other``; 0 if the policy does not count tokens."""
 
 
 class FifoScheduler(WorkspaceScheduler):
-    """First in, first out: no difference between workspaces."""
+    """First in, first out: requests are served by arrival, whatever their workspace."""
 
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
         """Do nothing."""
@@ -62,7 +64,10 @@
     """The tokens that one workspace was served."""
 
     tokens: float
-    """Tokens served, counted from a start that all workspaces share; in deficit round robin, the credit left."""
+    """Tokens served, where a new workspace starts at the lowest count of the others.
+
+    In deficit round robin, the credit instead, which is negative while the workspace is in debt.
+    """
     served_at: float
     """Monotonic time in seconds at which it was last served."""
 
@@ -96,7 +101,7 @@
         return sorted(dict.fromkeys(owners), key=lambda owner: self._get_tokens(owner, min_tokens))
 
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
-        """Return by how many tokens ``owner`` is ahead of ``other``."""
+        """Return how many more tokens ``owner`` was served than ``other``."""
         min_tokens = self._compute_min_tokens(now)
         return self._get_tokens(owner, min_tokens) - self._get_tokens(other, min_tokens)
 
@@ -115,17 +120,17 @@
 
 @dataclass(slots=True)
 class DeficitRoundRobinScheduler(WorkspaceScheduler):
-    """Deficit round robin: a workspace is next once its credit covers what it was served."""
+    """Deficit round robin: the workspace that needs the fewest rounds of credit to be out of debt is next."""
 
     _accounts: dict[WorkspaceName | None, _Account] = field(default_factory=dict)
-    """The credit of each workspace, the one served longest ago first."""
+    """The credit of each workspace, in order of the time it was last served, the earliest first."""
 
     def __len__(self) -> int:
         """Return the number of workspaces with an account."""
         return len(self._accounts)
 
     def record_served(self, owner: WorkspaceName | None, tokens: int, now: float) -> None:
-        """Credit rounds to all workspaces until this one is out of debt, then deduct the tokens from its credit."""
+        """Credit all workspaces until this one is out of debt, then deduct the tokens from its credit."""
         self._evict_idle(now)
         account = self._accounts.pop(owner, None) or _Account(0.0, now)
         rounds = _count_rounds(account)
@@ -136,7 +141,10 @@
         self._accounts[owner] = account
 
     def rank(self, owners: Iterable[WorkspaceName | None], now: float) -> Sequence[WorkspaceName | None]:
-        """Return new workspaces first, then by rounds needed, then those served longest ago."""
+        """Return workspaces without an account first, then the others by the rounds until they are out of debt.
+
+        Those with the same number of rounds are ordered by the time they were last served, the earliest first.
+        """
         self._evict_idle(now)
         waiting = set(owners)
         known = [owner for owner in self._accounts if owner in waiting]
@@ -144,7 +152,7 @@
         return unknown + sorted(known, key=lambda owner: _count_rounds(self._accounts[owner]))
 
     def compute_lead(self, owner: WorkspaceName | None, other: WorkspaceName | None, now: float) -> float:
-        """Return by how many tokens ``owner`` is ahead of ``other``."""
+        """Return how many more tokens ``owner`` was served than ``other``."""
         self._evict_idle(now)
         ours, theirs = self._accounts.get(owner), self._accounts.get(other)
         return (theirs.tokens if theirs else 0.0) - (ours.tokens if ours else 0.0)
--- a/src/beamhatch/relay/requests/fingerprint.py
+++ b/src/beamhatch/relay/requests/fingerprint.py
@@ -1,4 +1,4 @@
-"""Compute fingerprints, which are equal on all VMs for requests with the same content from the same workspace."""
+"""Compute fingerprints of requests; equal requests of one workspace have the same fingerprint on all VMs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def compute_fingerprint(incoming: IncomingRequest, workspace: WorkspaceName | None) -> Fingerprint:
     """Return the digest of a request's method, host, target, workspace and body.
 
-    The workspace stands for the caller, because API keys change and must not be exposed. The request id is excluded,
+    The workspace identifies the caller, because API keys change and must not be exposed. The request id is excluded,
     because each retry has its own.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
--- a/src/beamhatch/relay/requests/lengths.py
+++ b/src/beamhatch/relay/requests/lengths.py
@@ -1,7 +1,7 @@
 """Predict output lengths from the outputs that completed recently.
 
-A caller's estimate of its output is noisy, so it is combined with the recent mean. The memory to reserve is set so that
-a given share of the outputs fits.
+A caller's estimate of its output is noisy, so it is combined with the recent geometric mean. The memory to reserve is
+set so that ``COVERED_SHARE`` of the outputs fit.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     from beamhatch.relay.model import RequestFacts
 
 PRIOR_SHARE = 0.4
-"""Expected share of the request's output limit, until enough outputs have completed."""
+"""Expected output as a share of the request's output limit, until enough outputs have completed."""
 
 PRIOR_TOKENS = 400.0
 """Expected output tokens if the request has no limit, until enough outputs have completed."""
 
 ESTIMATE_WEIGHT = 0.64
-"""Weight of a caller's estimate against the recent mean, on a logarithmic scale."""
+"""Weight of a caller's estimate in the weighted geometric mean of it and the recent mean."""
 
 COVERED_SHARE = 0.75
-"""Share of the outputs that fit into the reserved tokens.
+"""Share of the outputs that should fit into the reserved tokens.
 
 A lower share admits more streams, but more of them run out of memory and need another prefill.
 """
 
 MAX_SAMPLES = 64
-"""Number of recent outputs that are kept."""
+"""Maximum number of recent outputs that are kept."""
 
 MIN_SAMPLES = 8
 """Number of outputs below which the priors apply."""
@@ -79,7 +79,7 @@
         return min(tokens, facts.output_tokens) if facts.output_tokens else tokens
 
     def compute_mean_tokens(self, facts: RequestFacts) -> float:
-        """Return the mean number of tokens of outputs of such requests."""
+        """Return the predicted mean output tokens of requests with the same estimate and limit."""
         mean = self._mean_ratio * self._compute_expected_tokens(facts)
         return min(mean, facts.output_tokens) if facts.output_tokens else mean
 
--- a/src/beamhatch/relay/requests/line.py
+++ b/src/beamhatch/relay/requests/line.py
@@ -1,8 +1,9 @@
 """Queue requests that wait for decode memory: admission to the queue, and the order of service.
 
-A slot in decode memory is freed when a stream ends. The queue admits as many requests as slots are expected to be freed
-in time, at the rate at which this VM's own streams end; others are refused at once with a time to retry. Requests are
-served by priority, and within one priority in the order of a :class:`WorkspaceScheduler`.
+A slot in decode memory is freed when a stream ends. The queue has room for as many requests on time as slots are
+expected to be freed in time, at the rate at which this VM's own streams end; others are refused at once with a
+retry-after time. Requests are served by priority, and within one priority in the order of a
+:class:`WorkspaceScheduler`.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 """Period over which the rate of freed slots is measured."""
 
 MIN_QUEUE_LENGTH = 1
-"""Requests that may wait at any rate of freed slots, since a VM with little traffic cannot measure the rate."""
+"""Number of requests that may always wait, since a VM with little traffic cannot measure the rate of freed slots."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The owner of a request, and the decode memory that it asks for."""
+    """The workspace and priority of a request, and the decode memory that it needs."""
 
     workspace: WorkspaceName | None = None
-    """None if it belongs to no workspace; all such requests are treated as one workspace."""
+    """None if the request has no workspace; all such requests are treated as one workspace."""
     priority: int = 0
-    """0 is the highest."""
+    """The highest priority is 0."""
     tokens: int = 0
     """Tokens of decode memory."""
 
@@ -50,18 +51,18 @@
     claim: Claim
 
     def is_on_time(self, now: float) -> bool:
-        """Return whether the response can still meet the target latency."""
+        """Return whether the request counts as on time; one that is late with precedence never does."""
         return not self.late_with_precedence and now < self.on_time_until
 
 
 @dataclass(slots=True)
 class MemoryQueue(Generic[Waiter]):
-    """The requests of one VM that wait for decode memory of a service.
+    """The requests of one VM that wait for decode memory of a service in the same regions.
 
     Requests that can still be on time are served before all others, since serving a late one first would make them late
     too. Within both groups the order is: higher priority, then the workspace that the scheduler ranks first, then
-    requests that precede late ones (their callers retry after a refusal, or already have a part of the response), then
-    arrival.
+    late requests with precedence (for example, if the caller retries after a refusal or already has a part of the
+    response), then arrival.
     """
 
     scheduler: WorkspaceScheduler = field(default_factory=FifoScheduler)
@@ -77,7 +78,11 @@
         self._freed_at.append(now)
 
     def has_room(self, max_wait_s: float, now: float) -> bool:
-        """Return whether one more request may wait and can expect a slot within ``max_wait_s``."""
+        """Return whether a new request may wait.
+
+        It may if a slot is expected for it within ``max_wait_s``, or if fewer than ``MIN_QUEUE_LENGTH`` requests on
+        time wait.
+        """
         on_time = sum(entry.is_on_time(now) for entry in self._entries)
         return on_time < max(MIN_QUEUE_LENGTH, self.compute_freed_rate(now) * max_wait_s)
 
@@ -103,9 +108,9 @@
     ) -> None:
         """Append a request, unless it is in the queue already.
 
-        :param on_time_until: monotonic time from which on the response is late
-        :param waits_until: monotonic time up to which the request waits
-        :param precedes_late: treat the request as late, but serve it before other late requests of its workspace
+        :param on_time_until: monotonic time in seconds from which on the response is late
+        :param waits_until: monotonic time in seconds up to which the request waits
+        :param late_with_precedence: count the request as late, but serve it before other late ones of its workspace
         """
         if all(entry.waiter is not waiter for entry in self._entries):
             self._entries.append(_QueueEntry(waiter, now, on_time_until, waits_until, late_with_precedence, claim))
@@ -113,23 +118,24 @@
     def find_displaced(self, claim: Claim, now: float) -> Waiter | None:
         """Return the waiting request that a new one displaces, or None.
 
-        This is the last of those on time, if its priority is not higher and its workspace is ahead of the new request's
-        by more than the tokens of both requests, so that two workspaces with equal load do not displace each other.
+        This is the last of those on time, if its priority is not higher and its workspace was served more than the new
+        request's, by more than the tokens of both requests, so that two workspaces with equal load do not displace each
+        other's requests.
         """
         on_time = [entry for entry in self._entries if entry.is_on_time(now)]
         if not on_time:
             return None
         last = self._sort(on_time, now)[-1]
         lead = self.scheduler.compute_lead(last.claim.workspace, claim.workspace, now)
-        gives_way = last.claim.priority >= claim.priority and lead > last.claim.tokens + claim.tokens
-        return last.waiter if gives_way else None
+        is_displaced = last.claim.priority >= claim.priority and lead > last.claim.tokens + claim.tokens
+        return last.waiter if is_displaced else None
 
     def remove(self, waiter: Waiter) -> None:
-        """Remove a request."""
+        """Remove a request, if it is in the queue."""
         self._entries = [entry for entry in self._entries if entry.waiter is not waiter]
 
     def has_on_time(self, now: float) -> bool:
-        """Return whether a request waits whose response can still be on time."""
+        """Return whether any waiting request is on time."""
         return any(entry.is_on_time(now) for entry in self._entries)
 
     def list_all(self) -> list[Waiter]:
--- a/src/beamhatch/relay/requests/memory_lines.py
+++ b/src/beamhatch/relay/requests/memory_lines.py
@@ -19,19 +19,22 @@
     from beamhatch.relay.choosing.eligibility import Eligibility
 
 POLL_INTERVAL_S = 0.04
-"""Interval at which the next request in a queue asks for decode memory."""
+"""Interval at which the next request in a queue asks for decode memory if it is on time."""
 
 LATE_POLL_INTERVAL_S = 0.2
-"""The same interval if the next request is late already.
+"""Interval at which the next request in a queue asks for decode memory if it is late.
 
-It is longer so that VMs with requests that can still be on time get most of the freed slots.
+It is longer than ``POLL_INTERVAL_S`` so that VMs with requests on time get most of the freed slots.
 """
 
 FREED_DELAY_S = 0.003
-"""Time that an engine takes to free memory after the end of a stream."""
+"""Delay after the end of a stream before a request on time asks for its memory, which an engine frees meanwhile."""
 
 LATE_FREED_DELAY_S = 0.06
-"""Time after which a late request asks for freed memory; longer than the poll interval of requests on time."""
+"""Delay after the end of a stream before a late request asks for its memory.
+
+It is longer than ``POLL_INTERVAL_S`` so that requests on time at other VMs ask first.
+"""
 
 
 class QueuedRequest(ABC):
@@ -39,16 +42,16 @@
 
     @abstractmethod
     def advance(self) -> None:
-        """Carry out the next step: the request is next, or its waiting time is over."""
+        """Carry out the next step; called when the request is next or its waiting time is over."""
 
     @abstractmethod
     def handle_displaced(self, claim: Claim) -> None:
-        """Leave the queue in favour of a request of a workspace that was served less."""
+        """Leave the queue in favour of a new request whose workspace was served less."""
 
     @property
     @abstractmethod
     def has_attempt(self) -> bool:
-        """Return whether a call to an upstream is under way for it."""
+        """Return whether a call to an upstream is under way for this request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +66,8 @@
 class QueueKey(NamedTuple):
     """The key of a queue.
 
-    Requests bound to different regions wait separately, so that a region without memory does not block the others.
+    Requests restricted to different regions wait in separate queues, so that a region without free memory does not
+    block the others.
     """
 
     service: ServiceName
@@ -72,19 +76,19 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueOptions:
-    """The terms on which a request waits; times are monotonic, in seconds."""
+    """How long and with which precedence a request waits; times are monotonic, in seconds."""
 
     on_time_until: float
-    """Time from which on its response is late."""
+    """Time from which on the response is late."""
     waits_until: float
-    """Time up to which it waits."""
+    """Time up to which the request waits."""
     late_with_precedence: bool
-    """Whether it is treated as late, but served before other late requests of its workspace."""
+    """Whether the request counts as late, but is served before other late ones of its workspace."""
     claim: Claim = DEFAULT_CLAIM
 
 
 class MemoryQueues:
-    """The queues by service and regions."""
+    """The memory queues of one VM, one for each service and set of regions."""
 
     def __init__(self, clock: Clock, eligibility: Eligibility, *, fair: bool) -> None:
         """Create an empty set of queues.
@@ -106,7 +110,7 @@
         return list(self._queues.items())
 
     def get(self, service: ServiceName, regions: Regions = None) -> MemoryQueue[QueuedRequest]:
-        """Return the queue for the decode memory of a service in some regions; create it if needed."""
+        """Return the queue for the decode memory of a service in the given regions; create it if needed."""
         key = QueueKey(service, regions)
         queue = self._queues.get(key)
         if queue is None:
@@ -128,7 +132,7 @@
         self._schedule_poll(key)
 
     def record_freed(self, service: ServiceName, hall: str = "") -> None:
-        """Record that one of this VM's streams freed memory in a hall, and poll the queues that may use it."""
+        """Record that a stream of this VM freed memory in a hall, and schedule polls of the queues that may use it."""
         now = self._clock.now()
         self.get(service)
         for key, queue in self._queues.items():
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -1,7 +1,7 @@
 """Decide the next step of one request from the outcomes of its sends so far. No I/O happens here.
 
-Invariants: a request that is not idempotent runs at most once, a caller is told "has not run" only if that is certain,
-and no more upstreams run a request than its route allows.
+Invariants: a request that is not idempotent runs at most once, a caller is told that a request has not run only if
+that is certain, and at most as many upstreams run a request as its route allows.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 """Maximum number of decode engines that one KV cache handle is sent to."""
 
 HANDLE_LIFETIME_SHARE = 0.6
-"""Share of a handle's lifetime within which it is sent to a decode engine."""
+"""Share of a handle's lifetime after which it is no longer sent to a decode engine."""
 
 RESERVATION_MARGIN_S = 0.05
 """Time before its expiry at which a reservation is no longer used."""
 
 MAX_RESERVE_ATTEMPTS = 4
-"""Maximum number of decode engines that are asked for memory in one round."""
+"""Number of decode engines found without free memory after which the request waits in the queue."""
 
 MAX_WAIT_SHARE = 0.8
-"""Maximum wait for decode memory, as a share of the caller's patience."""
+"""Maximum wait for decode memory, as a share of the time without events after which callers disconnect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,9 +74,9 @@
     retry_after_s: float | None = None
     """Time after which to retry, if known more precisely than from the route's target latency."""
     retry_after_is_minimum: bool = False
-    """True if an earlier retry cannot succeed, so that the time is not cut to what the caller would wait."""
+    """True if an earlier retry cannot succeed, so that the time is not limited by the caller's deadline."""
     no_upstream: bool = False
-    """True if there is no upstream to send the request to, and one more would help."""
+    """True if the request was refused only because no upstream is available."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
 
     reason: str
     no_upstream: bool = False
-    """True if the request may run again, but there is no upstream to send it to."""
+    """True if the request failed only because no upstream is available to run it again."""
 
 
 Step = Send | Reserve | Wait | Refuse | Fail
@@ -101,18 +101,18 @@
     may_have_run: bool = False
     """Whether an upstream may have run the request."""
     possible_runs: int = 0
-    """Number of sends that an upstream may have run."""
+    """Number of sends after which an upstream may have run the request."""
     sends: int = 0
     handle: Handle | None = None
-    """KV cache that is held for this request and not yet taken by a decode engine."""
+    """Handle of the KV cache that an engine holds for this request, until a decode engine has taken it."""
     last_event: int | None = None
-    """Id of the last event that the caller has received."""
+    """Id of the last event of the stream that the caller has received."""
     response_begun: bool = False
     """True once a part of the response was sent to the caller."""
     reserved_output_tokens: int = 0
     """Tokens that are reserved for the output, in addition to the prompt."""
     regions: Regions = None
-    """Regions that it may be served in; None if it may be in any."""
+    """Regions in which the request may be served; None for any region."""
     body_bytes: int = 0
     reserves_memory: bool = True
     """Whether to reserve decode memory before the prefill."""
@@ -127,9 +127,9 @@
     reservation: Reservation | None = None
     """Decode memory that is reserved for this request and not yet used."""
     reservation_lost: bool = False
-    """True once a reservation was given up unused; the request then goes before other late ones."""
+    """True once a reservation was given up unused; the queue then serves the request before other late ones."""
     _full_upstreams: set[UpstreamId] = field(default_factory=set)
-    """Decode engines that had no free memory in this round."""
+    """Decode engines found without free memory; cleared when the request waits for memory or gets it."""
     _waiting_since: float | None = None
     _prefill_failures: int = 0
 
@@ -161,12 +161,12 @@
 
     @property
     def tried(self) -> set[UpstreamId]:
-        """Return the upstreams that refused the request or failed."""
+        """Return the upstreams that refused the request, failed or could not be reached."""
         return self._refused_by | self._failed_upstreams
 
     @property
     def max_memory_wait_s(self) -> float:
-        """Return the maximum time to wait for decode memory, within the caller's patience."""
+        """Return the maximum time to wait for decode memory, a share of that after which the caller disconnects."""
         return MAX_WAIT_SHARE * self.route.caller_patience
 
     @property
@@ -208,7 +208,7 @@
         )
 
     def _choose_reservation(self, usable: list[Upstream], chooser: Chooser, now: float) -> Step | None:
-        """Return the step that gets decode memory, or None if it is already reserved or cannot be reserved."""
+        """Return the step that gets decode memory, or None if it is reserved already or reservations are not in use."""
         engine = self.service.engine
         if engine is None or not engine.hold_lifetime or not self.reserves_memory:
             return None
@@ -224,7 +224,7 @@
         return self._wait_for_memory(now)
 
     def record_waiting(self, now: float) -> None:
-        """Record that the request waits for decode memory, unless it waits already."""
+        """Record when the request began to wait for decode memory, unless it waits already."""
         if self._waiting_since is None:
             self._waiting_since = now
 
@@ -268,7 +268,7 @@
         return None if decode is None else Send(Stage.WHOLE, decode)
 
     def _choose_whole(self, prefill: Upstream, chooser: Chooser, now: float) -> Send | None:
-        """Return a send that runs prefill on the decode engine, if that is on time and the prefill engine is not."""
+        """Return a send of the whole request to the decode engine if only that one can prefill it in time, or None."""
         if self.reservation is None or self.response_begun:
             return None
         left = self.on_time_until - now
@@ -327,7 +327,7 @@
         self.possible_runs += 1
 
     def record_unreachable(self, send: Send) -> None:
-        """Record that nothing was sent, because the upstream could not be reached."""
+        """Record that the upstream could not be reached, so that nothing was sent."""
         self._failed_upstreams.add(send.upstream.id)
         if send.stage is Stage.PREFILL:
             self._prefill_sends += 1
@@ -354,7 +354,7 @@
         self._handoffs = 0
 
     def drop_handle(self) -> None:
-        """Forget the handle, which was taken or is gone."""
+        """Forget the handle, which was taken, released or lost."""
         self.handle = None
 
     def record_reserved(self, reservation: Reservation) -> None:
@@ -374,7 +374,7 @@
         self._full_upstreams.add(upstream)
 
     def record_reserve_failed(self, upstream: UpstreamId) -> None:
-        """Record that a call for memory to a decode engine failed."""
+        """Record that a call to reserve memory at a decode engine failed."""
         self._failed_upstreams.add(upstream)
 
     def apply_route(self, route: Route) -> None:
@@ -382,7 +382,7 @@
         self.route = route
 
     def list_full_upstreams(self) -> set[UpstreamId]:
-        """Return the decode engines that had no free memory in this round."""
+        """Return the decode engines found without free memory since the request last waited for memory or got it."""
         return set(self._full_upstreams)
 
     def apply_regions(self, regions: Regions) -> None:
--- a/src/beamhatch/relay/requests/response.py
+++ b/src/beamhatch/relay/requests/response.py
@@ -9,7 +9,7 @@
     from beamhatch.relay.upstreams.http_client import Head
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that guarantee to a caller that its request has not run."""
+"""Statuses of responses which guarantee that the request has not run."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/relay/requests/test_fairness.py
+++ b/tests/relay/requests/test_fairness.py
@@ -60,13 +60,13 @@
         for workspace in self.rates:
             self._schedule_arrival(workspace, 0.0)
         while self.events[0][0] < DURATION_S:
-            now, _, asking = heapq.heappop(self.events)
-            if asking is None:
+            now, _, arriving = heapq.heappop(self.events)
+            if arriving is None:
                 self.free_slots += 1
                 self.queue.record_freed(now)
             else:
-                self._schedule_arrival(asking, now)
-                self._arrive(asking, now)
+                self._schedule_arrival(arriving, now)
+                self._arrive(arriving, now)
             self._serve_queue(now)
         return self
 
@@ -112,8 +112,8 @@
         self.on_time[claim.workspace] += now < arrived + ON_TIME_S
 
 
-def simulate(kind: type[WorkspaceScheduler], times: float, seed: int = 1, **priorities: int) -> LoadSimulation:
-    rates = {HOT: times * USUAL_RATE_PER_S, **dict.fromkeys(OTHERS, USUAL_RATE_PER_S)}
+def simulate(kind: type[WorkspaceScheduler], load_factor: float, seed: int = 1, **priorities: int) -> LoadSimulation:
+    rates = {HOT: load_factor * USUAL_RATE_PER_S, **dict.fromkeys(OTHERS, USUAL_RATE_PER_S)}
     return LoadSimulation(
         kind(), rates, seed, priorities={WorkspaceName(name): rank for name, rank in priorities.items()}
     ).run()
@@ -122,28 +122,28 @@
 SCHEDULERS: list[type[WorkspaceScheduler]] = [FifoScheduler, StartTimeFairScheduler, DeficitRoundRobinScheduler]
 
 
-@pytest.mark.parametrize(("times", "least"), [(2.0, 0.8), (4.0, 0.75), (8.0, 0.7)])
-def test_overloading_workspace_barely_delays_the_others(times: float, least: float) -> None:
-    assert simulate(StartTimeFairScheduler, times).compute_on_time_share_of_others() > least
+@pytest.mark.parametrize(("load_factor", "min_share"), [(2.0, 0.8), (4.0, 0.75), (8.0, 0.7)])
+def test_overloading_workspace_barely_delays_the_others(load_factor: float, min_share: float) -> None:
+    assert simulate(StartTimeFairScheduler, load_factor).compute_on_time_share_of_others() > min_share
 
 
-@pytest.mark.parametrize("times", [4.0, 8.0])
-def test_fifo_and_round_robin_delay_the_others_more(times: float) -> None:
-    shares = [simulate(kind, times).compute_on_time_share_of_others() for kind in SCHEDULERS]
+@pytest.mark.parametrize("load_factor", [4.0, 8.0])
+def test_fifo_and_round_robin_delay_the_others_more(load_factor: float) -> None:
+    shares = [simulate(kind, load_factor).compute_on_time_share_of_others() for kind in SCHEDULERS]
     assert shares[1] > shares[0] + 0.1
     assert shares[1] > shares[2] + 0.05
 
 
-@pytest.mark.parametrize("times", [1.0, 2.0, 4.0, 8.0])
-def test_the_scheduler_does_not_change_the_throughput(times: float) -> None:
-    served = [simulate(kind, times).served.total() for kind in SCHEDULERS]
+@pytest.mark.parametrize("load_factor", [1.0, 2.0, 4.0, 8.0])
+def test_throughput_hardly_depends_on_the_scheduler(load_factor: float) -> None:
+    served = [simulate(kind, load_factor).served.total() for kind in SCHEDULERS]
     assert min(served) > 0.93 * max(served)
 
 
-@pytest.mark.parametrize("times", [1.0, 2.0, 4.0, 8.0])
-def test_each_workspace_is_served_at_least_a_quarter_as_often_as_the_average(times: float) -> None:
+@pytest.mark.parametrize("load_factor", [1.0, 2.0, 4.0, 8.0])
+def test_each_workspace_is_served_at_least_a_quarter_as_often_as_the_average(load_factor: float) -> None:
     for seed in range(3):
-        simulation = simulate(StartTimeFairScheduler, times, seed)
+        simulation = simulate(StartTimeFairScheduler, load_factor, seed)
         average = simulation.served.total() / simulation.requested.total()
         assert all(simulation.served[one] / simulation.requested[one] > average / 4 for one in (HOT, *OTHERS))
 
--- a/tests/relay/requests/test_fingerprint.py
+++ b/tests/relay/requests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Fingerprints are equal for repeats of a request, and differ for all others."""
+"""Retries of a request have the same fingerprint, and all other requests have different ones."""
 
 from __future__ import annotations
 
@@ -38,6 +38,7 @@
         {"target": "/a/b"},
         {"body": b"texts"},
         {"headers": [("Host", "other.example")]},
+        # The end of the target must not be taken for the workspace.
         {"target": "/a/b?c=dalpha", "body": b""},
     ],
 )
--- a/tests/relay/requests/test_lengths.py
+++ b/tests/relay/requests/test_lengths.py
@@ -1,4 +1,4 @@
-"""The tokens that are reserved for an output."""
+"""The number of tokens reserved for an output."""
 
 from __future__ import annotations
 
@@ -15,43 +15,47 @@
     return RequestFacts("q", None, None, 3000, max_tokens, (), estimate)
 
 
-def draw_outputs(count: int, seed: int, *, off_by: float) -> list[tuple[RequestFacts, int]]:
-    """Return requests and their output tokens, with estimates of a log-normal error."""
+def draw_outputs(count: int, seed: int, *, error_stdev: float) -> list[tuple[RequestFacts, int]]:
+    """Return requests and their output tokens; the estimates have a log-normal error."""
     draw = random.Random(seed)
     outputs = []
     for _ in range(count):
         tokens = int(min(1500, max(20, draw.lognormvariate(6.2, 0.7))))
-        estimate = max(1, int(tokens * math.exp(draw.gauss(0, off_by))))
+        estimate = max(1, int(tokens * math.exp(draw.gauss(0, error_stdev))))
         outputs.append((make_facts(estimate=estimate), tokens))
     return outputs
 
 
-def learn(outputs: list[tuple[RequestFacts, int]]) -> OutputLengths:
+def record_all(outputs: list[tuple[RequestFacts, int]]) -> OutputLengths:
     lengths = OutputLengths()
     for facts, tokens in outputs:
         lengths.record(facts, tokens)
     return lengths
 
 
-@pytest.mark.parametrize("off_by", [0.1, 0.5, 1.5])
+@pytest.mark.parametrize("error_stdev", [0.1, 0.5, 1.5])
 @pytest.mark.parametrize("seed", range(4))
-def test_reserve_covers_the_configured_share_of_outputs_whatever_the_estimate_error(off_by: float, seed: int) -> None:
-    lengths = learn(draw_outputs(100, seed, off_by=off_by))
-    later = draw_outputs(300, seed + 100, off_by=off_by)
+def test_reserve_covers_the_configured_share_of_outputs_whatever_the_estimate_error(
+    error_stdev: float, seed: int
+) -> None:
+    lengths = record_all(draw_outputs(100, seed, error_stdev=error_stdev))
+    later = draw_outputs(300, seed + 100, error_stdev=error_stdev)
     covered = sum(tokens <= lengths.compute_reserve_tokens(facts) for facts, tokens in later) / len(later)
     assert COVERED_SHARE - 0.17 < covered < COVERED_SHARE + 0.17
 
 
 def test_good_estimates_need_a_smaller_reserve() -> None:
     reserves = []
-    for off_by in (0.1, 1.5):
-        lengths = learn(draw_outputs(100, 1, off_by=off_by))
-        reserves.append(sum(lengths.compute_reserve_tokens(facts) for facts, _ in draw_outputs(300, 2, off_by=off_by)))
+    for error_stdev in (0.1, 1.5):
+        lengths = record_all(draw_outputs(100, 1, error_stdev=error_stdev))
+        reserves.append(
+            sum(lengths.compute_reserve_tokens(facts) for facts, _ in draw_outputs(300, 2, error_stdev=error_stdev))
+        )
     assert reserves[0] < reserves[1]
 
 
 def test_the_reserve_is_not_larger_than_the_output_limit() -> None:
-    lengths = learn(draw_outputs(100, 1, off_by=0.5))
+    lengths = record_all(draw_outputs(100, 1, error_stdev=0.5))
     assert lengths.compute_reserve_tokens(make_facts(estimate=90_000, max_tokens=1500)) == 1500
     assert lengths.compute_reserve_tokens(make_facts(estimate=0, max_tokens=40)) == 40
 
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -1,4 +1,4 @@
-"""The request state machine and the listing under any interleaving of outcomes and updates."""
+"""The request state machine under any outcomes, the listing under any order of updates, and the retry budget."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
         resumable=st.booleans(),
         attempts=st.integers(1, 3),
         engine=st.booleans(),
-        holds=st.booleans(),
+        reserves_memory=st.booleans(),
     )
-    def begin(self, kind: RouteKind, resumable: bool, attempts: int, engine: bool, holds: bool) -> None:
+    def begin(self, kind: RouteKind, resumable: bool, attempts: int, engine: bool, reserves_memory: bool) -> None:
         route = Route("r", "h", "/", kind, (Share(SERVICE, 1),), 14.0, 0.9, attempts, resumable)
-        traits = Engine(128, 60_000, 0.5, 2.0 if holds else 0.0) if engine else None
-        self.request = RelayRequest(RequestFacts("q", None, None, 5000, 100), route, Service(SERVICE, traits))
+        engine_config = Engine(128, 60_000, 0.5, 2.0 if reserves_memory else 0.0) if engine else None
+        self.request = RelayRequest(RequestFacts("q", None, None, 5000, 100), route, Service(SERVICE, engine_config))
         self.budget = RetryBudget(RetryBudgetLimits())
         self.chooser = LeastCostChooser(UpstreamStatsRegistry(), "h")
         phases = [Phase.PREFILL, Phase.PREFILL, Phase.DECODE, Phase.DECODE, Phase.DECODE]
@@ -63,14 +63,14 @@
         self.upstreams = [make_upstream(f"u{number}", phase) for number, phase in enumerate(phases)]
 
     @precondition(lambda self: self.under_way is None and not isinstance(self.step, (Refuse, Fail)))
-    @rule(passed=st.floats(0, 0.6))
-    def plan(self, passed: float) -> None:
-        self.now += passed
+    @rule(elapsed=st.floats(0, 0.6))
+    def plan(self, elapsed: float) -> None:
+        self.now += elapsed
         self.step = self.request.plan(self.upstreams, self.chooser, self.budget, 3, self.now)
         if isinstance(self.step, Send):
             self.under_way = self.step
         elif isinstance(self.step, Refuse):
-            assert self.possible_runs == 0, "told that it has not run although it may have"
+            assert self.possible_runs == 0, "refused although an upstream may have run it"
 
     @precondition(lambda self: isinstance(self.step, Reserve))
     @rule(granted=st.booleans(), reached=st.booleans())
@@ -119,7 +119,9 @@
         assert send is not None
         self.under_way = None
         if send.stage is not Stage.PREFILL:
-            assert self.possible_runs == 0 or self.request.route.idempotent, "a second run"
+            assert self.possible_runs == 0 or self.request.route.idempotent, (
+                "a request that is not idempotent may run twice"
+            )
             assert self.possible_runs < self.request.route.max_attempts, "more runs than the route allows"
         self.request.record_sent(send, self.budget, self.now)
         return send
@@ -152,16 +154,16 @@
         self.deleted_at: dict[str, float] = {}
         """Time at which each deleted upstream was deleted."""
         self.newest_received: dict[UpstreamId, Entry] = {}
-        """The newest entry of each upstream that the second listing has received."""
+        """The newest entry of each upstream that ``out_of_order`` has received."""
 
-    @rule(name=names, draining=st.booleans(), gone=st.booleans())
-    def change(self, name: str, draining: bool, gone: bool) -> None:
+    @rule(name=names, draining=st.booleans(), deleted=st.booleans())
+    def change(self, name: str, draining: bool, deleted: bool) -> None:
         self.revision += 1
-        upstream = None if gone else make_upstream(name, Phase.PLAIN, draining=draining)
-        if not gone and draining:
+        upstream = None if deleted else make_upstream(name, Phase.PLAIN, draining=draining)
+        if not deleted and draining:
             self.drained.add(name)
         entry = Entry(UpstreamId(name), self.revision, upstream)
-        if not gone:
+        if not deleted:
             self.deleted_at.pop(name, None)
         elif name in self.expected_entries and self.expected_entries[name].upstream is not None:
             self.deleted_at[name] = self.now
@@ -172,11 +174,11 @@
     @precondition(lambda self: self.updates)
     @rule(data=st.data())
     def receive_update(self, data: st.DataObject) -> None:
-        """Hear any news again, late or out of order."""
+        """Deliver any earlier update, possibly again, late or out of order."""
         entry = data.draw(st.sampled_from(self.updates))
         self.out_of_order.take(entry, self.now)
-        best = self.newest_received.get(entry.id)
-        if best is None or best.revision < entry.revision:
+        newest = self.newest_received.get(entry.id)
+        if newest is None or newest.revision < entry.revision:
             self.newest_received[entry.id] = entry
 
     @rule()
@@ -196,9 +198,9 @@
         for name in self.expected_entries:
             assert self.out_of_order.find(UpstreamId(name)) == self.in_order.find(UpstreamId(name))
 
-    @rule(passed=st.floats(0, 4))
-    def wait(self, passed: float) -> None:
-        self.now += passed
+    @rule(elapsed=st.floats(0, 4))
+    def wait(self, elapsed: float) -> None:
+        self.now += elapsed
 
     @invariant()
     def keeps_newest_received_entry(self) -> None:
@@ -209,11 +211,11 @@
     def lists_only_usable_upstreams(self) -> None:
         usable = {one.id for one in self.in_order.list_usable(SERVICE, self.now)}
         assert not usable & self.drained
-        staying = {name for name, entry in self.expected_entries.items() if entry.upstream is not None} - self.drained
-        lapsed = {
+        available = {name for name, entry in self.expected_entries.items() if entry.upstream is not None} - self.drained
+        recently_deleted = {
             name for name, at in self.deleted_at.items() if self.now - at < self.in_order.gone_grace
         } - self.drained
-        assert usable == (staying | lapsed if len(lapsed) >= len(staying) else staying)
+        assert usable == (available | recently_deleted if len(recently_deleted) >= len(available) else available)
 
 
 TestRequest = RequestMachine.TestCase
