--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -200,8 +200,8 @@
         return self.core.lines.get(self.request.service.name, self.request.regions)
 
     def _list_usable(self) -> list[Upstream]:
-        returning = self._is_caller_retry or self.request.may_have_run
-        return self.core.list_usable(self.request.service.name, self.request.regions, owed=returning)
+        is_retry = self._is_caller_retry or self.request.may_have_run
+        return self.core.list_usable(self.request.service.name, self.request.regions, owed=is_retry)
 
     def _refuse_in_regions(self, step: Refuse, regions: Regions) -> Refuse:
         """Return the refusal, with another reason and retry-after time if the allowed regions exclude upstreams."""
--- a/tests/relay/requests/test_fairness.py
+++ b/tests/relay/requests/test_fairness.py
@@ -201,9 +201,9 @@
     queue.record_served(Claim(OTHERS[0], 1, 100), 0.0)
     queue.record_served(Claim(HOT, 1, 3000), 0.0)
     queue.add("hot late", 0.0, 3.0, 0.0, claim=Claim(HOT, 1, 100))
-    queue.add("hot precedes late", 0.0, 3.0, 0.1, late_with_precedence=True, claim=Claim(HOT, 1, 100))
+    queue.add("hot late with precedence", 0.0, 3.0, 0.1, late_with_precedence=True, claim=Claim(HOT, 1, 100))
     queue.add("other late", 0.0, 3.0, 0.2, claim=Claim(OTHERS[0], 1, 100))
-    for name in ("other late", "hot precedes late", "hot late"):
+    for name in ("other late", "hot late with precedence", "hot late"):
         assert queue.list_due(0.3) == [name]
         queue.remove(name)
 
--- a/tests/relay/requests/test_line.py
+++ b/tests/relay/requests/test_line.py
@@ -46,13 +46,13 @@
 def test_order_is_on_time_then_late_with_precedence_then_late() -> None:
     queue = make_queue(freed=16)
     queue.add("late", NOW, NOW + 3, NOW)
-    queue.add("precedes late", NOW + 0.5, NOW + 3, NOW + 0.1, late_with_precedence=True)
-    queue.add("precedes late too", NOW + 0.5, NOW + 3, NOW + 0.2, late_with_precedence=True)
+    queue.add("late with precedence", NOW + 0.5, NOW + 3, NOW + 0.1, late_with_precedence=True)
+    queue.add("late with precedence too", NOW + 0.5, NOW + 3, NOW + 0.2, late_with_precedence=True)
     assert not queue.has_on_time(NOW + 0.2)
     queue.add("on time", NOW + 0.7, NOW + 3, NOW + 0.2)
     queue.add("on time too", NOW + 0.8, NOW + 3, NOW + 0.3)
     assert queue.has_on_time(NOW + 0.3)
-    for name in ("on time", "on time too", "precedes late", "precedes late too", "late"):
+    for name in ("on time", "on time too", "late with precedence", "late with precedence too", "late"):
         assert queue.list_due(NOW + 0.3) == [name]
         queue.remove(name)
 
@@ -60,5 +60,5 @@
 def test_late_requests_with_precedence_take_no_room_from_new_ones() -> None:
     queue = make_queue(freed=16)
     for number in range(20):
-        queue.add(f"precedes{number}", NOW + 0.5, NOW + 3, NOW, late_with_precedence=True)
+        queue.add(f"late with precedence {number}", NOW + 0.5, NOW + 3, NOW, late_with_precedence=True)
     assert queue.has_room(0.5, NOW + 0.2)
