--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -18,7 +18,7 @@
 from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.engines.changing import PendingPhaseChanges, PhaseChangeUpdate
 from beamhatch.relay.engines.demand import DemandEstimator
-from beamhatch.relay.fleet.evacuations import MAX_UNPLACED_HALLS, Evacuations
+from beamhatch.relay.fleet.evacuations import MAX_UNCONFIGURED_HALLS, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.limits.returns import RetrySchedule
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
@@ -416,7 +416,7 @@
             emptied=len(self.eligibility.evacuations.list_evacuated()),
         )
         strange = self._strange_halls
-        if not self.places.knows(news.hall) and news.hall not in strange and len(strange) < MAX_UNPLACED_HALLS:
+        if not self.places.knows(news.hall) and news.hall not in strange and len(strange) < MAX_UNCONFIGURED_HALLS:
             strange.add(news.hall)
             self.journal.write("EVACUATION", "unknown hall", hall=news.hall, source=source)
 
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -169,7 +169,7 @@
             self.leadership.on_store_recovered = self._renew_watches
             self.leadership.on_quarantines = self.core.quarantine_talk.apply_stored
             self.leadership.on_quarantines_restored = self.core.quarantine_talk.apply_restored
-            self._ordering = PhaseController(self.core, self.leadership, settings.vm, self._gossip.compute_pressure)
+            self._ordering = PhaseController(self.core, self.leadership, settings.vm, self._gossip.estimate_demand)
         self._ports: list[Any] = []
         self._caller_port: Any = None
         self._stopping_since: float | None = None
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -18,7 +18,7 @@
 
     from beamhatch.relay.model import Upstream
 
-MAX_UNPLACED_HALLS = 64
+MAX_UNCONFIGURED_HALLS = 64
 """Maximum number of evacuations kept for halls that are not in the settings, whose names are unchecked."""
 
 NEVER = float("-inf")
@@ -113,11 +113,11 @@
     def _has_room(self, hall: str) -> bool:
         """Return whether a report on one more hall can be kept; there is always room for halls in the settings."""
         placed = self.places.regions
-        return hall in placed or sum(one not in placed for one in self._known) < MAX_UNPLACED_HALLS
+        return hall in placed or sum(one not in placed for one in self._known) < MAX_UNCONFIGURED_HALLS
 
     def _record_end(self, hall: str, now: float) -> None:
         self.latest_end_at = now
         self._ended_at.pop(hall, None)
         self._ended_at[hall] = now
-        while len(self._ended_at) > MAX_UNPLACED_HALLS + len(self.places.regions):
+        while len(self._ended_at) > MAX_UNCONFIGURED_HALLS + len(self.places.regions):
             del self._ended_at[next(iter(self._ended_at))]
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -28,8 +28,8 @@
     PrefillBacklog,
     QuarantineUpdate,
     Usage,
-    pack_document,
-    unpack_document,
+    pack_configuration,
+    unpack_configuration,
 )
 from beamhatch.relay.fleet.peer_connection import PeerClientFactory, PeerConnection, PeerHandler, PeerServerFactory
 from beamhatch.relay.fleet.peer_traffic import PeerTraffic
@@ -86,12 +86,12 @@
 MAX_REPEATED_MENTIONS = 8
 """VMs drawn at random that a hello to another hall mentions again, in addition to those that are new to the peer."""
 
-MIN_FAULT_SHARE = 0.2
+MIN_FAILURE_RATE = 0.2
 """Minimum share of failed requests for an upstream to be reported to peers."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Shortage:
+class _VersionLag:
     """The time at which a peer was found to have a newer version than this VM."""
 
     own_version: int
@@ -115,17 +115,17 @@
         self._connections: set[PeerConnection] = set()
         self._dialled_addresses: dict[str, PeerConnection | None] = {}
         """Addresses that this VM dialled, with the connection once it is established."""
-        self._fleet = FleetDemand()
+        self._fleet_demand = FleetDemand()
         self._is_aggregator = False
         """Whether this VM aggregates the reports of its hall; cached at each regular heartbeat."""
         self._reachable_share = 1.0
         """Share of all VMs that are in contact with this one; cached at each regular heartbeat."""
         self._last_hello_at = 0.0
         self._hello_interval = MIN_HELLO_INTERVAL_S
-        self._shortages: dict[str, _Shortage] = {}
+        self._version_lags: dict[str, _VersionLag] = {}
         self._packed: tuple[int, PackedConfiguration] | None = None
         """Version and compressed form of the configuration that was last sent."""
-        self._heartbeat_throttle = Throttle(core.clock, MIN_HEARTBEAT_INTERVAL_S, self._send_changes)
+        self._heartbeat_throttle = Throttle(core.clock, MIN_HEARTBEAT_INTERVAL_S, self._send_early_heartbeats)
         self._backlog_throttle = Throttle(core.clock, MIN_BACKLOG_INTERVAL_S, self._send_backlog)
         self._sent_backlog: dict[str, int] = {}
         self._port: Any = None
@@ -217,9 +217,9 @@
         if self._stopped:
             return
         now = self.clock.now()
-        self._drop_silent(now)
+        self._close_unresponsive(now)
         self.membership.drop_expired(now)
-        self._fleet.drop_expired(now)
+        self._fleet_demand.drop_expired(now)
         self.core.work.drop_expired(now)
         self.core.vms = self.membership.size
         self.core.vms_lately = self.membership.count_recent(now)
@@ -232,7 +232,7 @@
         self._send_heartbeats(regular=True)
         self.clock.call_later(HEARTBEAT_INTERVAL_S, self._tick)
 
-    def _drop_silent(self, now: float) -> None:
+    def _close_unresponsive(self, now: float) -> None:
         for connection in [one for one in self._connections if now - one.last_received_at > PEER_TIMEOUT_S]:
             if connection.dialled_address is not None:
                 self.membership.record_unreachable(connection.dialled_address, now)
@@ -308,7 +308,7 @@
             if changes is not None:
                 connection.send(PrefillBacklog(changes))
 
-    def _send_changes(self) -> None:
+    def _send_early_heartbeats(self) -> None:
         if not self._stopped:
             self._heartbeat_throttle.record_call()
             self._send_heartbeats(regular=False)
@@ -345,12 +345,12 @@
 
     # --- fleet-wide figures ------------------------------------------------------------------------------------------
 
-    def compute_pressure(self, service: Service) -> ServiceDemand:
+    def estimate_demand(self, service: Service) -> ServiceDemand:
         """Return the estimated demand of all VMs for a service, extrapolated from recent reports."""
         assert service.engine is not None
         own = self.core.report_demand(service.name)
         now = self.clock.now()
-        return self._fleet.compute_service_demand(service.name, service.engine, own, self.membership.size, now)
+        return self._fleet_demand.compute_service_demand(service.name, service.engine, own, self.membership.size, now)
 
     def get_reachable_share(self) -> float:
         """Return the share of all VMs that are in contact with this one, as of the last regular heartbeat."""
@@ -397,7 +397,7 @@
             case ConfigurationRequest():
                 self._send_configuration(connection)
             case PackedConfiguration():
-                raw = unpack_document(message)
+                raw = unpack_configuration(message)
                 table = self._documents.read_configuration(raw)
                 if table is not None:
                     self.core.take_document(Document(raw, table), f"peer {connection.vm}")
@@ -414,7 +414,7 @@
         if document is None:
             return
         if self._packed is None or self._packed[0] != document.table.version:
-            self._packed = (document.table.version, pack_document(document.raw))
+            self._packed = (document.table.version, pack_configuration(document.raw))
         connection.send(self._packed[1])
 
     def _handle_hello(self, connection: PeerConnection, message: Hello) -> None:
@@ -445,7 +445,7 @@
         received = connection.received
         received.apply(message)
         if connection.vm:
-            self._fleet.record(connection.vm, received.demands, now)
+            self._fleet_demand.record(connection.vm, received.demands, now)
             self.core.take_paces(received.demands)
             for reading in message.readings:
                 self.core.paces.record(reading)
@@ -455,7 +455,7 @@
         faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
         for upstream, share in faulty.items():
             self.core.standings.get(UpstreamId(upstream)).apply_hint(share, now)
-        self._apply_changes(connection, message)
+        self._apply_phase_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
                 connection.sent.reset_evacuations()  # an outdated peer may still hold an evacuation that has ended
@@ -471,7 +471,7 @@
         if connection.vm and Mechanism.PEER_WORK not in self.core.without:
             self.core.work.record(connection.vm, connection.received.prefill_backlog, self.clock.now())
 
-    def _apply_changes(self, connection: PeerConnection, message: Heartbeat) -> None:
+    def _apply_phase_changes(self, connection: PeerConnection, message: Heartbeat) -> None:
         for upstream, change in message.changing.items():
             self.core.take_change(UpstreamId(upstream), change, f"peer {connection.vm}")
 
@@ -480,13 +480,13 @@
         if theirs <= own:
             return False
         now = self.clock.now()
-        lacking = self._shortages.get(what)
+        lacking = self._version_lags.get(what)
         if lacking is None or lacking.own_version != own:
-            self._shortages[what] = _Shortage(own, now)
+            self._version_lags[what] = _VersionLag(own, now)
             return own == 0 or not self.membership.is_watcher()
         if now - lacking.since < STORE_GRACE_S:
             return False
-        self._shortages[what] = _Shortage(own, now)
+        self._version_lags[what] = _VersionLag(own, now)
         return True
 
     def _make_heartbeat(self, readings: Sequence[PrefillSample] = ()) -> Heartbeat:
@@ -497,7 +497,7 @@
             core.version,
             core.revision,
             core.report_demands(),
-            core.standings.list_failing(MIN_FAULT_SHARE, now),
+            core.standings.list_failing(MIN_FAILURE_RATE, now),
             core.changes.list_updates(now),
             core.standings.list_pending_prefill(),
             list(readings),
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -20,7 +20,7 @@
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 """Maximum size of an encoded message."""
 
-MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
+MAX_CONFIGURATION_BYTES = 16 * 1024 * 1024
 """Maximum size of a decompressed configuration."""
 
 MAX_MENTIONS = 64
@@ -195,19 +195,19 @@
         raise MessageError(str(problem)) from None
 
 
-def pack_document(raw: bytes) -> PackedConfiguration:
+def pack_configuration(raw: bytes) -> PackedConfiguration:
     """Compress a document into a message."""
     return PackedConfiguration(zlib.compress(raw, COMPRESSION_LEVEL))
 
 
-def unpack_document(message: PackedConfiguration) -> bytes:
+def unpack_configuration(message: PackedConfiguration) -> bytes:
     """Decompress the document in a message.
 
     :raises MessageError: if it cannot be decompressed, or is too long
     """
     unpacker = zlib.decompressobj()
     try:
-        raw = unpacker.decompress(message.packed, MAX_DOCUMENT_BYTES)
+        raw = unpacker.decompress(message.packed, MAX_CONFIGURATION_BYTES)
     except zlib.error as problem:
         raise MessageError(str(problem)) from None
     if not unpacker.eof:
--- a/src/beamhatch/relay/fleet/membership.py
+++ b/src/beamhatch/relay/fleet/membership.py
@@ -79,14 +79,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _KnownMember:
     member: Member
     last_seen_at: float
     """When any VM last heard from it."""
 
 
 @dataclass(slots=True)
-class _Unreachable:
+class _UnreachableAddress:
     retry_at: float
     """When the address may be dialled again."""
     delay: float
@@ -101,8 +101,8 @@
     own: Member
     seeds: list[str] = field(default_factory=list)
     """Peer addresses from the settings, which may be outdated."""
-    _known: dict[str, _Known] = field(default_factory=dict)
-    _unreachable: dict[str, _Unreachable] = field(default_factory=dict)
+    _known: dict[str, _KnownMember] = field(default_factory=dict)
+    _unreachable: dict[str, _UnreachableAddress] = field(default_factory=dict)
     """Addresses whose last connection failed."""
     _last_seen_at: dict[str, float] = field(default_factory=dict)
     """When any VM last heard from each address, including those that are no longer members."""
@@ -125,7 +125,7 @@
             return
         before = self._known.get(member.address)
         seen_at = now - age if before is None else max(now - age, before.last_seen_at)
-        self._known[member.address] = _Known(member, seen_at)
+        self._known[member.address] = _KnownMember(member, seen_at)
         self._last_seen_at[member.address] = max(seen_at, self._last_seen_at.get(member.address, seen_at))
 
     def get_hall(self, address: str) -> str:
@@ -145,7 +145,7 @@
             delay = QUICK_RETRY_DELAYS_S[failures - 1]
         else:
             delay = min(MAX_RETRY_DELAY_S, max(FIRST_RETRY_DELAY_S, 2 * known.delay))
-        self._unreachable[address] = _Unreachable(now + delay * random.uniform(0.7, 1.3), delay, failures)
+        self._unreachable[address] = _UnreachableAddress(now + delay * random.uniform(0.7, 1.3), delay, failures)
 
     def record_store_access(self, address: str, *, store_unreachable: bool) -> None:
         """Record whether a member can reach the store."""
@@ -204,14 +204,14 @@
             return 1.0
         if not connected_halls:
             return 1 / vms
-        silent = self._list_silent_halls(now)
+        silent = self._list_unreachable_halls(now)
         if all(hall == self.own.hall for hall in connected_halls):  # no other hall can be reached
             silent |= {one.member.hall for one in self._known.values()} - {self.own.hall}
         lost = sum(one.member.hall in silent for one in self._known.values())
         forgotten = vms - 1 - len(self._known)
         return (vms - lost - forgotten) / vms
 
-    def _list_silent_halls(self, now: float) -> set[str]:
+    def _list_unreachable_halls(self, now: float) -> set[str]:
         """Return the other halls none of whose VMs was seen recently."""
         newest: defaultdict[str, float] = defaultdict(lambda: -math.inf)
         for one in self._known.values():
@@ -304,7 +304,7 @@
         return unreached is None or now >= unreached.retry_at
 
 
-def _make_mention(known: _Known, now: float) -> Mention:
+def _make_mention(known: _KnownMember, now: float) -> Mention:
     return Mention(known.member, round(max(0.0, now - known.last_seen_at), 1))
 
 
--- a/src/beamhatch/relay/fleet/peer_connection.py
+++ b/src/beamhatch/relay/fleet/peer_connection.py
@@ -56,8 +56,8 @@
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
 
-    def __init__(self, talk: PeerHandler, dialled: str | None) -> None:
-        self.dialled_address = dialled
+    def __init__(self, handler: PeerHandler, dialled_address: str | None) -> None:
+        self.dialled_address = dialled_address
         """The address that this VM dialled; None if the peer dialled."""
         self.vm = ""
         """The peer's name; empty until its first hello."""
@@ -68,7 +68,7 @@
         self.last_received_at = 0.0
         self.received = ReceivedState()
         self.sent = SentState()
-        self._handler = talk
+        self._handler = handler
 
     @property
     def is_aggregator(self) -> bool:
@@ -111,12 +111,12 @@
 
     noisy = False
 
-    def __init__(self, talk: PeerHandler) -> None:
-        self._talk = talk
+    def __init__(self, handler: PeerHandler) -> None:
+        self._handler = handler
 
     def buildProtocol(self, _: Any) -> PeerConnection:
         """Return the protocol of a new connection."""
-        return PeerConnection(self._talk, None)
+        return PeerConnection(self._handler, None)
 
 
 class PeerClientFactory(ClientFactory):
@@ -124,14 +124,14 @@
 
     noisy = False
 
-    def __init__(self, talk: PeerHandler, address: str) -> None:
-        self._talk = talk
+    def __init__(self, handler: PeerHandler, address: str) -> None:
+        self._handler = handler
         self._address = address
 
     def buildProtocol(self, _: Any) -> PeerConnection:
         """Return the protocol of a new connection."""
-        return PeerConnection(self._talk, self._address)
+        return PeerConnection(self._handler, self._address)
 
     def clientConnectionFailed(self, _: Any, reason: Failure) -> None:
         """Report the failed attempt to the handler."""
-        self._talk.record_unreachable(self._address)
+        self._handler.record_unreachable(self._address)
--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -41,7 +41,7 @@
     """A watcher of one kind of data in the store; ``name`` identifies it in logs and metrics."""
 
     name = ""
-    settle_delay_s = 0.0
+    batch_delay_s = 0.0
     """Seconds between a change and the next watch, so that one call returns several changes."""
 
     def __init__(
@@ -117,7 +117,7 @@
                 continue
             has_read = True
             self._record_connected(at)
-            await self._follow(at)
+            await self._watch_from(at)
 
     async def _await_peers(self) -> None:
         """Wait up to the peer timeout for peers to send the data."""
@@ -125,7 +125,7 @@
         while not self.has_data() and self.core.clock.now() < end:
             await sleep(self.core.clock, STARTUP_POLL_INTERVAL_S)
 
-    async def _follow(self, at: int) -> None:
+    async def _watch_from(self, at: int) -> None:
         """Watch from a revision on until the store fails, its history is gone, or other VMs watch.
 
         After a failure the caller reads everything again: a read fails within seconds if the store still does not
@@ -143,7 +143,7 @@
                 return
             self._record_connected(result)
             if result > at:
-                await sleep(self.core.clock, self.settle_delay_s)
+                await sleep(self.core.clock, self.batch_delay_s)
             at = result
 
     async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
@@ -215,7 +215,7 @@
     """A watcher of the upstream listing."""
 
     name = "listing"
-    settle_delay_s = 0.2
+    batch_delay_s = 0.2
 
     def has_data(self) -> bool:
         """Return whether the listing is complete."""
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -171,7 +171,7 @@
         assert hearer.core.standings.get(UpstreamId("plain-1")).get_failure_rate(now) > 0.5
         assert hearer.core.changes.is_pending(UpstreamId("engine-0"), now)
         assert hearer._gossip is not None
-        reports = [told.get(ServiceName(MODEL)) for told in hearer._gossip._fleet.list_values(now)]
+        reports = [told.get(ServiceName(MODEL)) for told in hearer._gossip._fleet_demand.list_values(now)]
         assert any(report is not None and report.prompt_rate > 0 for report in reports)
 
 
@@ -182,7 +182,7 @@
     platform.network.run(8.0)
     for vm in platform.vms.values():
         assert vm._gossip is not None
-        heard = [told for told in vm._gossip._fleet.list_values(vm.clock.now()) if ServiceName(MODEL) in told]
+        heard = [told for told in vm._gossip._fleet_demand.list_values(vm.clock.now()) if ServiceName(MODEL) in told]
         assert len(heard) == len({connection.vm for connection in vm._gossip.list_connections()})
 
 
--- a/tests/relay/fleet/test_evacuations.py
+++ b/tests/relay/fleet/test_evacuations.py
@@ -5,25 +5,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from beamhatch.relay.fleet.evacuations import MAX_UNPLACED_HALLS, Evacuation, Evacuations
+from beamhatch.relay.fleet.evacuations import MAX_UNCONFIGURED_HALLS, Evacuation, Evacuations
 from beamhatch.relay.places import Places, RegionName
 
-NEWS = [Evacuation("a", revision, revision % 2 == 1) for revision in range(1, 6)]
+UPDATES = [Evacuation("a", revision, revision % 2 == 1) for revision in range(1, 6)]
 
 
 def test_highest_revision_wins_in_any_order() -> None:
     evacuations = Evacuations()
-    assert evacuations.apply(NEWS[2], 1.0)
-    assert not evacuations.apply(NEWS[1], 2.0)
+    assert evacuations.apply(UPDATES[2], 1.0)
+    assert not evacuations.apply(UPDATES[1], 2.0)
     assert evacuations.is_evacuated("a")
 
 
-@given(st.permutations(NEWS))
-def test_all_orders_of_news_end_in_the_same_belief(news: list[Evacuation]) -> None:
+@given(st.permutations(UPDATES))
+def test_updates_converge_in_any_order(updates: list[Evacuation]) -> None:
     evacuations = Evacuations()
-    for one in news:
+    for one in updates:
         evacuations.apply(one, 1.0)
-    assert evacuations.list_updates() == [NEWS[-1]]
+    assert evacuations.list_updates() == [UPDATES[-1]]
 
 
 def test_snapshot_ends_missing_evacuations_but_not_newer_ones() -> None:
@@ -52,15 +52,15 @@
         evacuations.apply(Evacuation(f"h{number}", 2 * number + 2, False), 1.0)
         evacuations.record_known_up_to(2 * number + 2)
     assert evacuations.list_updates() == []
-    assert len(evacuations._ended_at) <= MAX_UNPLACED_HALLS
+    assert len(evacuations._ended_at) <= MAX_UNCONFIGURED_HALLS
 
 
-def test_halls_outside_the_settings_are_bounded_and_halls_in_them_always_kept() -> None:
+def test_unconfigured_halls_are_bounded_and_configured_halls_always_kept() -> None:
     evacuations = Evacuations(Places({"placed": RegionName("west")}))
-    for number in range(3 * MAX_UNPLACED_HALLS):
+    for number in range(3 * MAX_UNCONFIGURED_HALLS):
         evacuations.apply(Evacuation(f"odd-{number}", number + 1, True), 1.0)
     assert evacuations.apply(Evacuation("placed", 1000, True), 1.0)
-    assert len(evacuations.list_evacuated()) == MAX_UNPLACED_HALLS + 1
+    assert len(evacuations.list_evacuated()) == MAX_UNCONFIGURED_HALLS + 1
 
 
 class Store:
@@ -68,19 +68,19 @@
 
     def __init__(self) -> None:
         self.revision = 0
-        self.emptied: dict[str, int] = {}
+        self.evacuated: dict[str, int] = {}
         self.events: list[Evacuation] = []
 
     def change(self, hall: str) -> None:
         self.revision += 1
-        if hall in self.emptied:
-            del self.emptied[hall]
+        if hall in self.evacuated:
+            del self.evacuated[hall]
         else:
-            self.emptied[hall] = self.revision
-        self.events.append(Evacuation(hall, self.revision, hall in self.emptied))
+            self.evacuated[hall] = self.revision
+        self.events.append(Evacuation(hall, self.revision, hall in self.evacuated))
 
     def read(self) -> list[Evacuation]:
-        return [Evacuation(hall, revision, True) for hall, revision in self.emptied.items()]
+        return [Evacuation(hall, revision, True) for hall, revision in self.evacuated.items()]
 
 
 STEPS = st.lists(
@@ -92,7 +92,7 @@
 
 @settings(max_examples=1000)
 @given(STEPS)
-def test_whoever_reads_watches_or_is_told_all_end_in_what_the_store_has(steps: list[tuple[str, int, int]]) -> None:
+def test_vms_converge_to_the_store_by_reads_watches_and_gossip(steps: list[tuple[str, int, int]]) -> None:
     store = Store()
     vms = [Evacuations() for _ in range(3)]
     for kind, one, other in steps:
@@ -108,16 +108,16 @@
             vms[other].apply_snapshot(vms[one].list_updates(), vms[one].as_of, 1.0)
         for vm in vms:
             if vm.complete and vm.as_of == store.revision:
-                assert set(vm.list_evacuated()) == set(store.emptied)
+                assert set(vm.list_evacuated()) == set(store.evacuated)
     vms[0].apply_snapshot(store.read(), store.revision, 1.0)
     for vm in vms[1:]:
         vm.apply_snapshot(vms[0].list_updates(), vms[0].as_of, 1.0)
-        assert set(vm.list_evacuated()) == set(store.emptied)
+        assert set(vm.list_evacuated()) == set(store.evacuated)
 
 
 def test_overflow_is_flagged_until_the_next_snapshot() -> None:
     evacuations = Evacuations()
-    for number in range(MAX_UNPLACED_HALLS + 1):
+    for number in range(MAX_UNCONFIGURED_HALLS + 1):
         evacuations.apply(Evacuation(f"hall-{number}", number + 1, True), 1.0)
     assert evacuations.has_overflowed
     evacuations.apply_snapshot([Evacuation("hall-0", 1, True)], 200, 2.0)
--- a/tests/relay/fleet/test_far_words.py
+++ b/tests/relay/fleet/test_far_words.py
@@ -1,4 +1,4 @@
-"""Tests of the heartbeats sent to peers in other halls and of the state built from them."""
+"""Tests of the reduced heartbeats to peers in other halls, and of the state that the receivers build from them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from beamhatch.relay.fleet.gossip_message import DemandReport, Heartbeat, decode, encode
 from beamhatch.relay.model import Phase
 
-WHOLE = Heartbeat(
+FULL_HEARTBEAT = Heartbeat(
     3,
     70,
     {"models": DemandReport(900, 0.2, 5000, 70, 0.8, 50_000, 0.01, 20_000)},
@@ -33,9 +33,9 @@
     return msgspec.structs.replace(heartbeat, **changes)
 
 
-def carry(sent: SentState, received: ReceivedState, whole: Heartbeat, now: float) -> Heartbeat:
-    """Return the changes that are sent of a heartbeat, after applying them to the received state."""
-    changes = decode(encode(sent.select_changes(whole, now)))
+def send_and_apply(sent: SentState, received: ReceivedState, heartbeat: Heartbeat, now: float) -> Heartbeat:
+    """Select the changes of a heartbeat, apply them to the received state, and return them."""
+    changes = decode(encode(sent.select_changes(heartbeat, now)))
     assert isinstance(changes, Heartbeat)
     received.apply(changes)
     return changes
@@ -43,8 +43,8 @@
 
 def test_first_heartbeat_is_complete_and_an_unchanged_one_empty() -> None:
     sent, received = SentState(), ReceivedState()
-    assert carry(sent, received, WHOLE, 0.0) == WHOLE
-    assert carry(sent, received, WHOLE, 0.5) == EMPTY_HEARTBEAT
+    assert send_and_apply(sent, received, FULL_HEARTBEAT, 0.0) == FULL_HEARTBEAT
+    assert send_and_apply(sent, received, FULL_HEARTBEAT, 0.5) == EMPTY_HEARTBEAT
     assert len(encode(EMPTY_HEARTBEAT)) < 16
 
 
@@ -52,26 +52,26 @@
 def test_received_state_matches_the_sender_after_each_heartbeat(seed: int) -> None:
     draw = random.Random(seed)
     sent, received = SentState(), ReceivedState()
-    whole, now = WHOLE, 0.0
+    heartbeat, now = FULL_HEARTBEAT, 0.0
     for _ in range(300):
         now += draw.choice([0.03, 0.5])
         rate = draw.choice([0.0, 1.0, 1.1, 3.0]) * 900
-        whole = replace_fields(
-            whole,
-            version=(whole.version or 0) + draw.choice([0, 0, 1]),
-            revision=draw.choice([whole.revision, 0, 90]),
+        heartbeat = replace_fields(
+            heartbeat,
+            version=(heartbeat.version or 0) + draw.choice([0, 0, 1]),
+            revision=draw.choice([heartbeat.revision, 0, 90]),
             demands={draw.choice(["models", "others"]): DemandReport(rate, draw.random(), 5000, 70, 0.8)},
             reading={f"engine-{number}": 5000 for number in range(draw.randrange(3))},
             adds_up=draw.random() < 0.5,
         )
-        carry(sent, received, whole, now)
+        send_and_apply(sent, received, heartbeat, now)
         assert (received.version, received.revision, received.is_aggregator) == (
-            whole.version,
-            whole.revision,
-            whole.adds_up,
+            heartbeat.version,
+            heartbeat.revision,
+            heartbeat.adds_up,
         )
-        assert received.prefill_backlog == whole.reading
-        for name, report in whole.demands.items():
+        assert received.prefill_backlog == heartbeat.reading
+        for name, report in heartbeat.demands.items():
             known = received.demands[name]
             assert abs(known.prompt_rate - report.prompt_rate) <= MIN_DEMAND_CHANGE * max(
                 known.prompt_rate, report.prompt_rate
@@ -83,61 +83,75 @@
 
 def test_demand_that_appears_or_ends_is_sent_at_once() -> None:
     sent, received = SentState(), ReceivedState()
-    carry(sent, received, WHOLE, 0.0)
+    send_and_apply(sent, received, FULL_HEARTBEAT, 0.0)
     for report in (DemandReport(prompt_rate=2000), DemandReport(), DemandReport(wait_rate=0.5)):
-        assert carry(sent, received, replace_fields(WHOLE, demands={"models": report}), 0.1).demands == {
-            "models": report
-        }
+        assert send_and_apply(
+            sent, received, replace_fields(FULL_HEARTBEAT, demands={"models": report}), 0.1
+        ).demands == {"models": report}
 
 
 def test_faults_are_sent_when_they_rise_and_again_while_they_last() -> None:
     sent, received = SentState(), ReceivedState()
-    carry(sent, received, WHOLE, 0.0)
-    assert carry(sent, received, replace_fields(WHOLE, faulty={"e": 0.3}), 0.1).faulty == {"e": 0.3}
-    assert carry(sent, received, replace_fields(WHOLE, faulty={"e": 0.28}), 0.6).faulty == {}
-    assert carry(sent, received, replace_fields(WHOLE, faulty={"e": 0.7}), 0.7).faulty == {"e": 0.7}
-    assert carry(sent, received, replace_fields(WHOLE, faulty={"e": 0.6}), 0.7 + RESEND_INTERVAL_S).faulty == {"e": 0.6}
+    send_and_apply(sent, received, FULL_HEARTBEAT, 0.0)
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, faulty={"e": 0.3}), 0.1).faulty == {"e": 0.3}
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, faulty={"e": 0.28}), 0.6).faulty == {}
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, faulty={"e": 0.7}), 0.7).faulty == {"e": 0.7}
+    assert send_and_apply(
+        sent, received, replace_fields(FULL_HEARTBEAT, faulty={"e": 0.6}), 0.7 + RESEND_INTERVAL_S
+    ).faulty == {"e": 0.6}
 
 
-def test_an_engine_change_is_sent_again_once_certain_or_after_the_resend_interval() -> None:
+def test_an_engine_change_is_sent_again_once_confirmed_or_after_the_resend_interval() -> None:
     sent, received = SentState(), ReceivedState()
     first = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, False)}
-    certain = {"e": PhaseChangeUpdate(Phase.DECODE, 8.0, True)}
-    assert carry(sent, received, replace_fields(WHOLE, changing=first), 0.0).changing == first
+    confirmed = {"e": PhaseChangeUpdate(Phase.DECODE, 8.0, True)}
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, changing=first), 0.0).changing == first
     assert (
-        carry(
-            sent, received, replace_fields(WHOLE, changing={"e": PhaseChangeUpdate(Phase.DECODE, 8.5, False)}), 0.5
+        send_and_apply(
+            sent,
+            received,
+            replace_fields(FULL_HEARTBEAT, changing={"e": PhaseChangeUpdate(Phase.DECODE, 8.5, False)}),
+            0.5,
         ).changing
         == {}
     )
-    assert carry(sent, received, replace_fields(WHOLE, changing=certain), 1.0).changing == certain
-    assert carry(sent, received, replace_fields(WHOLE, changing=certain), 1.0 + RESEND_INTERVAL_S).changing == certain
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, changing=confirmed), 1.0).changing == confirmed
+    assert (
+        send_and_apply(
+            sent, received, replace_fields(FULL_HEARTBEAT, changing=confirmed), 1.0 + RESEND_INTERVAL_S
+        ).changing
+        == confirmed
+    )
 
 
 def test_a_repeated_engine_change_is_sent_again() -> None:
     sent, received = SentState(), ReceivedState()
-    news = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, True)}
-    carry(sent, received, replace_fields(WHOLE, changing=news), 0.0)
-    carry(sent, received, WHOLE, 0.5)
-    assert carry(sent, received, replace_fields(WHOLE, changing=news), 1.0).changing == news
+    update = {"e": PhaseChangeUpdate(Phase.DECODE, 9.0, True)}
+    send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, changing=update), 0.0)
+    send_and_apply(sent, received, FULL_HEARTBEAT, 0.5)
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, changing=update), 1.0).changing == update
 
 
-def test_evacuations_are_sent_when_they_begin_or_end_and_once_known() -> None:
+def test_evacuations_are_sent_when_one_begins_or_ends() -> None:
     sent, received = SentState(), ReceivedState()
     begun, ended = Evacuation("a", 5, True), Evacuation("a", 9, False)
-    assert carry(sent, received, replace_fields(WHOLE, evacuations=None), 0.0).evacuations is None
-    assert carry(sent, received, WHOLE, 0.1).evacuations == []
-    assert carry(sent, received, WHOLE, 0.2).evacuations is None
-    assert carry(sent, received, replace_fields(WHOLE, evacuations=[begun]), 0.3).evacuations == [begun]
-    assert carry(sent, received, replace_fields(WHOLE, evacuations=[begun]), 0.4).evacuations is None
-    assert carry(sent, received, replace_fields(WHOLE, evacuations=[ended]), 0.5).evacuations == [ended]
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, evacuations=None), 0.0).evacuations is None
+    assert send_and_apply(sent, received, FULL_HEARTBEAT, 0.1).evacuations == []
+    assert send_and_apply(sent, received, FULL_HEARTBEAT, 0.2).evacuations is None
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, evacuations=[begun]), 0.3).evacuations == [
+        begun
+    ]
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, evacuations=[begun]), 0.4).evacuations is None
+    assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, evacuations=[ended]), 0.5).evacuations == [
+        ended
+    ]
 
 
 def test_reset_sends_all_evacuations_again() -> None:
     sent, received = SentState(), ReceivedState()
-    carry(sent, received, WHOLE, 0.1)
+    send_and_apply(sent, received, FULL_HEARTBEAT, 0.1)
     sent.reset_evacuations()
-    assert carry(sent, received, WHOLE, 0.2).evacuations == []
+    assert send_and_apply(sent, received, FULL_HEARTBEAT, 0.2).evacuations == []
 
 
 def test_prefill_backlog_is_sent_only_when_changed() -> None:
