--- a/src/beamhatch/relay/fleet/departure_talk.py
+++ b/src/beamhatch/relay/fleet/departure_talk.py
@@ -1,7 +1,7 @@
 """Exchange departures that upstreams announced in their responses.
 
 Each departure is sent once per connection and forwarded by its receivers, so that it reaches VMs that cannot read it
-from the store. Departures that the store lists itself are not sent.
+from the store. Departures that are already listed in the store are not sent.
 """
 
 from __future__ import annotations
@@ -18,7 +18,10 @@
     from beamhatch.relay.upstreams.announcements import Announcements
 
 FIRST_SEND_DELAY_S = 0.2
-"""Seconds from an upstream's announcement until peers are sent it, unless the store lists it before."""
+"""Seconds to wait after an upstream's announcement before sending it to peers.
+
+It is not sent if the store lists the departure by then.
+"""
 
 FORWARD_DELAY_S = 0.02
 """Seconds for which departures received from peers are collected before they are forwarded."""
@@ -35,22 +38,22 @@
         """Returns the established connections to peers."""
 
     def send_soon(self) -> None:
-        """Schedule sending a departure that an upstream announced to this VM."""
+        """Schedule sending departures, after an upstream announced one to this VM."""
         self._schedule_send(FIRST_SEND_DELAY_S)
 
     def send_pending(self, connection: PeerConnection) -> None:
         """Send a peer the departures that were neither sent to it nor received from it."""
         sent = connection.sent.departures
-        pending = [life for life in self._announcements.list_untold()[-MAX_DEPARTURES:] if life not in sent]
+        pending = [one for one in self._announcements.list_untold()[-MAX_DEPARTURES:] if one not in sent]
         if pending:
             sent.update(pending)
             connection.send(DepartureUpdate(pending))
 
     def handle_update(self, connection: PeerConnection, message: DepartureUpdate) -> None:
         """Apply a peer's departures and schedule forwarding the new ones."""
-        lives = message.lives[:MAX_DEPARTURES]
-        connection.sent.departures.update(lives)
-        new = [life for life in lives if self._announcements.take_departure(life, f"peer {connection.vm}")]
+        incarnations = message.lives[:MAX_DEPARTURES]
+        connection.sent.departures.update(incarnations)
+        new = [one for one in incarnations if self._announcements.take_departure(one, f"peer {connection.vm}")]
         if new:
             self._schedule_send(FORWARD_DELAY_S)
 
@@ -62,7 +65,7 @@
 
     def _send(self, due: float) -> None:
         if due != self._due:
-            return  # an earlier send replaced this one
+            return  # superseded by a send that is due earlier
         self._due = float("inf")
         for connection in self.list_connections():
             self.send_pending(connection)
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -1,4 +1,4 @@
-"""The halls that the operators have evacuated, as reported by the store and by peers.
+"""The halls that operators have evacuated, as reported by the store and by peers.
 
 Each report carries the store's revision at which the evacuation began or ended. The highest revision wins, so reports
 may arrive in any order and from any source.
@@ -19,7 +19,10 @@
     from beamhatch.relay.model import Upstream
 
 MAX_UNCONFIGURED_HALLS = 64
-"""Maximum number of evacuations kept for halls that are not in the settings, whose names are unchecked."""
+"""Maximum number of evacuations kept for halls that are not in the settings.
+
+It bounds the memory that arbitrary hall names can take up.
+"""
 
 NEVER = float("-inf")
 
@@ -43,13 +46,13 @@
     as_of: int = 0
     """The revision up to which all evacuations are known.
 
-    Unknown halls were not evacuated at this revision, so ended evacuations up to it need not be kept, and reports from
-    an outdated peer do not restart them.
+    A hall without an entry was not evacuated at this revision. Evacuations that ended by then are therefore dropped,
+    and older reports are ignored.
     """
     latest_end_at: float = NEVER
-    """When an evacuation last ended, in monotonic seconds of this VM."""
+    """When an evacuation last ended, in seconds on this VM's monotonic clock."""
     has_overflowed: bool = False
-    """True if an evacuation was discarded for lack of room, so that the known ones are incomplete."""
+    """True if an evacuation was discarded because too many are kept, so that the known ones are incomplete."""
     _known: dict[str, Evacuation] = field(default_factory=dict)
     _ended_at: dict[str, float] = field(default_factory=dict)
 
@@ -67,9 +70,9 @@
             self._record_end(update.hall, now)
         return was_active is not update.active
 
-    def apply_snapshot(self, evacuated: Iterable[Evacuation], revision: int, now: float) -> list[Evacuation]:
-        """Apply the full list of evacuated halls as of a revision, which ends all others; return the changes."""
-        listed = list(evacuated)
+    def apply_snapshot(self, evacuations: Iterable[Evacuation], revision: int, now: float) -> list[Evacuation]:
+        """Apply all evacuations known at a revision, and end older ones that are missing; return the changes."""
+        listed = list(evacuations)
         halls = {update.hall for update in listed}
         ended = [
             Evacuation(known.hall, revision, False)
@@ -99,7 +102,7 @@
         return [one for one in upstreams if not self.is_evacuated(one.hall)]
 
     def get_end_time(self, hall: str) -> float:
-        """Return when a hall's evacuation last ended, in monotonic seconds of this VM, or ``NEVER``."""
+        """Return when a hall's evacuation last ended, in seconds on this VM's monotonic clock, or ``NEVER``."""
         return self._ended_at.get(hall, NEVER)
 
     def list_evacuated(self) -> list[str]:
@@ -112,8 +115,8 @@
 
     def _has_room(self, hall: str) -> bool:
         """Return whether a report on one more hall can be kept; there is always room for halls in the settings."""
-        placed = self.places.regions
-        return hall in placed or sum(one not in placed for one in self._known) < MAX_UNCONFIGURED_HALLS
+        configured = self.places.regions
+        return hall in configured or sum(one not in configured for one in self._known) < MAX_UNCONFIGURED_HALLS
 
     def _record_end(self, hall: str, now: float) -> None:
         self.latest_end_at = now
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -57,7 +57,7 @@
 """Minimum seconds between a heartbeat and the next one that is sent early because of a change."""
 
 MIN_BACKLOG_INTERVAL_S = 0.08
-"""Minimum seconds between two messages on the prefill backlog."""
+"""Minimum seconds between two messages about the prefill backlog."""
 
 PEER_TIMEOUT_S = 1.8
 """Seconds without a message after which a connection is closed."""
@@ -66,7 +66,10 @@
 """Seconds for which a store watcher waits for the store to send what a peer already has."""
 
 EARLY_DIAL_DELAYS_S = 0.15, 0.3
-"""Seconds after the start at which peers are dialled again: those that started at the same time listen by then."""
+"""Seconds after the start at which peers are dialled again.
+
+VMs that started at the same time should be listening by then.
+"""
 
 CONNECT_TIMEOUT_S = 0.5
 """Seconds within which a connection to a peer must be established."""
@@ -84,15 +87,15 @@
 """
 
 MAX_REPEATED_MENTIONS = 8
-"""VMs drawn at random that a hello to another hall mentions again, in addition to those that are new to the peer."""
+"""Maximum number of members, drawn at random, that a hello to another hall repeats although the peer knows them."""
 
 MIN_FAILURE_RATE = 0.2
-"""Minimum share of failed requests for an upstream to be reported to peers."""
+"""Minimum failure rate at which an upstream is reported to peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class _VersionLag:
-    """The time at which a peer was found to have a newer version than this VM."""
+    """The version of this VM when a peer was found to have a newer one, and when that was."""
 
     own_version: int
     since: float
@@ -119,7 +122,7 @@
         self._is_aggregator = False
         """Whether this VM aggregates the reports of its hall; cached at each regular heartbeat."""
         self._reachable_share = 1.0
-        """Share of all VMs that are in contact with this one; cached at each regular heartbeat."""
+        """Share of all recent VMs that this one can reach; cached at each regular heartbeat."""
         self._last_hello_at = 0.0
         self._hello_interval = MIN_HELLO_INTERVAL_S
         self._version_lags: dict[str, _VersionLag] = {}
@@ -133,7 +136,7 @@
         self.newest_version = 0
         """The newest configuration version that any peer has announced."""
         self.is_store_unreachable: Callable[[], bool] = lambda: False
-        """Returns whether the store does not answer this VM."""
+        """Returns whether this VM considers the store unreachable."""
         self.usage: UsageGossip | None = None
         """Exchange of quota usage; None if disabled."""
         self.departures: DepartureGossip | None = None
@@ -330,13 +333,13 @@
             heartbeat, reading=self._select_backlog_in(connection.hall, heartbeat.reading or {})
         )
         changes = connection.sent.select_changes(adapted, self.clock.now())
-        if not connection.hall:  # the peer may be in this hall, where this field matters
+        if not connection.hall:  # the peer may turn out to be in this hall, where VMs need this field
             changes = msgspec.structs.replace(changes, turned_away=heartbeat.turned_away)
         if regular or changes != EMPTY_HEARTBEAT:
             connection.send(changes)
 
     def _select_backlog_in(self, hall: str, backlog: dict[str, int]) -> dict[str, int]:
-        """Return the part of the prefill backlog that is on the engines of a hall."""
+        """Return the part of the prefill backlog that belongs to engines in a hall."""
         return {name: tokens for name, tokens in backlog.items() if self._get_hall_of(name) == hall}
 
     def _get_hall_of(self, upstream: str) -> str:
@@ -346,14 +349,14 @@
     # --- fleet-wide figures ------------------------------------------------------------------------------------------
 
     def estimate_demand(self, service: Service) -> ServiceDemand:
-        """Return the estimated demand of all VMs for a service, extrapolated from recent reports."""
+        """Estimate the demand of all VMs for a service, extrapolated from recent reports."""
         assert service.engine is not None
         own = self.core.report_demand(service.name)
         now = self.clock.now()
         return self._fleet_demand.compute_service_demand(service.name, service.engine, own, self.membership.size, now)
 
     def get_reachable_share(self) -> float:
-        """Return the share of all VMs that are in contact with this one, as of the last regular heartbeat."""
+        """Return the share of all recent VMs that this one can reach, as of the last regular heartbeat."""
         return self._reachable_share
 
     # --- messages ----------------------------------------------------------------------------------------------------
@@ -378,7 +381,7 @@
                 self._handle_upstream_message(connection, message)
 
     def _handle_upstream_message(self, connection: PeerConnection, message: Message) -> None:
-        """Handle messages on single upstreams and on requests that crash them; pass on any other."""
+        """Handle messages about upstreams and about requests that crash them; delegate all others."""
         match message:
             case QuarantineUpdate():
                 self.core.quarantine_talk.handle_message(connection, message)
@@ -453,12 +456,12 @@
             self.membership.record_store_access(connection.address, store_unreachable=message.turned_away)
         self._apply_backlog(connection)
         faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
-        for upstream, share in faulty.items():
-            self.core.standings.get(UpstreamId(upstream)).apply_hint(share, now)
+        for upstream, rate in faulty.items():
+            self.core.standings.get(UpstreamId(upstream)).apply_hint(rate, now)
         self._apply_phase_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
-                connection.sent.reset_evacuations()  # an outdated peer may still hold an evacuation that has ended
+                connection.sent.reset_evacuations()  # an outdated peer may not know that an evacuation has ended
             source = f"peer {connection.vm}"
             self.core.take_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, whole=True)
         self.newest_version = max(self.newest_version, received.version)
@@ -476,15 +479,15 @@
             self.core.take_change(UpstreamId(upstream), change, f"peer {connection.vm}")
 
     def _should_request(self, what: str, own: int, theirs: int) -> bool:
-        """Return whether to request a newer version now; a watcher first waits for the store to send it."""
+        """Return whether to request a newer version from a peer now; a watcher first waits for the store to send it."""
         if theirs <= own:
             return False
         now = self.clock.now()
-        lacking = self._version_lags.get(what)
-        if lacking is None or lacking.own_version != own:
+        lag = self._version_lags.get(what)
+        if lag is None or lag.own_version != own:
             self._version_lags[what] = _VersionLag(own, now)
             return own == 0 or not self.membership.is_watcher()
-        if now - lacking.since < STORE_GRACE_S:
+        if now - lag.since < STORE_GRACE_S:
             return False
         self._version_lags[what] = _VersionLag(own, now)
         return True
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -1,4 +1,4 @@
-"""Messages between VMs. Each is encoded as msgpack behind a length prefix of four bytes."""
+"""Messages between VMs. Each is encoded as msgpack and preceded by a four-byte length prefix."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 """Maximum number of limits, and of request counts, in one message."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest zlib level; documents are repetitive enough to compress well with it."""
+"""The fastest zlib level; configurations are repetitive enough to compress well with it."""
 
 
 class DemandReport(msgspec.Struct, array_like=True, frozen=True):
@@ -46,15 +46,15 @@
     mean_prompt_tokens: float = 0.0
     """Mean tokens per prompt."""
     mean_answer_tokens: float = 0.0
-    """Mean tokens per answer."""
+    """Mean tokens per output."""
     mean_residence_s: float = 0.0
     """Mean seconds for which a stream holds decode memory."""
     prefill_rate: float = 0.0
-    """Prompt tokens per second that a prefill engine processes; 0 if not known."""
+    """Prompt tokens per second that a prefill engine processes; 0 if unknown."""
     prefill_overhead_s: float = 0.0
     """Seconds that a prefill call takes in addition to processing the prompt."""
     decode_prefill_rate: float = 0.0
-    """Prompt tokens per second that a decode engine processes; 0 if not known."""
+    """Prompt tokens per second that a decode engine processes; 0 if unknown."""
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
@@ -75,11 +75,14 @@
     demands: dict[str, DemandReport] = {}
     """Demand by service; that of omitted services is unchanged."""
     faulty: dict[str, float] = {}
-    """Share of the sender's recent requests that failed, by upstream."""
+    """Recent failure rate of the sender's requests, from 0 to 1, by upstream."""
     changing: dict[str, PhaseChangeUpdate] = {}
     """Engines that were ordered to change their phase."""
     reading: dict[str, int] | None = None
-    """Prompt tokens of the sender that are yet to be processed, by engine; to another hall, only for its engines."""
+    """Prompt tokens of the sender that are yet to be processed, by engine.
+
+    A heartbeat to another hall covers only the engines in that hall.
+    """
     readings: list[PrefillSample] = []
     """Prompts that engines processed for the sender since its last heartbeat."""
     evacuations: list[Evacuation] | None = None
@@ -104,16 +107,16 @@
     own: RatesByWorkspace | None = None
     """Usage by the sender's own callers; None if the receiver does not need it."""
     halls: list[HallUsage] = []
-    """Sums per hall that the receiver may not have."""
+    """Total usage per hall, for the halls whose total the receiver may not have."""
     direct: list[str] | None = None
-    """Halls whose sums the sender receives from VMs there; None if unchanged."""
+    """Halls whose sums the sender receives directly from VMs in them; None if unchanged."""
 
 
 class QuarantineUpdate(msgspec.Struct, tag="quarantine", frozen=True):
-    """What the receiver may not know of requests that crash upstreams."""
+    """Updates on requests that crash upstreams, limited to those that the receiver may not have."""
 
     ends: list[CrashUpdate]
-    """Crashes of upstreams, with the runs that were interrupted."""
+    """Crashes of upstreams, each with the requests that it interrupted."""
     cleared: list[ClearUpdate]
     """Requests that completed without a crash."""
     holds: list[HoldUpdate]
@@ -121,7 +124,7 @@
 
 
 class DepartureUpdate(msgspec.Struct, tag="departures", frozen=True):
-    """Upstreams that announced their departure in a response and are not yet listed as departing by the store."""
+    """Upstreams that announced their departure in a response and that the store does not list as departing yet."""
 
     lives: list[Life]
 
@@ -196,14 +199,14 @@
 
 
 def pack_configuration(raw: bytes) -> PackedConfiguration:
-    """Compress a document into a message."""
+    """Compress a configuration into a message."""
     return PackedConfiguration(zlib.compress(raw, COMPRESSION_LEVEL))
 
 
 def unpack_configuration(message: PackedConfiguration) -> bytes:
-    """Decompress the document in a message.
+    """Decompress the configuration in a message.
 
-    :raises MessageError: if it cannot be decompressed, or is too long
+    :raises MessageError: if it cannot be decompressed or is too large
     """
     unpacker = zlib.decompressobj()
     try:
@@ -211,5 +214,5 @@
     except zlib.error as problem:
         raise MessageError(str(problem)) from None
     if not unpacker.eof:
-        raise MessageError("compressed document is truncated or too large")
+        raise MessageError("compressed configuration is truncated or too large")
     return raw
--- a/src/beamhatch/relay/fleet/membership.py
+++ b/src/beamhatch/relay/fleet/membership.py
@@ -1,7 +1,7 @@
 """Fleet membership: which VMs are alive, which peers this VM connects to, and which VMs watch the store.
 
-Members send each other the members that they know, with the time since each was last seen. All members rank the VMs of
-a hall alike; the highest-ranked ones watch the store, and the others connect to them.
+Members exchange lists of the members that they know, with the time since each was last seen. All members rank the VMs
+of a hall alike; the highest-ranked ones watch the store, and the others connect to them.
 """
 
 from __future__ import annotations
@@ -54,9 +54,9 @@
 
 
 HALL_TIMEOUT_S = 25.0
-"""Seconds after which a hall none of whose VMs was seen counts as out of contact.
+"""Seconds after which a hall counts as unreachable if none of its VMs was seen.
 
-It spans two hello intervals, as news of a hall may pass through another VM.
+It exceeds two hello intervals, because a hall may be reported by way of another VM.
 """
 
 
@@ -75,14 +75,14 @@
 
     member: Member
     age: float
-    """Seconds since any VM last heard from it."""
+    """Seconds since any VM last received a message from it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _KnownMember:
     member: Member
     last_seen_at: float
-    """When any VM last heard from it."""
+    """When any VM last received a message from it."""
 
 
 @dataclass(slots=True)
@@ -103,9 +103,9 @@
     """Peer addresses from the settings, which may be outdated."""
     _known: dict[str, _KnownMember] = field(default_factory=dict)
     _unreachable: dict[str, _UnreachableAddress] = field(default_factory=dict)
-    """Addresses whose last connection failed."""
+    """Addresses that did not answer when last dialled, or whose connection timed out."""
     _last_seen_at: dict[str, float] = field(default_factory=dict)
-    """When any VM last heard from each address, including those that are no longer members."""
+    """When any VM last received a message from each address, including those that are no longer members."""
     _without_store: set[str] = field(default_factory=set)
     """Addresses of members that reported the store as unreachable."""
 
@@ -138,13 +138,13 @@
         self._unreachable.pop(address, None)
 
     def record_unreachable(self, address: str, now: float) -> None:
-        """Record that an address did not answer; it counts as dead until it does."""
-        known = self._unreachable.get(address)
-        failures = 1 if known is None else known.failures + 1
-        if known is None or failures <= len(QUICK_RETRY_DELAYS_S):
+        """Record that an address did not answer; the VM counts as unreachable until it does."""
+        previous = self._unreachable.get(address)
+        failures = 1 if previous is None else previous.failures + 1
+        if previous is None or failures <= len(QUICK_RETRY_DELAYS_S):
             delay = QUICK_RETRY_DELAYS_S[failures - 1]
         else:
-            delay = min(MAX_RETRY_DELAY_S, max(FIRST_RETRY_DELAY_S, 2 * known.delay))
+            delay = min(MAX_RETRY_DELAY_S, max(FIRST_RETRY_DELAY_S, 2 * previous.delay))
         self._unreachable[address] = _UnreachableAddress(now + delay * random.uniform(0.7, 1.3), delay, failures)
 
     def record_store_access(self, address: str, *, store_unreachable: bool) -> None:
@@ -155,7 +155,7 @@
             self._without_store.discard(address)
 
     def drop_expired(self, now: float) -> None:
-        """Remove members and addresses that were not seen recently."""
+        """Remove members and addresses that were not seen for longer than they are kept."""
         self._known = {address: one for address, one in self._known.items() if now - one.last_seen_at <= MEMBER_TTL_S}
         self._last_seen_at = {name: at for name, at in self._last_seen_at.items() if now - at <= ADDRESS_RETENTION_S}
         named = {*self._known, *self.seeds}
@@ -187,15 +187,15 @@
         return [_make_mention(one, now) for one in [*new[:limit], *random.sample(old, max_repeated)]]
 
     def list_recent_addresses(self, now: float) -> list[str]:
-        """Return the addresses of other VMs seen within the retention period, including those out of contact."""
+        """Return the addresses of other VMs seen within the retention period, including those now unreachable."""
         return [address for address, seen_at in self._last_seen_at.items() if now - seen_at <= ADDRESS_RETENTION_S]
 
     def count_recent(self, now: float) -> int:
-        """Return the number of VMs seen within the retention period, including this one and those out of contact."""
+        """Return the number of VMs seen within the retention period, including this one and those now unreachable."""
         return 1 + len(self.list_recent_addresses(now))
 
     def compute_reachable_share(self, connected_halls: Collection[str], now: float) -> float:
-        """Return the share of all recent VMs that are in contact with this one, itself included.
+        """Return the share of the VMs seen within the retention period that this one can reach, counting itself.
 
         :param connected_halls: halls of the VMs that this one has a connection to
         """
@@ -204,10 +204,10 @@
             return 1.0
         if not connected_halls:
             return 1 / vms
-        silent = self._list_unreachable_halls(now)
+        unreachable = self._list_unreachable_halls(now)
         if all(hall == self.own.hall for hall in connected_halls):  # no other hall can be reached
-            silent |= {one.member.hall for one in self._known.values()} - {self.own.hall}
-        lost = sum(one.member.hall in silent for one in self._known.values())
+            unreachable |= {one.member.hall for one in self._known.values()} - {self.own.hall}
+        lost = sum(one.member.hall in unreachable for one in self._known.values())
         forgotten = vms - 1 - len(self._known)
         return (vms - lost - forgotten) / vms
 
@@ -222,11 +222,11 @@
 
     def is_watcher(self) -> bool:
         """Return whether this VM watches the store for its hall, as one of its watchers or as a standby."""
-        ahead = [one for one in self._list_members() if one.hall == self.own.hall and self._ranks_higher(one)]
-        if len(ahead) < WATCHERS_PER_HALL:
+        higher = [one for one in self._list_members() if one.hall == self.own.hall and self._ranks_higher(one)]
+        if len(higher) < WATCHERS_PER_HALL:
             return True
-        first = sorted(ahead, key=_rank)[:WATCHERS_PER_HALL]
-        return len(ahead) < WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL and all(
+        first = sorted(higher, key=_rank)[:WATCHERS_PER_HALL]
+        return len(higher) < WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL and all(
             one.address in self._without_store for one in first
         )
 
@@ -239,7 +239,7 @@
         return [member for members in by_hall.values() for member in sorted(members, key=_rank)[:WATCHERS_PER_HALL]]
 
     def count_higher_ranked(self) -> int:
-        """Return the number of members of the fleet that rank higher than this VM and are not known to be dead."""
+        """Return the number of members of all halls that rank higher than this VM, without unreachable ones."""
         return sum(self._ranks_higher(one) for one in self._list_members())
 
     def _list_members(self) -> list[Member]:
@@ -266,8 +266,8 @@
     def _list_counterparts(self, now: float) -> list[str]:
         """Return the members of other halls that a watcher prefers to connect to: the watchers of the same rank there.
 
-        Watchers of different ranks choose different halls, so that up to five halls are all connected directly and
-        aggregates of one hall reach the aggregators of another without an intermediate VM.
+        Watchers of different ranks choose different halls. The watchers of a few halls are thus all connected directly,
+        and aggregates of one hall reach the aggregators of another without an intermediate VM.
         """
         by_hall: defaultdict[str, list[Member]] = defaultdict(list)
         for member in self._list_members():
@@ -292,7 +292,7 @@
         ]
 
     def _list_unknown_seeds(self, now: float) -> list[str]:
-        """Return seeds to dial that are not members, in case the fleet has split into parts that ignore each other."""
+        """Return seeds to dial that are not members, in case the fleet has split into separate parts."""
         return [
             seed
             for seed in self.seeds
@@ -300,8 +300,8 @@
         ]
 
     def _may_dial(self, address: str, now: float) -> bool:
-        unreached = self._unreachable.get(address)
-        return unreached is None or now >= unreached.retry_at
+        failed = self._unreachable.get(address)
+        return failed is None or now >= failed.retry_at
 
 
 def _make_mention(known: _KnownMember, now: float) -> Mention:
--- a/src/beamhatch/relay/fleet/peer_connection.py
+++ b/src/beamhatch/relay/fleet/peer_connection.py
@@ -62,7 +62,7 @@
         self.vm = ""
         """The peer's name; empty until its first hello."""
         self.hall = ""
-        """The peer's hall; before its first hello, as other members reported it, or empty."""
+        """The peer's hall. Until its first hello, the hall that other members reported, or empty if there is none."""
         self.address = ""
         """Where the peer listens; empty until its first hello."""
         self.last_received_at = 0.0
@@ -133,5 +133,5 @@
         return PeerConnection(self._handler, self._address)
 
     def clientConnectionFailed(self, _: Any, reason: Failure) -> None:
-        """Report the failed attempt to the handler."""
+        """Report the failed connection attempt to the handler."""
         self._handler.record_unreachable(self._address)
--- a/src/beamhatch/relay/fleet/peer_words.py
+++ b/src/beamhatch/relay/fleet/peer_words.py
@@ -11,7 +11,7 @@
 Value = TypeVar("Value")
 
 VALUE_TTL_S = 1.8
-"""Seconds after which a value that was not sent again is ignored."""
+"""Seconds after which a value is ignored unless it was sent again."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -22,10 +22,10 @@
 """Seconds for which the store holds a watch open when nothing changes."""
 
 IDLE_INTERVAL_S = 0.25
-"""Seconds between two checks by a VM that does not watch whether it should."""
+"""Interval in seconds at which a VM that is not watching checks whether it should."""
 
 STARTUP_POLL_INTERVAL_S = 0.02
-"""Seconds between two checks at the start whether peers have sent the data."""
+"""Interval in seconds at which a starting VM checks whether peers have sent the data."""
 
 MIN_RETRY_DELAY_S = 0.15
 """Seconds before the first retry after the store failed; the delay doubles with each failure."""
@@ -83,7 +83,7 @@
             running.cancel()
 
     def restart_watch(self) -> None:
-        """Cancel the pending watch and start a new one, as the store may have lost the answer during an outage."""
+        """Cancel the pending watch and start a new one, because its response may have been lost during an outage."""
         if self._waiting is not None and not self._waiting.called:
             self._renewing = True
             self._waiting.cancel()
@@ -126,7 +126,7 @@
             await sleep(self.core.clock, STARTUP_POLL_INTERVAL_S)
 
     async def _watch_from(self, at: int) -> None:
-        """Watch from a revision on until the store fails, its history is gone, or other VMs watch.
+        """Watch from a revision on until the store fails, no longer has its history, or other VMs watch instead.
 
         After a failure the caller reads everything again: a read fails within seconds if the store still does not
         answer, whereas a new watch would fail only after its long timeout.
@@ -206,7 +206,7 @@
     def _apply(self, directives: DirectiveNews, *, whole: bool) -> None:
         if directives.document is not None:
             self.core.take_document(directives.document, "store")
-        # an unsettled list ends no evacuations: peers may know some that the operators have yet to write again
+        # a store that was just restored may lack evacuations that peers know: do not end those
         as_of = directives.at if directives.settled else 0
         self.core.take_evacuations(directives.evacuations, "store", as_of=as_of, whole=whole)
 
@@ -226,7 +226,7 @@
         listing = await self.store.read_listing(self.core.listing.find_oldest())
         if isinstance(listing, StoreLost):
             return listing
-        # an unsettled list removes no upstreams: peers may know some that have yet to write their entries again
+        # a store that was just restored may lack upstreams that peers know: do not remove those
         applied = listing if listing.settled else replace(listing, at=0)
         self.core.take_listing(applied, "store", whole=listing.settled or not self.core.listing.complete)
         return listing.at
--- a/src/beamhatch/relay/fleet/throttle.py
+++ b/src/beamhatch/relay/fleet/throttle.py
@@ -11,7 +11,7 @@
 
 
 class Throttle:
-    """A function call that coalesces all requests within a minimum interval."""
+    """A function call limited to once per interval, which combines the requests made in the meantime."""
 
     def __init__(self, clock: Clock, min_interval: float, function: Callable[[], None]) -> None:
         """Create a throttle for a function.
@@ -25,7 +25,7 @@
         self._called_at = float("-inf")
 
     def request(self) -> None:
-        """Schedule a call as soon as the interval allows, unless one is pending."""
+        """Schedule a call for as soon as the interval allows, unless one is pending."""
         if not self._pending:
             self._pending = True
             wait = self._called_at + self._min_interval - self._clock.now()
--- a/tests/relay/fleet/test_evacuations.py
+++ b/tests/relay/fleet/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests that evacuations converge whatever the source and order of reports."""
+"""Tests that all VMs arrive at the same evacuations, whatever the source and order of reports."""
 
 from __future__ import annotations
 
@@ -56,10 +56,10 @@
 
 
 def test_unconfigured_halls_are_bounded_and_configured_halls_always_kept() -> None:
-    evacuations = Evacuations(Places({"placed": RegionName("west")}))
+    evacuations = Evacuations(Places({"configured": RegionName("west")}))
     for number in range(3 * MAX_UNCONFIGURED_HALLS):
-        evacuations.apply(Evacuation(f"odd-{number}", number + 1, True), 1.0)
-    assert evacuations.apply(Evacuation("placed", 1000, True), 1.0)
+        evacuations.apply(Evacuation(f"unconfigured-{number}", number + 1, True), 1.0)
+    assert evacuations.apply(Evacuation("configured", 1000, True), 1.0)
     assert len(evacuations.list_evacuated()) == MAX_UNCONFIGURED_HALLS + 1
 
 
--- a/tests/relay/fleet/test_membership.py
+++ b/tests/relay/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of watcher selection, connection targets and contact shares."""
+"""Tests of watcher selection, connection targets and reachable shares."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def find_highest_ranked(members: list[Member]) -> Member:
-    """Return the highest-ranked member."""
+    """Return the member that finds no other ranked above itself."""
     return next(one for one in members if make_membership(one, members).count_higher_ranked() == 0)
 
 
@@ -168,16 +168,18 @@
     first = [one.own.address for one in memberships if one.is_watcher()]
     assert len(first) == WATCHERS_PER_HALL
 
-    def report(addresses: list[str], *, turned_away: bool) -> int:
+    def report(addresses: list[str], *, store_unreachable: bool) -> int:
         for membership in memberships:
             for address in addresses:
-                membership.record_store_access(address, store_unreachable=turned_away)
+                membership.record_store_access(address, store_unreachable=store_unreachable)
         return sum(membership.is_watcher() for membership in memberships)
 
-    assert report(first[:1], turned_away=True) == WATCHERS_PER_HALL
-    assert report(first, turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
-    assert report([one.address for one in fleet], turned_away=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
-    assert report(first[1:], turned_away=False) == WATCHERS_PER_HALL
+    assert report(first[:1], store_unreachable=True) == WATCHERS_PER_HALL
+    assert report(first, store_unreachable=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
+    assert (
+        report([one.address for one in fleet], store_unreachable=True) == WATCHERS_PER_HALL + STANDBY_WATCHERS_PER_HALL
+    )
+    assert report(first[1:], store_unreachable=False) == WATCHERS_PER_HALL
 
 
 @pytest.mark.parametrize("halls", [2, 3, 4, 5, 6])
--- a/tests/relay/fleet/test_throttle.py
+++ b/tests/relay/fleet/test_throttle.py
@@ -1,4 +1,4 @@
-"""Tests that throttled calls keep their minimum interval."""
+"""Tests that throttled calls are at least the minimum interval apart."""
 
 from __future__ import annotations
 
