--- a/tests/relay/fleet/test_far_words.py
+++ b/tests/relay/fleet/test_far_words.py
@@ -132,7 +132,7 @@
     assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, changing=update), 1.0).changing == update
 
 
-def test_evacuations_are_sent_when_one_begins_or_ends() -> None:
+def test_evacuations_are_sent_once_known_and_when_one_begins_or_ends() -> None:
     sent, received = SentState(), ReceivedState()
     begun, ended = Evacuation("a", 5, True), Evacuation("a", 9, False)
     assert send_and_apply(sent, received, replace_fields(FULL_HEARTBEAT, evacuations=None), 0.0).evacuations is None
