--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -22,10 +22,10 @@
 """Seconds for which the store holds a watch open when nothing changes."""
 
 IDLE_INTERVAL_S = 0.25
-"""Seconds between two checks by a VM that does not watch whether it should."""
+"""Interval in seconds at which a VM that is not watching checks whether it should."""
 
 STARTUP_POLL_INTERVAL_S = 0.02
-"""Seconds between two checks at the start whether peers have sent the data."""
+"""Interval in seconds at which a starting VM checks whether peers have sent the data."""
 
 MIN_RETRY_DELAY_S = 0.15
 """Seconds before the first retry after the store failed; the delay doubles with each failure."""
@@ -41,7 +41,7 @@
     """A watcher of one kind of data in the store; ``name`` identifies it in logs and metrics."""
 
     name = ""
-    settle_delay_s = 0.0
+    batch_delay_s = 0.0
     """Seconds between a change and the next watch, so that one call returns several changes."""
 
     def __init__(
@@ -83,7 +83,7 @@
             running.cancel()
 
     def restart_watch(self) -> None:
-        """Cancel the pending watch and start a new one, as the store may have lost the answer during an outage."""
+        """Cancel the pending watch and start a new one, because its response may have been lost during an outage."""
         if self._waiting is not None and not self._waiting.called:
             self._renewing = True
             self._waiting.cancel()
@@ -117,7 +117,7 @@
                 continue
             has_read = True
             self._record_connected(at)
-            await self._follow(at)
+            await self._watch_from(at)
 
     async def _await_peers(self) -> None:
         """Wait up to the peer timeout for peers to send the data."""
@@ -125,8 +125,8 @@
         while not self.has_data() and self.core.clock.now() < end:
             await sleep(self.core.clock, STARTUP_POLL_INTERVAL_S)
 
-    async def _follow(self, at: int) -> None:
-        """Watch from a revision on until the store fails, its history is gone, or other VMs watch.
+    async def _watch_from(self, at: int) -> None:
+        """Watch from a revision on until the store fails, no longer has its history, or other VMs watch instead.
 
         After a failure the caller reads everything again: a read fails within seconds if the store still does not
         answer, whereas a new watch would fail only after its long timeout.
@@ -143,7 +143,7 @@
                 return
             self._record_connected(result)
             if result > at:
-                await sleep(self.core.clock, self.settle_delay_s)
+                await sleep(self.core.clock, self.batch_delay_s)
             at = result
 
     async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
@@ -206,7 +206,7 @@
     def _apply(self, directives: DirectiveNews, *, whole: bool) -> None:
         if directives.document is not None:
             self.core.take_document(directives.document, "store")
-        # an unsettled list ends no evacuations: peers may know some that the operators have yet to write again
+        # a store that was just restored may lack evacuations that peers know: do not end those
         as_of = directives.at if directives.settled else 0
         self.core.take_evacuations(directives.evacuations, "store", as_of=as_of, whole=whole)
 
@@ -215,7 +215,7 @@
     """A watcher of the upstream listing."""
 
     name = "listing"
-    settle_delay_s = 0.2
+    batch_delay_s = 0.2
 
     def has_data(self) -> bool:
         """Return whether the listing is complete."""
@@ -226,7 +226,7 @@
         listing = await self.store.read_listing(self.core.listing.find_oldest())
         if isinstance(listing, StoreLost):
             return listing
-        # an unsettled list removes no upstreams: peers may know some that have yet to write their entries again
+        # a store that was just restored may lack upstreams that peers know: do not remove those
         applied = listing if listing.settled else replace(listing, at=0)
         self.core.take_listing(applied, "store", whole=listing.settled or not self.core.listing.complete)
         return listing.at
