--- a/benchmarks/own_words.py
+++ b/benchmarks/own_words.py
@@ -69,7 +69,7 @@
             asked_at, rests = news.pop(0)
             rests.record(life, REST, asked_at)
         rests = random.choice(known)
-        if rests.may_send(life, now):
+        if rests.may_send_to_incarnation(life, now):
             rests.begin_request(life, now)
             arrivals += 1
             news.append((now + ROUND_TRIP, rests))
--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.distance import PLAIN_BYTES, UNKNOWN_CACHE_TRANSFER, CacheTransfer, DistanceCosts
+from beamhatch.relay.choosing.distance import PLAIN_REQUEST_BYTES, UNKNOWN_CACHE_TRANSFER, CacheTransfer, DistanceCosts
 from beamhatch.relay.choosing.pace import PrefillEstimators
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
 from beamhatch.relay.choosing.spill import CostSpillPolicy, SpillPolicy
@@ -27,7 +27,7 @@
 FAILURE_COST_S = 1.5
 """Cost of an upstream whose failure rate is 1."""
 
-LAPSE_COST_S = 2.0
+DROPPED_CACHE_COST_S = 2.0
 """Cost of a prefill engine whose handles lapse at once, so that the prompt has to be prefilled again."""
 
 BUSY_COST_S = 1.0
@@ -59,18 +59,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class RequestRequirements:
     """What a request requires of an upstream."""
 
-    identity: str
+    affinity_key: str
     prompt_tokens: int = 0
-    tokens: int = 0
+    total_tokens: int = 0
     """Tokens of prompt and answer together."""
     cache: CacheTransfer = UNKNOWN_CACHE_TRANSFER
     """Size and transfer time of the prompt's KV cache."""
     body_bytes: int = 0
     """Size of the request body."""
-    answer_bytes: int = 0
+    response_bytes: int = 0
     """Expected size of the answer."""
     decode_hall: str = ""
     """Hall of the decode engine that has reserved memory for the request; empty if none has yet."""
@@ -110,7 +110,7 @@
 
     @abstractmethod
     def choose_prefill(
-        self, usable: Sequence[Upstream], need: Need, tried: set[UpstreamId], now: float
+        self, usable: Sequence[Upstream], need: RequestRequirements, tried: set[UpstreamId], now: float
     ) -> Upstream | None:
         """Return a prefill engine, or None if there is no candidate."""
 
@@ -118,7 +118,7 @@
     def choose_decode(
         self,
         usable: Sequence[Upstream],
-        need: Need,
+        need: RequestRequirements,
         tried: set[UpstreamId],
         now: float,
         *,
@@ -132,16 +132,16 @@
         """
 
     @abstractmethod
-    def predict_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
+    def predict_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
         """Return the seconds until a prefill engine has processed a prompt."""
 
     @abstractmethod
-    def predict_decode_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
+    def predict_decode_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
         """Return the seconds until a decode engine has prefilled a prompt itself."""
 
-    def is_unreachable(self, upstream: Upstream, now: float) -> bool:
+    def should_skip(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream is known to be unreachable and was probed just now."""
-        return self.stats.get(upstream.id).is_unreachable(now)
+        return self.stats.get(upstream.id).should_skip(now)
 
     @abstractmethod
     def choose_plain(self, usable: Sequence[Upstream], tried: set[UpstreamId], now: float) -> Upstream | None:
@@ -152,14 +152,14 @@
     """Chooser of the upstream that is predicted to finish first, with costs added for failures and distance."""
 
     def choose_prefill(
-        self, usable: Sequence[Upstream], need: Need, tried: set[UpstreamId], now: float
+        self, usable: Sequence[Upstream], need: RequestRequirements, tried: set[UpstreamId], now: float
     ) -> Upstream | None:
         """Return the prefill engine with the least predicted cost, or None if there is no candidate."""
         decode_hall = need.decode_hall or self.hall
         candidates = self._sample(usable, Phase.PREFILL, tried, now, decode_hall)
         if not candidates:
             return None
-        preferred = max(candidates, key=lambda one: hash_fraction(f"{need.identity}/{one.id}"))
+        preferred = max(candidates, key=lambda one: hash_fraction(f"{need.affinity_key}/{one.id}"))
 
         def compute_hall_cost(hall: str) -> float:
             request_cost = self.distances.compute_request_cost(hall, need.body_bytes)
@@ -175,22 +175,22 @@
 
         return min(candidates, key=compute_cost)
 
-    def predict_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
+    def predict_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
         """Return the seconds until a prefill engine has processed a prompt, with the cost of its failures."""
         stats = self.stats.get(upstream.id)
         queued_tokens = self._estimate_tokens_ahead(upstream, need, now)
-        lapse_cost = LAPSE_COST_S if now < stats.lapsed_until else 0.0
+        lapse_cost = DROPPED_CACHE_COST_S if now < stats.drops_caches_until else 0.0
         model = self.prefill_models.get_prefill(upstream.service).model
         return model.predict(queued_tokens + need.prompt_tokens) + lapse_cost + self._compute_failure_cost(stats, now)
 
-    def predict_decode_prefill(self, upstream: Upstream, need: Need, now: float) -> float:
+    def predict_decode_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
         """Return the seconds until a decode engine has prefilled a prompt itself, with the cost of its failures."""
         stats = self.stats.get(upstream.id)
         queued_tokens = stats.pending_prefill_tokens + self.peer_backlog.count_tokens(upstream.id, now)
         model = self.prefill_models.get_decode(upstream.service).model
         return model.predict(queued_tokens + need.prompt_tokens) + self._compute_failure_cost(stats, now)
 
-    def _estimate_tokens_ahead(self, upstream: Upstream, need: Need, now: float) -> float:
+    def _estimate_tokens_ahead(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
         """Return the tokens queued at a prefill engine, by this VM's requests, the engine's load and peers' reports."""
         stats = self.stats.get(upstream.id)
         others = max(
@@ -201,7 +201,7 @@
     def choose_decode(
         self,
         usable: Sequence[Upstream],
-        need: Need,
+        need: RequestRequirements,
         tried: set[UpstreamId],
         now: float,
         *,
@@ -216,12 +216,12 @@
             refused = set(need.refused_halls)
             candidates = self._spill.filter(
                 candidates,
-                self.distances.measure,
+                self.distances.get_distance,
                 lambda one: 1.0 if one.hall in refused else self._estimate_load(one, now),
             )
 
         def compute_hall_cost(hall: str) -> float:
-            cost = self.distances.compute_request_cost(hall, need.body_bytes + need.answer_bytes)
+            cost = self.distances.compute_request_cost(hall, need.body_bytes + need.response_bytes)
             if handle is not None:
                 cost += self.distances.compute_transfer_cost(handle.upstream.hall, hall, need.cache)
             if refusals and self._spill_enabled:
@@ -233,7 +233,7 @@
         def compute_cost(one: Upstream) -> float:
             stats = self.stats.get(one.id)
             running = stats.running + stats.estimate_other_requests(now)
-            full = FULL_COST_S if stats.tokens + need.tokens > MAX_KV_FILL * kv_tokens else 0.0
+            full = FULL_COST_S if stats.tokens + need.total_tokens > MAX_KV_FILL * kv_tokens else 0.0
             cold = self.compute_cold_cost(one, now)
             return (
                 running * DECODE_STEP_COST_S
@@ -254,7 +254,8 @@
         """Return the replica with the shortest predicted time, or None if there is no candidate."""
         candidates = self._sample(usable, None, tried, now, self.hall)
         hall_costs = {
-            hall: self.distances.compute_request_cost(hall, PLAIN_BYTES) for hall in {one.hall for one in candidates}
+            hall: self.distances.compute_request_cost(hall, PLAIN_REQUEST_BYTES)
+            for hall in {one.hall for one in candidates}
         }
 
         def compute_cost(one: Upstream) -> float:
--- a/src/beamhatch/relay/choosing/cold_gate.py
+++ b/src/beamhatch/relay/choosing/cold_gate.py
@@ -16,7 +16,7 @@
 WINDOW_S = 1.02
 """Seconds over which sent requests are counted: the second of the limit, plus timer granularity."""
 
-HELD_RETRY_S = 0.25
+RESERVED_RETRY_S = 0.25
 """Seconds until the next check if all room is reserved by requests that have not been sent yet."""
 
 STARTUP_DELAY_S = 2.0
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdBound:
+class ColdLimit:
     """Limit on the requests that may reach a cold upstream in any second, over all VMs."""
 
     overage: float = 1.0
@@ -56,7 +56,7 @@
 class KnownVms:
     """Access to the VMs that one VM knows of."""
 
-    own: str
+    own_name: str
     """Name of this VM, which a restart does not change."""
     list_others: Callable[[float], Sequence[str]]
     """Returns the names of recently seen VMs at a time, connected or not."""
@@ -75,7 +75,7 @@
         """Return whether one more request may be sent now, without counting it."""
 
     @abstractmethod
-    def hold(self, upstream: UpstreamId, now: float) -> None:
+    def reserve(self, upstream: UpstreamId, now: float) -> None:
         """Reserve room for a request that is to be sent to a cold upstream later."""
 
     @abstractmethod
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class Permit:
+class ColdPermit:
     """Reserved room for one request at a cold upstream, until the request is sent or dropped."""
 
     gate: ColdGate
@@ -119,7 +119,7 @@
         """Return True."""
         return True
 
-    def hold(self, upstream: UpstreamId, now: float) -> None:
+    def reserve(self, upstream: UpstreamId, now: float) -> None:
         """Do nothing."""
 
     def release(self, upstream: UpstreamId, now: float) -> None:
@@ -150,15 +150,15 @@
         excess = self.count(now) - limit
         if excess < 0:
             return 0.0
-        return self.times[excess] + WINDOW_S - now if excess < len(self.times) else HELD_RETRY_S
+        return self.times[excess] + WINDOW_S - now if excess < len(self.times) else RESERVED_RETRY_S
 
 
 class CountingGate(ColdGate):
     """Gate that counts sent requests in a sliding window; subclasses decide how many are allowed, and when."""
 
-    def __init__(self, vms: KnownVms, bound: ColdBound, started: float) -> None:
+    def __init__(self, vms: KnownVms, limit: ColdLimit, started: float) -> None:
         self.vms = vms
-        self.bound = bound
+        self.limit = limit
         self._startup_ends_at = started + STARTUP_DELAY_S
         self._discovery_ends_at = started + DISCOVERY_S
         self._logs: dict[UpstreamId, _SendLog] = {}
@@ -195,7 +195,7 @@
         log = self._logs.get(upstream.id)
         return (0 if log is None else log.count(now)) < self.count_allowed(upstream, terms, now)
 
-    def hold(self, upstream: UpstreamId, now: float) -> None:
+    def reserve(self, upstream: UpstreamId, now: float) -> None:
         """Reserve room for a request."""
         log = self._get_log(upstream, now)
         log.held += 1
@@ -240,7 +240,7 @@
             return
         self._refreshed_at = now
         self.on_view_refreshed()
-        others = [name for name in self.vms.list_others(now) if name != self.vms.own]
+        others = [name for name in self.vms.list_others(now) if name != self.vms.own_name]
         if set(others) != set(self._others):
             self._others = others
             self.on_view_changed()
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -31,7 +31,7 @@
 Far above the cost of a KV cache's byte, since caches have links of their own.
 """
 
-PLAIN_BYTES = 2_000
+PLAIN_REQUEST_BYTES = 2_000
 """Bytes of a plain request and its answer, with headers."""
 
 EVENT_BYTES = 150
@@ -50,7 +50,7 @@
     enabled: bool = True
     """False if distance costs nothing."""
 
-    def measure(self, hall: str) -> Distance:
+    def get_distance(self, hall: str) -> Distance:
         """Return the distance of a hall from this VM's hall."""
         return self.places.measure(self.hall, hall)
 
@@ -58,7 +58,7 @@
         """Return the cost of a request to a hall: the round trip, and the bytes of the caller that cross."""
         if not self.enabled:
             return 0.0
-        distance = self.measure(hall)
+        distance = self.get_distance(hall)
         return ROUND_TRIP_S[distance] + caller_bytes * CALLER_BYTE_COST_S * BYTE_COST_FACTORS[distance]
 
     def compute_transfer_cost(self, source: str, target: str, cache: CacheTransfer) -> float:
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.cold_gate import ColdGate, Permit, UnlimitedGate
+from beamhatch.relay.choosing.cold_gate import ColdGate, ColdPermit, UnlimitedGate
 from beamhatch.relay.choosing.rests import Backoffs
 from beamhatch.relay.fleet.evacuations import Evacuations
 from beamhatch.relay.limits.limits import LimitPermit, Limits
@@ -39,7 +39,7 @@
 class SendPermit:
     """Reserved room for one request at an upstream that is cold, has announced a limit, or both."""
 
-    cold: Permit | None
+    cold: ColdPermit | None
     limited: LimitPermit | None
 
     def use(self, now: float) -> None:
@@ -69,7 +69,7 @@
     limits: Limits = field(default_factory=Limits)
 
     def get_obstacle(
-        self, upstream: Upstream, regions: Regions, cold: ColdTerms | None, now: float, *, owed: bool = False
+        self, upstream: Upstream, regions: Regions, cold: ColdTerms | None, now: float, *, is_retry: bool = False
     ) -> Obstacle | None:
         """Return why an upstream may not be sent a request, or None if it may.
 
@@ -85,7 +85,7 @@
             return Obstacle.REGION
         if not self.backoffs.may_send_to(upstream, now):
             return Obstacle.BACKING_OFF
-        if not self.limits.may_send_to(upstream, now, is_retry=owed):
+        if not self.limits.may_send_to(upstream, now, is_retry=is_retry):
             return Obstacle.LIMITED
         return Obstacle.COLD if self.is_cold_blocked(upstream, cold, now) else None
 
@@ -115,8 +115,8 @@
         limited = self.limits.acquire_permit(upstream.life, now)
         if cold is None or not self.is_cold(upstream, cold, now):
             return None if limited is None else SendPermit(None, limited)
-        self.gate.hold(upstream.id, now)
-        return SendPermit(Permit(self.gate, upstream.id), limited)
+        self.gate.reserve(upstream.id, now)
+        return SendPermit(ColdPermit(self.gate, upstream.id), limited)
 
     def is_cold_blocked(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> bool:
         """Return whether an upstream is cold and the gate allows no further request from this VM now."""
@@ -135,12 +135,12 @@
         cold: ColdTerms | None,
         now: float,
         *,
-        owed: bool = False,
+        is_retry: bool = False,
     ) -> list[Upstream]:
         """Return the upstreams that a request may be sent to."""
         if cold is not None and not self._may_any_be_cold(cold, now):
             cold = None  # skip the check of each upstream
-        return [one for one in upstreams if self.get_obstacle(one, regions, cold, now, owed=owed) is None]
+        return [one for one in upstreams if self.get_obstacle(one, regions, cold, now, is_retry=is_retry) is None]
 
     def count_obstacles(
         self, upstreams: Iterable[Upstream], regions: Regions, cold: ColdTerms | None, now: float
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -41,19 +41,19 @@
 
 
 def detect_shortage(
-    eligibility: Eligibility, answering: Sequence[Upstream], regions: Regions, cold: ColdTerms | None, now: float
+    eligibility: Eligibility, upstreams: Sequence[Upstream], regions: Regions, cold: ColdTerms | None, now: float
 ) -> Shortage | None:
     """Return why none of some upstreams may be sent a request, or None if one may.
 
     Back-offs and limits end by themselves, so the one that ends first takes precedence. Cold upstreams soon accept more
     and are no shortage.
     """
-    found = eligibility.count_obstacles(answering, regions, cold, now)
-    if not found or found.total() < len(answering) or Obstacle.COLD in found:
+    found = eligibility.count_obstacles(upstreams, regions, cold, now)
+    if not found or found.total() < len(upstreams) or Obstacle.COLD in found:
         return None
     temporary = [
         shortage
-        for shortage in (_detect_backoff(eligibility, answering, now), _detect_limit(eligibility, answering, now))
+        for shortage in (_detect_backoff(eligibility, upstreams, now), _detect_limit(eligibility, upstreams, now))
         if shortage
     ]
     if temporary:
@@ -83,7 +83,7 @@
     )
 
 
-def spread_retry(wait: float, draw: float, *, owed: bool) -> float:
+def compute_retry_delay(wait: float, draw: float, *, is_retry: bool) -> float:
     """Return the seconds after which a refused caller should retry.
 
     Retries are spread over a window as long as the wait, so that they do not arrive all at once. Callers that were
@@ -93,4 +93,4 @@
     :param owed: whether the caller was refused before
     """
     half = max(wait, MIN_RETRY_WINDOW_S) / 2
-    return wait + half * draw + (0.0 if owed else half)
+    return wait + half * draw + (0.0 if is_retry else half)
--- a/src/beamhatch/relay/choosing/rests.py
+++ b/src/beamhatch/relay/choosing/rests.py
@@ -22,7 +22,7 @@
 INITIAL_PROBES = 1
 """Requests that may be in flight after a back-off until the first one is answered."""
 
-RECOVERY_ANSWERS = 16
+RECOVERY_RESPONSES = 16
 """Answers after which an upstream is used without limits again."""
 
 PROBE_TIMEOUT_S = 1.0
@@ -50,14 +50,14 @@
     """Request to an upstream that has asked for a back-off; its result is recorded once."""
 
     backoffs: Backoffs
-    life: Life
+    incarnation: Life
     _ended: bool = False
 
     def end(self, now: float, *, answered: bool) -> None:
         """Record the result, unless one was recorded before."""
         if not self._ended:
             self._ended = True
-            self.backoffs.end_request(self.life, now, answered=answered)
+            self.backoffs.end_request(self.incarnation, now, answered=answered)
 
 
 @dataclass(slots=True)
@@ -70,7 +70,7 @@
 
     def may_send_to(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream may be sent one more request; see ``may_send``."""
-        return upstream.id not in self._ids or self.may_send(upstream.life, now)
+        return upstream.id not in self._ids or self.may_send_to_incarnation(upstream.life, now)
 
     def record(self, incarnation: Life, seconds: float, now: float) -> bool:
         """Record that an upstream asks for a back-off of some seconds; return whether none was active."""
@@ -88,7 +88,7 @@
         backoff = self._backoffs.get(incarnation)
         return backoff.until if backoff is not None and now < backoff.until else None
 
-    def may_send(self, life: Life, now: float) -> bool:
+    def may_send_to_incarnation(self, life: Life, now: float) -> bool:
         """Return whether an upstream may be sent one more request, without counting it."""
         backoff = self._backoffs.get(life)
         return backoff is None or (now >= backoff.until and backoff.has_room(now))
@@ -116,7 +116,7 @@
         if backoff.probes:
             backoff.probes.popleft()
         backoff.answers += answered
-        if backoff.answers >= RECOVERY_ANSWERS:
+        if backoff.answers >= RECOVERY_RESPONSES:
             del self._backoffs[incarnation]
 
     def count_active(self, now: float) -> int:
--- a/src/beamhatch/relay/choosing/round_robin_gate.py
+++ b/src/beamhatch/relay/choosing/round_robin_gate.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from beamhatch.relay.choosing.cold_gate import ColdBound, KnownVms
+    from beamhatch.relay.choosing.cold_gate import ColdLimit, KnownVms
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 TURN_S = 0.5
@@ -31,7 +31,7 @@
     """Gate that is open during this VM's turns."""
 
     def __init__(
-        self, vms: KnownVms, bound: ColdBound, started: float, find_cold_until: Callable[[UpstreamId], float]
+        self, vms: KnownVms, bound: ColdLimit, started: float, find_cold_until: Callable[[UpstreamId], float]
     ) -> None:
         super().__init__(vms, bound, started)
         self._find_cold_until = find_cold_until
@@ -45,7 +45,7 @@
         """Return 0 outside of this VM's turn, in it 1 or an equal part of the limit, whichever is more."""
         if self._get_wait_for_turn(upstream.id, terms, now) > 0:
             return 0
-        return max(1, int(self.bound.compute_limit(terms) / self.vm_count))
+        return max(1, int(self.limit.compute_limit(terms) / self.vm_count))
 
     def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
         """Return the seconds until this VM's next turn."""
@@ -53,7 +53,7 @@
 
     def _get_wait_for_turn(self, upstream: UpstreamId, terms: ColdTerms, now: float) -> float:
         """Return the seconds until this VM's turn begins; 0 or less during the turn."""
-        limit = self.bound.compute_limit(terms)
+        limit = self.limit.compute_limit(terms)
         if limit < 1 + 1e-9:
             return self._find_cold_until(upstream) - now
         rate = (limit - 1) / MIN_ROUND_S
@@ -65,7 +65,7 @@
     def _get_rank(self, upstream: UpstreamId) -> int:
         rank = self._ranks.get(upstream)
         if rank is None:
-            own = hash_fraction(f"{upstream}/{self.vms.own}")
+            own = hash_fraction(f"{upstream}/{self.vms.own_name}")
             rank = sum(hash_fraction(f"{upstream}/{name}") > own for name in self.list_others())
             self._ranks[upstream] = rank
         return rank
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -29,14 +29,14 @@
 
 
 def get_spill_reason(
-    usable: Sequence[Upstream], phase: Phase, refused: Collection[UpstreamId], near: IsNear
+    usable: Sequence[Upstream], phase: Phase, refused: Collection[UpstreamId], is_near: IsNear
 ) -> SpillReason:
     """Return why an engine of another region was chosen.
 
     :param usable: the engines that were available for the choice
     :param refused: those that had no memory for the request
     """
-    local = [one for one in usable if one.phase is phase and near(one.hall)]
+    local = [one for one in usable if one.phase is phase and is_near(one.hall)]
     if not local:
         return SpillReason.NONE_NEAR
     return SpillReason.TURNED_AWAY if any(one.id in refused for one in local) else SpillReason.CHEAPER
--- a/src/beamhatch/relay/choosing/sponsor_gate.py
+++ b/src/beamhatch/relay/choosing/sponsor_gate.py
@@ -16,16 +16,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from beamhatch.relay.choosing.cold_gate import ColdBound, KnownVms
+    from beamhatch.relay.choosing.cold_gate import ColdLimit, KnownVms
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 MAX_DISJOINT_VIEWS = 2
 """Number of disjoint views whose sponsors together stay within an upstream's limit."""
 
-TERM_S = 10.0
+SPONSOR_TERM_S = 10.0
 """Seconds after which the sponsors of an upstream that stays cold change."""
 
-TERM_GAP_S = 2.0
+SPONSOR_TERM_GAP_S = 2.0
 """Seconds without sponsors between two terms: the delay of updates between VMs, and the second of the limit."""
 
 
@@ -33,11 +33,11 @@
     """Gate that is open on the VMs whose hashes follow that of the upstream."""
 
     def __init__(
-        self, vms: KnownVms, bound: ColdBound, started: float, find_cold_until: Callable[[UpstreamId], float]
+        self, vms: KnownVms, bound: ColdLimit, started: float, find_cold_until: Callable[[UpstreamId], float]
     ) -> None:
         super().__init__(vms, bound, started)
         self._find_cold_until = find_cold_until
-        self._own = hash_fraction(vms.own)
+        self._own = hash_fraction(vms.own_name)
         self._ring = [self._own]
         """Sorted hashes of all known VMs."""
         self._not_sponsored: set[UpstreamId] = set()
@@ -59,7 +59,7 @@
 
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
         """Return this sponsor's part of the limit, or 0 if this VM is no sponsor now."""
-        part = int(self.bound.compute_limit(terms) / MAX_DISJOINT_VIEWS)
+        part = int(self.limit.compute_limit(terms) / MAX_DISJOINT_VIEWS)
         sponsors = min(part, self.vm_count)
         if not sponsors:
             return 0
@@ -79,10 +79,10 @@
     def _get_term(self, upstream: Upstream, terms: ColdTerms, now: float) -> int | None:
         """Return the number of the term, counted back from the end of the cold time, or None between two terms."""
         left = max(0.0, self._find_cold_until(upstream.id) - now)
-        term = int(left // TERM_S)
-        end = (term + 1) * TERM_S
+        term = int(left // SPONSOR_TERM_S)
+        end = (term + 1) * SPONSOR_TERM_S
         has_previous_term = max(terms.start_time, upstream.cold_left) > end
-        return None if has_previous_term and left > end - TERM_GAP_S else term
+        return None if has_previous_term and left > end - SPONSOR_TERM_GAP_S else term
 
     def _is_sponsor(self, upstream: UpstreamId, term: int, sponsors: int) -> bool:
         """Return whether this VM is among the first VMs that follow the upstream on the hash ring."""
--- a/src/beamhatch/relay/choosing/standing.py
+++ b/src/beamhatch/relay/choosing/standing.py
@@ -35,7 +35,7 @@
 BUSY_PAUSE_S = 0.6
 """Seconds for which an upstream that rejected a request is avoided."""
 
-HINT_WEIGHT = 0.8
+PEER_FAILURE_RATE_WEIGHT = 0.8
 """Weight of a failure rate that another VM reports."""
 
 UNRESPONSIVE_FAILURE_RATE = 0.5
@@ -69,7 +69,7 @@
     """Tokens of this VM's prompts that are not prefilled yet."""
     latency: float = 0.0
     """Moving average of the seconds per request; 0 before the first success."""
-    succeeded_at: float = -1e9
+    responded_at: float = -1e9
     unresponsive_count: int = 0
     """Consecutive connections that were refused or got no response."""
     unresponsive_until: float = -1e9
@@ -78,7 +78,7 @@
     misdirected_count: int = 0
     misdirected_until: float = -1e9
     busy_until: float = -1e9
-    lapsed_until: float = -1e9
+    drops_caches_until: float = -1e9
     """Until when its handles are assumed to lapse at once."""
     _failure_rate: float = 0.0
     """By own requests and by reports of other VMs."""
@@ -100,7 +100,7 @@
         for each in fields(self):
             setattr(self, each.name, getattr(fresh, each.name))
 
-    def is_unreachable(self, now: float) -> bool:
+    def should_skip(self, now: float) -> bool:
         """Return whether it is known to be unreachable and was probed within ``PROBE_INTERVAL_S``."""
         unreachable = self.unresponsive_count >= UNREACHABLE_THRESHOLD and now < self.unresponsive_until
         return unreachable and now - self.sent_at < PROBE_INTERVAL_S
@@ -113,7 +113,7 @@
     def record_success(self, seconds: float, now: float) -> None:
         """Record a successful request and its latency."""
         self.latency = seconds if not self.latency else self.latency + LATENCY_WEIGHT * (seconds - self.latency)
-        self.succeeded_at = now
+        self.responded_at = now
         self.unresponsive_count = 0
         self.unresponsive_until = -1e9
         self.misdirected_count = 0
@@ -123,7 +123,7 @@
         """Record any response, which shows that the upstream is reachable."""
         self.unresponsive_count = 0
         self.unresponsive_until = -1e9
-        self.succeeded_at = max(self.succeeded_at, now)
+        self.responded_at = max(self.responded_at, now)
 
     def record_failure(self, now: float) -> None:
         """Record a failed request."""
@@ -140,9 +140,9 @@
         """Record that it rejected a request."""
         self.busy_until = now + BUSY_PAUSE_S
 
-    def apply_hint(self, faults: float, now: float) -> None:
+    def apply_peer_failure_rate(self, failure_rate: float, now: float) -> None:
         """Apply the failure rate that another VM reports, if it is higher than the known one after weighting."""
-        weighted = HINT_WEIGHT * faults
+        weighted = PEER_FAILURE_RATE_WEIGHT * failure_rate
         if weighted > self.get_failure_rate(now):
             self._own_failure_rate = self.get_own_failure_rate(now)
             self._failure_rate = weighted
@@ -193,10 +193,10 @@
             stats = self._stats[upstream] = UpstreamStats()
         return stats
 
-    def list_failing(self, least: float, now: float) -> dict[str, float]:
+    def get_own_failure_rates(self, min_rate: float, now: float) -> dict[str, float]:
         """Return the upstreams whose own failure rate is at least ``least``, with that rate."""
         rates = {str(name): round(one.get_own_failure_rate(now), 2) for name, one in self._stats.items()}
-        return {name: rate for name, rate in rates.items() if rate >= least}
+        return {name: rate for name, rate in rates.items() if rate >= min_rate}
 
     def list_unresponsive(self, now: float) -> set[UpstreamId]:
         """Return the unresponsive upstreams, by own requests or by reports of other VMs."""
@@ -206,7 +206,7 @@
             if now < one.unresponsive_until or one.get_failure_rate(now) >= UNRESPONSIVE_FAILURE_RATE
         }
 
-    def list_pending_prefill(self) -> dict[str, int]:
+    def get_pending_prefill_tokens(self) -> dict[str, int]:
         """Return the tokens of this VM's prompts that are not prefilled yet, by engine."""
         return {
             str(name): one.pending_prefill_tokens for name, one in self._stats.items() if one.pending_prefill_tokens
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -291,7 +291,7 @@
         """
         now = self.clock.now()
         return self.eligibility.list_eligible(
-            self._list_staying(service, now), regions, self.find_cold_terms(service), now, owed=owed
+            self._list_staying(service, now), regions, self.find_cold_terms(service), now, is_retry=owed
         )
 
     def _list_staying(self, service: ServiceName, now: float) -> list[Upstream]:
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -9,7 +9,7 @@
 from beamhatch.relay.callers.http_server import CallerServer
 from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.chooser import LeastCostChooser
-from beamhatch.relay.choosing.cold_gate import ColdBound, CountingGate, KnownVms
+from beamhatch.relay.choosing.cold_gate import ColdLimit, CountingGate, KnownVms
 from beamhatch.relay.choosing.pace import PrefillEstimators
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
 from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
@@ -227,7 +227,7 @@
         if self.core.admission.allocator is not None:
             self.core.admission.allocator.set_terms(settings.quota)
         if isinstance(self.core.eligibility.gate, CountingGate):
-            self.core.eligibility.gate.bound = _make_cold_bound(settings)
+            self.core.eligibility.gate.limit = _make_cold_bound(settings)
         if self._gossip is not None:
             self._gossip.membership.seeds = settings.seeds
         self.settings = settings
@@ -375,8 +375,8 @@
             responder.send_whole(200, [("Content-Type", "application/json")], b'{"status":"ready"}')
 
 
-def _make_cold_bound(settings: RelaySettings) -> ColdBound:
-    return ColdBound(settings.cold_overage, settings.cold_slack)
+def _make_cold_bound(settings: RelaySettings) -> ColdLimit:
+    return ColdLimit(settings.cold_overage, settings.cold_slack)
 
 
 def _is_always_due() -> bool:
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -296,7 +296,7 @@
         self._backlog_throttle.request()
 
     def _send_backlog(self) -> None:
-        backlog = self.core.standings.list_pending_prefill()
+        backlog = self.core.standings.get_pending_prefill_tokens()
         if backlog == self._sent_backlog or self._stopped:
             return
         self._sent_backlog = backlog
@@ -454,7 +454,7 @@
         self._apply_backlog(connection)
         faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
         for upstream, share in faulty.items():
-            self.core.standings.get(UpstreamId(upstream)).apply_hint(share, now)
+            self.core.standings.get(UpstreamId(upstream)).apply_peer_failure_rate(share, now)
         self._apply_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
@@ -497,9 +497,9 @@
             core.version,
             core.revision,
             core.report_demands(),
-            core.standings.list_failing(MIN_FAULT_SHARE, now),
+            core.standings.get_own_failure_rates(MIN_FAULT_SHARE, now),
             core.changes.list_updates(now),
-            core.standings.list_pending_prefill(),
+            core.standings.get_pending_prefill_tokens(),
             list(readings),
             evacuations.list_updates() if evacuations.complete and not evacuations.has_overflowed else None,
             evacuations.as_of,
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -12,7 +12,7 @@
 from beamhatch.relay.callers.http_server import RequestHandler
 from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.eligibility import Obstacle
-from beamhatch.relay.choosing.lack import spread_retry
+from beamhatch.relay.choosing.lack import compute_retry_delay
 from beamhatch.relay.choosing.spill import SpillReason, get_spill_reason
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
@@ -183,7 +183,7 @@
             if shortage.obstacle is Obstacle.LIMITED:
                 retry_after_s = self.core.promise_turn(service, shortage)
             else:
-                retry_after_s = spread_retry(shortage.wait, random.random(), owed=self._is_returning)
+                retry_after_s = compute_retry_delay(shortage.wait, random.random(), is_retry=self._is_returning)
             step = request.refuse_unavailable(
                 f"request may not be sent to any upstream: {shortage.obstacle.value}", retry_after_s
             )
@@ -277,13 +277,13 @@
     def _record_distance(self, upstream: Upstream) -> None:
         """Count the distance of the chosen upstream, and log why one in another region was chosen."""
         distances = self.core.chooser.distances
-        distance = distances.measure(upstream.hall)
+        distance = distances.get_distance(upstream.hall)
         self.core.tally.count("choices_by_distance_total", distance.name.lower())
         if distance is not Distance.OTHER_REGION:
             return
 
         def is_near(hall: str) -> bool:
-            return distances.measure(hall) is not Distance.OTHER_REGION
+            return distances.get_distance(hall) is not Distance.OTHER_REGION
 
         reservation = self.request.reservation
         if upstream.phase is Phase.PREFILL and reservation is not None and not is_near(reservation.upstream.hall):
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.chooser import Need
+from beamhatch.relay.choosing.chooser import RequestRequirements
 from beamhatch.relay.choosing.distance import EVENT_BYTES, compute_cache_transfer
 from beamhatch.relay.model import Handle, Reservation, RouteKind, Stage, Upstream, UpstreamId
 
@@ -143,19 +143,19 @@
         return self.service.engine is not None and self.route.kind is RouteKind.STREAMING
 
     @property
-    def need(self) -> Need:
+    def need(self) -> RequestRequirements:
         """Return what the request needs of an upstream."""
         facts, engine = self.facts, self.service.engine
         tokens = facts.prompt_tokens + facts.output_tokens
         if engine is None:
-            return Need(facts.identity, facts.prompt_tokens, tokens)
-        return Need(
+            return RequestRequirements(facts.identity, facts.prompt_tokens, tokens)
+        return RequestRequirements(
             facts.identity,
             facts.prompt_tokens,
             tokens,
             cache=compute_cache_transfer(engine, facts.prompt_tokens),
             body_bytes=self.body_bytes,
-            answer_bytes=EVENT_BYTES * (self.reserve_output_tokens or facts.output_tokens) // engine.event_tokens,
+            response_bytes=EVENT_BYTES * (self.reserve_output_tokens or facts.output_tokens) // engine.event_tokens,
             decode_hall="" if self.reservation is None else self.reservation.upstream.hall,
         )
 
@@ -198,7 +198,7 @@
         tried = self.tried
         if not self.split:
             upstream = chooser.choose_plain(usable, tried, now)
-            if upstream is None or chooser.is_unreachable(upstream, now):
+            if upstream is None or chooser.should_skip(upstream, now):
                 return None
             return Send(Stage.WHOLE, upstream)
         return (
@@ -217,7 +217,7 @@
         self.reservation = None
         if len(self._full_upstreams) < MAX_RESERVE_ATTEMPTS:
             decode = self._choose_decode(usable, chooser, now, self.handle, self._full_upstreams)
-            if decode is not None and not chooser.is_unreachable(decode, now):
+            if decode is not None and not chooser.should_skip(decode, now):
                 return Reserve(decode, self.facts.prompt_tokens + self.reserve_output_tokens, engine.hold_lifetime)
         if not self._full_upstreams:
             return self._give_up("no decode engine available", no_upstream=True)
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -42,7 +42,7 @@
         self._timer: Any = None
         self._started_at = self.core.clock.now()
         need = self.request.need
-        self._tokens = need.prompt_tokens if send.stage is Stage.PREFILL else need.tokens
+        self._tokens = need.prompt_tokens if send.stage is Stage.PREFILL else need.total_tokens
         self._unread = 0
         """Tokens of the prompt that the engine has still to read."""
         self._tokens_ahead = 0
@@ -249,7 +249,7 @@
     def _run_out(self) -> None:
         self._timer = None
         now = self.core.clock.now()
-        if self.standing.succeeded_at > self._started_at:
+        if self.standing.responded_at > self._started_at:
             self.standing.record_failure(now)
         else:
             self.standing.record_no_response(now)
--- a/src/beamhatch/relay/upstreams/prefill_attempt.py
+++ b/src/beamhatch/relay/upstreams/prefill_attempt.py
@@ -64,6 +64,6 @@
 
     def may_abandon(self) -> bool:
         """Tell whether a prefill, which runs nothing, may go elsewhere: not where the engine just has much to read."""
-        alive = self.standing.succeeded_at > self._started_at
+        alive = self.standing.responded_at > self._started_at
         waited = self.core.clock.now() - self._started_at
         return not alive or waited > LONGEST_PREFILL
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -83,7 +83,7 @@
         """Take in that an engine could not have the KV cache."""
         if self.send.handle is not None and self.request.handoffs_exhausted:
             holder = self.core.standings.get(self.send.handle.upstream.id)
-            holder.lapsed_until = now + LAPSE_PAUSE
+            holder.drops_caches_until = now + LAPSE_PAUSE
 
     def get_patience(self) -> float:
         """Return the patience with an engine that has to read the prompt, or has it."""
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beamhatch.platform.standin.upstream import StandInEngine
-from beamhatch.relay.choosing.cold_gate import ColdBound, CountingGate, UnlimitedGate
+from beamhatch.relay.choosing.cold_gate import ColdLimit, CountingGate, UnlimitedGate
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import UpstreamId
 from tests.support.platform import Caller, Platform, make_platform
@@ -235,7 +235,7 @@
     daemon.reload(replace(daemon.settings, cold_overage=1.5, cold_slack=5.0))
     gate = daemon.core.eligibility.gate
     assert isinstance(gate, CountingGate)
-    assert gate.bound == ColdBound(1.5, 5.0)
+    assert gate.limit == ColdLimit(1.5, 5.0)
 
 
 def test_a_vm_that_started_just_now_sends_one_request_a_second_as_it_may_know_few_others() -> None:
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -53,11 +53,11 @@
         serve(platform, "/safe/x", f"r{number}")
     standing = platform.vms["vm1"].core.standings.get(ONLY)
     now = platform.clock.now()
-    assert standing.is_unreachable(now)
+    assert standing.should_skip(now)
     platform.upstreams["plain-0"].fault = UpstreamFault.NONE
     start_again(platform, "plain-0")
     now = platform.clock.now()
-    assert not standing.is_unreachable(now)
+    assert not standing.should_skip(now)
     assert standing.get_failure_rate(now) == 0.0
     assert standing.latency == 0.0
     assert serve(platform, "/safe/x", "last") == 200
--- a/tests/platform/test_residency.py
+++ b/tests/platform/test_residency.py
@@ -352,6 +352,6 @@
     reload(platform.vms["vm1"], Places({"hall-a": WEST, "hall-b": RegionName("south")}))
     assert platform.finish(platform.call("/safe/x", "q2")).status == 200
     assert list_asked(platform, "q2") == {"plain-east"}
-    assert platform.vms["vm1"].core.chooser.distances.measure("hall-b") is Distance.OTHER_REGION
+    assert platform.vms["vm1"].core.chooser.distances.get_distance("hall-b") is Distance.OTHER_REGION
     reload(platform.vms["vm1"], Places({"hall-a": WEST, "hall-b": WEST}))
-    assert platform.vms["vm1"].core.chooser.distances.measure("hall-b") is Distance.SAME_REGION
+    assert platform.vms["vm1"].core.chooser.distances.get_distance("hall-b") is Distance.SAME_REGION
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
+from beamhatch.relay.choosing.chooser import LeastCostChooser, RequestRequirements
 from beamhatch.relay.choosing.spill import EstimateLoad, SpillPolicy
 from beamhatch.relay.choosing.standing import Load, UpstreamStatsRegistry
 from beamhatch.relay.mechanism import ALL_IN, Without
@@ -41,7 +41,7 @@
 ROUND_TRIP_S = {Distance.SAME_HALL: 0.001, Distance.SAME_REGION: 0.0015, Distance.OTHER_REGION: 0.025}
 """Seconds of one attempt."""
 
-NEED = Need("p", 5000, 5070, answer_bytes=70 * 150)
+NEED = RequestRequirements("p", 5000, 5070, response_bytes=70 * 150)
 
 
 RING_LOAD = 0.85
@@ -81,12 +81,12 @@
     """Requests that ran in another region than their VM's, by the second of arrival."""
 
     @property
-    def far(self) -> float:
+    def far_share(self) -> float:
         """Return the share of requests that ran in another region than their VM's."""
         return self.placements[Distance.OTHER_REGION] / max(1, self.requests)
 
     @property
-    def missed(self) -> float:
+    def late_or_lost_share(self) -> float:
         """Return the share of requests that were late or found no slot."""
         return (self.late + self.lost) / max(1, self.requests)
 
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from beamhatch.relay.choosing.chooser import SAMPLE_SIZE, LeastCostChooser, Need
+from beamhatch.relay.choosing.chooser import SAMPLE_SIZE, LeastCostChooser, RequestRequirements
 from beamhatch.relay.choosing.standing import Load, UpstreamStatsRegistry
 from beamhatch.relay.model import Address, Handle, Phase, ServiceName, Upstream, UpstreamId
 
-NEED = Need("p1", 5000, 6000)
+NEED = RequestRequirements("p1", 5000, 6000)
 KV = 60_000
 NOW = 100.0
 
@@ -64,10 +64,10 @@
     chooser, registry = make_chooser()
     reported, other = make("told", Phase.PLAIN), make("other", Phase.PLAIN)
     registry.get(other.id).record_start(0, NOW)
-    registry.get(reported.id).apply_hint(0.5, NOW)
+    registry.get(reported.id).apply_peer_failure_rate(0.5, NOW)
     assert chooser.choose_plain([reported, other], set(), NOW) == other
     assert chooser.choose_plain([reported, other], set(), NOW + 40) == reported
-    assert registry.list_failing(0.1, NOW) == {}
+    assert registry.get_own_failure_rates(0.1, NOW) == {}
 
 
 def test_a_choice_among_thousands_examines_a_sample() -> None:
--- a/tests/relay/choosing/test_cold_fleet.py
+++ b/tests/relay/choosing/test_cold_fleet.py
@@ -6,7 +6,7 @@
 
 from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
 from beamhatch.relay.choosing.sponsor_gate import SponsorGate
-from tests.support.cold_fleet import MAX_REQUESTS, ColdFleet, Kind
+from tests.support.cold_fleet import MAX_REQUESTS, ColdFleet, GateClass
 
 KINDS = [SponsorGate, RoundRobinGate]
 HIGH = 170.0
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("vms", [1, 8, 74, 195])
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_surge_to_a_cold_upstream_is_limited(kind: Kind, vms: int) -> None:
+def test_a_surge_to_a_cold_upstream_is_limited(kind: GateClass, vms: int) -> None:
     fleet = ColdFleet(vms, kind)
     fleet.turn_cold(6.0)
     fleet.run(5.0, HIGH)
@@ -27,7 +27,7 @@
 def test_the_limit_holds_under_random_fleet_events(seed: int) -> None:
     fleet = ColdFleet([8, 74][seed % 2], seed=seed)
     fleet.turn_cold(30.0)
-    fleet.draw_events(12.0, HIGH)
+    fleet.run_random_events(12.0, HIGH)
     assert fleet.count_sent()
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
@@ -36,16 +36,16 @@
 def test_the_limit_holds_under_random_events_in_a_large_fleet(seed: int) -> None:
     fleet = ColdFleet(195, seed=seed)
     fleet.turn_cold(30.0)
-    fleet.draw_events(12.0, HIGH)
+    fleet.run_random_events(12.0, HIGH)
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
 def test_two_separated_parts_stay_within_the_limit() -> None:
     fleet = ColdFleet(74)
-    fleet.cut(fleet.vms[:30])
+    fleet.partition(fleet.vms[:30])
     fleet.restart(list(fleet.vms))
     fleet.run(8.0, 0.0)
-    fleet.forget()
+    fleet.forget_disconnected()
     fleet.turn_cold(6.0)
     fleet.run(6.0, 10 * HIGH)
     assert 8 < fleet.get_max_per_second() <= MAX_REQUESTS
@@ -63,7 +63,7 @@
 def test_isolated_vms_stay_within_the_limit() -> None:
     fleet = ColdFleet(74)
     for side, vm in enumerate(fleet.vms):
-        fleet.cut([vm], side)
+        fleet.partition([vm], side)
     fleet.turn_cold(12.0)
     fleet.run(4.0, 10 * HIGH)
     fleet.restart(fleet.vms[::2])
@@ -76,7 +76,7 @@
     fleet = ColdFleet(74, upstreams=15)
     fleet.turn_cold(30.0)
     fleet.run(30.0, 40.0)
-    assert len(fleet.served) >= 0.95 * len(fleet.vms)
+    assert len(fleet.sending_vms) >= 0.95 * len(fleet.vms)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -85,10 +85,10 @@
     """Exceeded by three parts, as each uses half of the limit, and by two parts with sponsors of different terms."""
     fleet = ColdFleet(24, seed=seed)
     for side in range(1, parts):
-        fleet.cut(fleet.vms[side::parts], side)
+        fleet.partition(fleet.vms[side::parts], side)
     fleet.restart(list(fleet.vms))
     fleet.run(8.0, 0.0)
-    fleet.forget()
+    fleet.forget_disconnected()
     fleet.turn_cold(cold)
     fleet.run(cold, 3 * HIGH)
     assert fleet.get_max_per_second() <= MAX_REQUESTS
--- a/tests/relay/choosing/test_cold_gate.py
+++ b/tests/relay/choosing/test_cold_gate.py
@@ -11,18 +11,18 @@
 from beamhatch.relay.choosing.cold_gate import (
     LOG_RETENTION_S,
     STARTUP_DELAY_S,
-    ColdBound,
+    ColdLimit,
+    ColdPermit,
     CountingGate,
     KnownVms,
-    Permit,
 )
 from beamhatch.relay.choosing.cold_transitions import ColdTransitions
 from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
-from beamhatch.relay.choosing.sponsor_gate import MAX_DISJOINT_VIEWS, TERM_GAP_S, TERM_S, SponsorGate
+from beamhatch.relay.choosing.sponsor_gate import MAX_DISJOINT_VIEWS, SPONSOR_TERM_GAP_S, SPONSOR_TERM_S, SponsorGate
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
 
 TERMS = ColdTerms(3.0, 8.0)
-BOUND = ColdBound(1.5, 5.0)
+BOUND = ColdLimit(1.5, 5.0)
 START = 100.0
 KINDS = [SponsorGate, RoundRobinGate]
 
@@ -42,7 +42,7 @@
     *,
     expects: bool = False,
     cold_until: float = 1e6,
-    bound: ColdBound = BOUND,
+    bound: ColdLimit = BOUND,
 ) -> CountingGate:
     vms = KnownVms(own, lambda now: others or [], lambda: expects)
     return kind(vms, bound, START, lambda upstream: cold_until)
@@ -95,11 +95,11 @@
 
 
 def test_a_permit_reserves_room_until_its_request_is_sent_or_dropped() -> None:
-    gate = make_gate(SponsorGate, bound=ColdBound(0.25, 0.0))
+    gate = make_gate(SponsorGate, bound=ColdLimit(0.25, 0.0))
     upstream = make_upstream()
     assert gate.may_send(upstream, TERMS, 200.0)
-    gate.hold(upstream.id, 200.0)
-    permit = Permit(gate, upstream.id)
+    gate.reserve(upstream.id, 200.0)
+    permit = ColdPermit(gate, upstream.id)
     assert not gate.may_send(upstream, TERMS, 205.0)
     assert gate.get_wait(upstream, TERMS, 205.0) > 0
     permit.use(206.0)
@@ -107,19 +107,19 @@
     permit.drop(206.5)
     assert not gate.may_send(upstream, TERMS, 206.9)
     assert gate.may_send(upstream, TERMS, 207.1)
-    gate.hold(upstream.id, 207.1)
-    Permit(gate, upstream.id).drop(207.2)
+    gate.reserve(upstream.id, 207.1)
+    ColdPermit(gate, upstream.id).drop(207.2)
     assert gate.may_send(upstream, TERMS, 207.2)
 
 
 def test_reservations_do_not_expire() -> None:
-    gate = make_gate(SponsorGate, bound=ColdBound(0.25, 0.0))
-    gate.hold(make_upstream().id, 200.0)
+    gate = make_gate(SponsorGate, bound=ColdLimit(0.25, 0.0))
+    gate.reserve(make_upstream().id, 200.0)
     assert not gate.may_send(make_upstream(), TERMS, 200 + 2 * LOG_RETENTION_S)
 
 
 def test_an_upstream_with_less_than_one_request_per_view_gets_none() -> None:
-    gate = make_gate(SponsorGate, bound=ColdBound(0.1, 0.0))
+    gate = make_gate(SponsorGate, bound=ColdLimit(0.1, 0.0))
     assert not gate.may_send(make_upstream(), TERMS, 200.0)
     assert gate.get_wait(make_upstream(), TERMS, 200.0) == math.inf
 
@@ -134,13 +134,16 @@
         gates = {name: make_gate(SponsorGate, name, names, cold_until=until) for name in names}
         return {name for name, gate in gates.items() if gate.may_send(upstream, TERMS, now)}
 
-    first, second = list_sponsors(2 * TERM_S - TERM_GAP_S - 0.5), list_sponsors(TERM_S - TERM_GAP_S - 0.5)
+    first, second = (
+        list_sponsors(2 * SPONSOR_TERM_S - SPONSOR_TERM_GAP_S - 0.5),
+        list_sponsors(SPONSOR_TERM_S - SPONSOR_TERM_GAP_S - 0.5),
+    )
     assert first != second
     assert len(first) == len(second) == 8
-    assert not list_sponsors(TERM_S - TERM_GAP_S / 2), "sponsors of two terms may send in the same second"
+    assert not list_sponsors(SPONSOR_TERM_S - SPONSOR_TERM_GAP_S / 2), "sponsors of two terms send in the same second"
     served: set[str] = set()
     for term in range(60):
-        served |= list_sponsors(term * TERM_S + 1.0)
+        served |= list_sponsors(term * SPONSOR_TERM_S + 1.0)
     assert len(served) == len(names)
 
 
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
+from beamhatch.relay.choosing.chooser import LeastCostChooser, RequestRequirements
 from beamhatch.relay.choosing.distance import (
     EVENT_BYTES,
-    PLAIN_BYTES,
+    PLAIN_REQUEST_BYTES,
     UNKNOWN_CACHE_TRANSFER,
     DistanceCosts,
     compute_cache_transfer,
@@ -30,13 +30,13 @@
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), hall, False, phase, 16)
 
 
-def make_need(engine: Engine, decode_hall: str = "") -> Need:
-    return Need(
+def make_need(engine: Engine, decode_hall: str = "") -> RequestRequirements:
+    return RequestRequirements(
         "p",
         5000,
         5068,
         cache=compute_cache_transfer(engine, 5000),
-        answer_bytes=68 * EVENT_BYTES,
+        response_bytes=68 * EVENT_BYTES,
         decode_hall=decode_hall,
     )
 
@@ -48,7 +48,9 @@
     assert found == pytest.approx(costs, abs=0.05)
 
 
-@pytest.mark.parametrize(("size", "costs"), [(68 * EVENT_BYTES, (0.5, 16.3, 70.9)), (PLAIN_BYTES, (0.5, 4.0, 34.0))])
+@pytest.mark.parametrize(
+    ("size", "costs"), [(68 * EVENT_BYTES, (0.5, 16.3, 70.9)), (PLAIN_REQUEST_BYTES, (0.5, 4.0, 34.0))]
+)
 def test_requests_cost_round_trips_and_the_bytes_that_cross(size: int, costs: tuple[float, ...]) -> None:
     found = [1000 * DistanceCosts("a", PLACES).compute_request_cost(hall, size) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -22,7 +22,7 @@
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
         return False
 
-    def hold(self, upstream: UpstreamId, now: float) -> None:
+    def reserve(self, upstream: UpstreamId, now: float) -> None:
         pass
 
     def release(self, upstream: UpstreamId, now: float) -> None:
--- a/tests/relay/choosing/test_rests.py
+++ b/tests/relay/choosing/test_rests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beamhatch.relay.choosing.rests import MAX_JITTER, PROBE_TIMEOUT_S, RECOVERY_ANSWERS, Backoffs
+from beamhatch.relay.choosing.rests import MAX_JITTER, PROBE_TIMEOUT_S, RECOVERY_RESPONSES, Backoffs
 from beamhatch.relay.model import Life, UpstreamId
 
 ONE = Life(UpstreamId("one"), 1)
@@ -26,27 +26,27 @@
 
 def test_nothing_is_sent_during_a_backoff() -> None:
     backoffs = Backoffs()
-    assert backoffs.may_send(ONE, NOW)
+    assert backoffs.may_send_to_incarnation(ONE, NOW)
     assert backoffs.record(ONE, 3.0, NOW)
-    assert not backoffs.may_send(ONE, NOW + 3.0)
+    assert not backoffs.may_send_to_incarnation(ONE, NOW + 3.0)
     assert backoffs.is_active(ONE, NOW + 2.99)
-    assert backoffs.may_send(ONE, NOW + MAX_BACKOFF_S)
+    assert backoffs.may_send_to_incarnation(ONE, NOW + MAX_BACKOFF_S)
 
 
 def test_a_backoff_can_be_extended_and_not_shortened() -> None:
     backoffs = Backoffs()
     backoffs.record(ONE, 3.0, NOW)
     assert not backoffs.record(ONE, 0.5, NOW + 1.0)
-    assert not backoffs.may_send(ONE, NOW + 2.99)
+    assert not backoffs.may_send_to_incarnation(ONE, NOW + 2.99)
     assert not backoffs.record(ONE, 9.0, NOW + 2.0)
-    assert not backoffs.may_send(ONE, NOW + 10.9)
+    assert not backoffs.may_send_to_incarnation(ONE, NOW + 10.9)
 
 
 def test_a_backoff_does_not_apply_to_other_incarnations() -> None:
     backoffs = Backoffs()
     backoffs.record(ONE, 3.0, NOW)
-    assert backoffs.may_send(Life(ONE.id, 2), NOW)
-    assert not backoffs.may_send(ONE, NOW)
+    assert backoffs.may_send_to_incarnation(Life(ONE.id, 2), NOW)
+    assert not backoffs.may_send_to_incarnation(ONE, NOW)
 
 
 def test_each_answered_probe_allows_two_more() -> None:
@@ -54,7 +54,7 @@
     allowed = []
     for _ in range(4):
         probes = []
-        while backoffs.may_send(ONE, now):
+        while backoffs.may_send_to_incarnation(ONE, now):
             probe = backoffs.begin_request(ONE, now)
             assert probe is not None
             probes.append(probe)
@@ -67,7 +67,7 @@
 
 def test_probing_ends_after_enough_answers() -> None:
     backoffs, now = make_ended()
-    for _ in range(RECOVERY_ANSWERS):
+    for _ in range(RECOVERY_RESPONSES):
         probe = backoffs.begin_request(ONE, now)
         assert probe is not None
         probe.end(now, answered=True)
@@ -78,19 +78,19 @@
     backoffs, now = make_ended()
     probe = backoffs.begin_request(ONE, now)
     assert probe is not None
-    assert not backoffs.may_send(ONE, now)
+    assert not backoffs.may_send_to_incarnation(ONE, now)
     probe.end(now, answered=False)
     probe.end(now, answered=True)
-    assert backoffs.may_send(ONE, now)
+    assert backoffs.may_send_to_incarnation(ONE, now)
     backoffs.begin_request(ONE, now)
-    assert not backoffs.may_send(ONE, now)
+    assert not backoffs.may_send_to_incarnation(ONE, now)
 
 
 def test_a_probe_without_a_result_times_out() -> None:
     backoffs, now = make_ended()
     backoffs.begin_request(ONE, now)
-    assert not backoffs.may_send(ONE, now + PROBE_TIMEOUT_S - 0.01)
-    assert backoffs.may_send(ONE, now + PROBE_TIMEOUT_S)
+    assert not backoffs.may_send_to_incarnation(ONE, now + PROBE_TIMEOUT_S - 0.01)
+    assert backoffs.may_send_to_incarnation(ONE, now + PROBE_TIMEOUT_S)
 
 
 def test_a_probe_may_start_another_backoff() -> None:
@@ -99,7 +99,7 @@
     assert probe is not None
     assert backoffs.record(ONE, 3.0, now)
     probe.end(now, answered=False)
-    assert not backoffs.may_send(ONE, now + 2.9)
+    assert not backoffs.may_send_to_incarnation(ONE, now + 2.9)
 
 
 def test_unlisted_upstreams_are_dropped() -> None:
@@ -137,4 +137,4 @@
         if asked is not None:
             rests.record(ONE, asked, now)
             until = max(until, now + asked)
-        assert not (rests.may_send(ONE, now) and now < until - 1e-6)
+        assert not (rests.may_send_to_incarnation(ONE, now) and now < until - 1e-6)
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -9,8 +9,8 @@
     EVACUATED_RETRY_S,
     LEAVING_RETRY_S,
     PROBE_RETRY_S,
+    compute_retry_delay,
     detect_shortage,
-    spread_retry,
 )
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
@@ -80,7 +80,7 @@
 def simulate_retries(rate: int, backoff: float) -> list[float]:
     """Return when callers that were refused during a back-off retry, in seconds after its end."""
     return [
-        spread_retry(backoff - at, random.random(), owed=False) - (backoff - at)
+        compute_retry_delay(backoff - at, random.random(), is_retry=False) - (backoff - at)
         for at in (number / rate for number in range(round(rate * backoff)))
     ]
 
@@ -97,6 +97,6 @@
 
 def test_callers_that_were_refused_before_retry_first() -> None:
     for wait in (0.05, 1.0, 3.0):
-        latest_owed = spread_retry(wait, 0.999, owed=True)
-        earliest_new = spread_retry(wait, 0.0, owed=False)
+        latest_owed = compute_retry_delay(wait, 0.999, is_retry=True)
+        earliest_new = compute_retry_delay(wait, 0.0, is_retry=False)
         assert wait <= latest_owed <= earliest_new
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -32,21 +32,21 @@
 
 def test_requests_stay_in_their_region_under_normal_load() -> None:
     outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate)
-    assert outcome.far < 0.01
-    assert outcome.missed == 0
+    assert outcome.far_share < 0.01
+    assert outcome.late_or_lost_share == 0
 
 
 def test_requests_leave_their_region_without_distance_costs() -> None:
     outcome = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(
         LENGTH, get_calm_rate
     )
-    assert outcome.far > 0.3
+    assert outcome.far_share > 0.3
 
 
 def test_a_surge_spills_and_is_served_in_time() -> None:
     outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_surge_rate)
-    assert outcome.missed < 0.005
-    assert 0.02 < outcome.far < 0.25
+    assert outcome.late_or_lost_share < 0.005
+    assert 0.02 < outcome.far_share < 0.25
 
 
 @pytest.mark.parametrize(
@@ -56,12 +56,12 @@
     make_spill: type[CostSpillPolicy | RingSpillPolicy], without: Without
 ) -> None:
     """Alternatives to ``CostSpillPolicy`` miss its bound, since a VM knows few engines' loads."""
-    assert Simulation(make_spill, 1, without).run(LENGTH, get_surge_rate).missed > 0.02
+    assert Simulation(make_spill, 1, without).run(LENGTH, get_surge_rate).late_or_lost_share > 0.02
 
 
 def test_a_region_without_engines_is_served_by_others_until_its_own_return() -> None:
     outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate, is_unlisted)
-    assert outcome.missed < 0.005
+    assert outcome.late_or_lost_share < 0.005
     by_second = [outcome.far_by_second[second] for second in range(int(LENGTH))]
     assert min(by_second[int(BEGIN) : int(END)]) > 30
     assert sum(by_second[int(END) :]) <= 6
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.chooser import LeastCostChooser, Need
+from beamhatch.relay.choosing.chooser import LeastCostChooser, RequestRequirements
 from beamhatch.relay.choosing.distance import EVENT_BYTES, compute_cache_transfer
 from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
 from beamhatch.relay.model import (
@@ -48,12 +48,12 @@
 
     def __init__(self) -> None:
         super().__init__(UpstreamStatsRegistry(), "a")
-        self.needs: list[Need] = []
+        self.needs: list[RequestRequirements] = []
 
     def choose_decode(
         self,
         usable: Sequence[Upstream],
-        need: Need,
+        need: RequestRequirements,
         tried: set[UpstreamId],
         now: float,
         *,
@@ -68,7 +68,7 @@
     need = make_request().need
     assert need.cache == compute_cache_transfer(ENGINE, 5000)
     assert need.body_bytes == 700
-    assert need.answer_bytes == 40 * EVENT_BYTES
+    assert need.response_bytes == 40 * EVENT_BYTES
 
 
 def test_need_has_the_hall_of_the_reservation() -> None:
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -77,7 +77,7 @@
 
 
 def _ignores_rests() -> None:
-    Backoffs.may_send = lambda self, life, now: True  # type: ignore[method-assign]
+    Backoffs.may_send_to_incarnation = lambda self, life, now: True  # type: ignore[method-assign]
 
 
 def _ignores_limits() -> None:
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.choosing.cold_gate import WINDOW_S, ColdBound, ColdGate, KnownVms
+from beamhatch.relay.choosing.cold_gate import WINDOW_S, ColdGate, ColdLimit, KnownVms
 from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
 from beamhatch.relay.choosing.sponsor_gate import SponsorGate
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
 TERMS = ColdTerms(3.0, 8.0)
-BOUND = ColdBound(1.5, 5.0)
+BOUND = ColdLimit(1.5, 5.0)
 MAX_REQUESTS = 17
 """Limit of a cold upstream in any second by ``TERMS`` and ``BOUND``."""
 
@@ -28,7 +28,7 @@
 MAX_CONNECT_S = 0.05
 """Delay between the choice of an upstream and the sending of the request."""
 
-Kind = type[SponsorGate] | type[RoundRobinGate]
+GateClass = type[SponsorGate] | type[RoundRobinGate]
 
 
 @dataclass(eq=False)
@@ -49,14 +49,14 @@
 class ColdFleet:
     """Fleet of VMs, with the requests that cold upstreams received."""
 
-    def __init__(self, vms: int, kind: Kind = SponsorGate, *, seed: int = 1, upstreams: int = 1) -> None:
+    def __init__(self, vms: int, gate_class: GateClass = SponsorGate, *, seed: int = 1, upstreams: int = 1) -> None:
         self.random = random.Random(seed)
-        self.kind = kind
+        self.gate_class = gate_class
         self.now = 1000.0
         self.cold_until = self.now
-        self.asked = 0
+        self.request_count = 0
         self.sent: dict[UpstreamId, list[float]] = {}
-        self.served: set[str] = set()
+        self.sending_vms: set[str] = set()
         """Names of VMs that were allowed to send a request."""
         self._pending: list[tuple[float, UpstreamId, Vm, ColdGate]] = []
         self._announcements: list[tuple[float, str, Vm]] = []
@@ -80,7 +80,7 @@
             return self.cold_until + vm.lag + vm.offset
 
         known = KnownVms(name, lambda now: sorted(vm.others), lambda: len(self.vms) > 1)
-        vm = Vm(name, offset, lag, self.kind(known, BOUND, self.now + offset, find_cold_until))
+        vm = Vm(name, offset, lag, self.gate_class(known, BOUND, self.now + offset, find_cold_until))
         self.vms.append(vm)
         return vm
 
@@ -90,7 +90,7 @@
         """Make all upstreams cold for some seconds from now on."""
         self.cold_until = self.now + seconds
 
-    def cut(self, vms: Iterable[Vm], side: int = 1) -> None:
+    def partition(self, vms: Iterable[Vm], side: int = 1) -> None:
         """Partition VMs from the others; they still know of each other."""
         for vm in vms:
             vm.side = side
@@ -127,7 +127,7 @@
         names = {name for one in connected[:4] for name in one.others} | {one.name for one in connected}
         return sorted(names - {vm.name})
 
-    def forget(self) -> None:
+    def forget_disconnected(self) -> None:
         """Make VMs forget the VMs that they are not connected to."""
         for vm in self.vms:
             vm.others = {one.name for one in self.vms if one.side == vm.side and one is not vm}
@@ -171,12 +171,12 @@
             vm.others.add(name)
 
     def _request(self, vm: Vm, upstream: Upstream) -> None:
-        self.asked += 1
+        self.request_count += 1
         now = self.now + vm.offset
         if not vm.gate.may_send(upstream, TERMS, now):
             return
-        vm.gate.hold(upstream.id, now)
-        self.served.add(vm.name)
+        vm.gate.reserve(upstream.id, now)
+        self.sending_vms.add(vm.name)
         self._pending.append((self.now + self.random.uniform(0, MAX_CONNECT_S), upstream.id, vm, vm.gate))
 
     def _deliver(self) -> None:
@@ -196,7 +196,7 @@
     def count_sent(self) -> int:
         return sum(len(times) for times in self.sent.values())
 
-    def draw_events(self, seconds: float, demand: float) -> None:
+    def run_random_events(self, seconds: float, demand: float) -> None:
         """Run with random partitions, restarts, new and lost VMs, and upstreams that turn cold again."""
         end = self.now + seconds
         number = 0
@@ -205,7 +205,7 @@
             few = some[: max(1, len(some) // 8)]
             match self.random.randrange(7):
                 case 0:
-                    self.cut(some, self.random.randint(1, 3))
+                    self.partition(some, self.random.randint(1, 3))
                 case 1:
                     self.heal()
                 case 2:
