--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -28,13 +28,13 @@
 """Cost of an upstream whose failure rate is 1."""
 
 DROPPED_CACHE_COST_S = 2.0
-"""Cost of a prefill engine whose handles lapse at once, so that the prompt has to be prefilled again."""
+"""Cost of a prefill engine that drops KV caches before they are fetched, so that prompts are prefilled again."""
 
 BUSY_COST_S = 1.0
 """Cost of an upstream that rejected a request within the last ``BUSY_PAUSE_S``."""
 
 AFFINITY_BONUS_S = 0.08
-"""Bonus for the prefill engine that the request's identity hashes to, as it may have cached parts of the prompt."""
+"""Bonus for the prefill engine that ``affinity_key`` hashes to, as it may have cached parts of the prompt."""
 
 DECODE_STEP_COST_S = 0.012
 """Cost of each request that already runs at a decode engine."""
@@ -43,43 +43,44 @@
 """Share of a decode engine's KV memory above which ``FULL_COST_S`` applies."""
 
 SAMPLE_SIZE = 64
-"""Upstreams, of any phase, that are sampled from a large pool before those that can't be used are filtered out."""
+"""Number of upstreams, of any phase, sampled from a large pool before those that can't be used are filtered out."""
 
 MAX_CANDIDATES = 12
-"""Upstreams whose costs are compared for one choice; larger sets are sampled."""
+"""Number of upstreams whose costs are compared for one choice; larger sets are sampled."""
 
 NEAR_CANDIDATES = {Distance.SAME_HALL: 4, Distance.SAME_REGION: 8}
-"""Candidates to take from within each distance, if there are enough, so that a sample nearly always has local ones."""
+"""Number of sampled candidates that are at most this far away, if there are enough of them."""
 
 FULL_COST_S = 5.0
-"""Cost of a decode engine without room: longer than a stream takes, so that it is the last choice."""
+"""Cost of a decode engine whose KV memory would exceed ``MAX_KV_FILL``; more than the duration of a typical stream."""
 
 DEFAULT_LATENCY_S = 0.06
-"""Latency assumed for a plain service before the first answer."""
+"""Latency assumed before the first response of a replica of a service without prefill and decode engines."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRequirements:
-    """What a request requires of an upstream."""
+    """Requirements of one request, on which the choice of an upstream depends."""
 
     affinity_key: str
+    """Requests with the same key prefer the same prefill engine."""
     prompt_tokens: int = 0
     total_tokens: int = 0
-    """Tokens of prompt and answer together."""
+    """Tokens of the prompt and the output together."""
     cache: CacheTransfer = UNKNOWN_CACHE_TRANSFER
     """Size and transfer time of the prompt's KV cache."""
     body_bytes: int = 0
     """Size of the request body."""
     response_bytes: int = 0
-    """Expected size of the answer."""
+    """Expected size of the response."""
     decode_hall: str = ""
     """Hall of the decode engine that has reserved memory for the request; empty if none has yet."""
     refused_halls: tuple[str, ...] = ()
-    """Hall of each decode engine that refused the request for lack of memory in this round."""
+    """Halls of the decode engines that refused the request for lack of memory in this round, one entry per engine."""
 
 
 class Chooser(ABC):
-    """Strategy that chooses among usable upstreams, without changing their state."""
+    """Strategy that chooses one of the upstreams that may be used, without changing their state."""
 
     def __init__(
         self,
@@ -99,7 +100,7 @@
         self.prefill_models = PrefillEstimators() if prefill_models is None else prefill_models
         self.peer_backlog = PeerBacklog() if peer_backlog is None else peer_backlog
         self.compute_cold_cost: Callable[[Upstream, float], float] = _no_cold_cost
-        """Returns the additional cost of a cold upstream in seconds."""
+        """Returns the seconds added to the cost of an upstream if it is cold."""
         self._affinity_bonus = 0.0 if Mechanism.SESSION_GAIN in without else AFFINITY_BONUS_S
         self._failure_cost = 0.0 if Mechanism.FAULT_COST in without else FAILURE_COST_S
 
@@ -110,7 +111,7 @@
 
     @abstractmethod
     def choose_prefill(
-        self, usable: Sequence[Upstream], need: RequestRequirements, tried: set[UpstreamId], now: float
+        self, usable: Sequence[Upstream], requirements: RequestRequirements, tried: set[UpstreamId], now: float
     ) -> Upstream | None:
         """Return a prefill engine, or None if there is no candidate."""
 
@@ -118,7 +119,7 @@
     def choose_decode(
         self,
         usable: Sequence[Upstream],
-        need: RequestRequirements,
+        requirements: RequestRequirements,
         tried: set[UpstreamId],
         now: float,
         *,
@@ -132,15 +133,15 @@
         """
 
     @abstractmethod
-    def predict_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
+    def predict_prefill(self, upstream: Upstream, requirements: RequestRequirements, now: float) -> float:
         """Return the seconds until a prefill engine has processed a prompt."""
 
     @abstractmethod
-    def predict_decode_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
+    def predict_decode_prefill(self, upstream: Upstream, requirements: RequestRequirements, now: float) -> float:
         """Return the seconds until a decode engine has prefilled a prompt itself."""
 
     def should_skip(self, upstream: Upstream, now: float) -> bool:
-        """Return whether an upstream is known to be unreachable and was probed just now."""
+        """Return whether an upstream is unreachable and not due for another probe."""
         return self.stats.get(upstream.id).should_skip(now)
 
     @abstractmethod
@@ -152,56 +153,67 @@
     """Chooser of the upstream that is predicted to finish first, with costs added for failures and distance."""
 
     def choose_prefill(
-        self, usable: Sequence[Upstream], need: RequestRequirements, tried: set[UpstreamId], now: float
+        self, usable: Sequence[Upstream], requirements: RequestRequirements, tried: set[UpstreamId], now: float
     ) -> Upstream | None:
         """Return the prefill engine with the least predicted cost, or None if there is no candidate."""
-        decode_hall = need.decode_hall or self.hall
+        decode_hall = requirements.decode_hall or self.hall
         candidates = self._sample(usable, Phase.PREFILL, tried, now, decode_hall)
         if not candidates:
             return None
-        preferred = max(candidates, key=lambda one: hash_fraction(f"{need.affinity_key}/{one.id}"))
+        preferred = max(candidates, key=lambda one: hash_fraction(f"{requirements.affinity_key}/{one.id}"))
 
         def compute_hall_cost(hall: str) -> float:
-            request_cost = self.distances.compute_request_cost(hall, need.body_bytes)
-            return request_cost + self.distances.compute_transfer_cost(hall, decode_hall, need.cache)
+            request_cost = self.distances.compute_request_cost(hall, requirements.body_bytes)
+            return request_cost + self.distances.compute_transfer_cost(hall, decode_hall, requirements.cache)
 
         hall_costs = {hall: compute_hall_cost(hall) for hall in {one.hall for one in candidates}}
 
         def compute_cost(one: Upstream) -> float:
             bonus = self._affinity_bonus if one is preferred else 0.0
             return (
-                self.predict_prefill(one, need, now) + hall_costs[one.hall] - bonus + self.compute_cold_cost(one, now)
+                self.predict_prefill(one, requirements, now)
+                + hall_costs[one.hall]
+                - bonus
+                + self.compute_cold_cost(one, now)
             )
 
         return min(candidates, key=compute_cost)
 
-    def predict_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
+    def predict_prefill(self, upstream: Upstream, requirements: RequestRequirements, now: float) -> float:
         """Return the seconds until a prefill engine has processed a prompt, with the cost of its failures."""
         stats = self.stats.get(upstream.id)
-        queued_tokens = self._estimate_tokens_ahead(upstream, need, now)
-        lapse_cost = DROPPED_CACHE_COST_S if now < stats.drops_caches_until else 0.0
+        queued_tokens = self._estimate_tokens_ahead(upstream, requirements, now)
+        dropped_cache_cost = DROPPED_CACHE_COST_S if now < stats.drops_caches_until else 0.0
         model = self.prefill_models.get_prefill(upstream.service).model
-        return model.predict(queued_tokens + need.prompt_tokens) + lapse_cost + self._compute_failure_cost(stats, now)
+        return (
+            model.predict(queued_tokens + requirements.prompt_tokens)
+            + dropped_cache_cost
+            + self._compute_failure_cost(stats, now)
+        )
 
-    def predict_decode_prefill(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
+    def predict_decode_prefill(self, upstream: Upstream, requirements: RequestRequirements, now: float) -> float:
         """Return the seconds until a decode engine has prefilled a prompt itself, with the cost of its failures."""
         stats = self.stats.get(upstream.id)
         queued_tokens = stats.pending_prefill_tokens + self.peer_backlog.count_tokens(upstream.id, now)
         model = self.prefill_models.get_decode(upstream.service).model
-        return model.predict(queued_tokens + need.prompt_tokens) + self._compute_failure_cost(stats, now)
+        return model.predict(queued_tokens + requirements.prompt_tokens) + self._compute_failure_cost(stats, now)
 
-    def _estimate_tokens_ahead(self, upstream: Upstream, need: RequestRequirements, now: float) -> float:
-        """Return the tokens queued at a prefill engine, by this VM's requests, the engine's load and peers' reports."""
+    def _estimate_tokens_ahead(self, upstream: Upstream, requirements: RequestRequirements, now: float) -> float:
+        """Return the tokens queued at a prefill engine.
+
+        These are this VM's tokens, plus the higher of the estimates from the engine's load and from peers' reports.
+        """
         stats = self.stats.get(upstream.id)
         others = max(
-            stats.estimate_other_requests(now) * need.prompt_tokens, self.peer_backlog.count_tokens(upstream.id, now)
+            stats.estimate_other_requests(now) * requirements.prompt_tokens,
+            self.peer_backlog.count_tokens(upstream.id, now),
         )
         return stats.tokens + others
 
     def choose_decode(
         self,
         usable: Sequence[Upstream],
-        need: RequestRequirements,
+        requirements: RequestRequirements,
         tried: set[UpstreamId],
         now: float,
         *,
@@ -211,9 +223,9 @@
         """Return the decode engine with the least cost of load, distance and failures, or None without candidates."""
         candidates: Sequence[Upstream] = self._sample(usable, Phase.DECODE, tried, now, self.hall)
         find_region = self.distances.places.find_region
-        refusals = Counter(find_region(hall) for hall in need.refused_halls)
+        refusals = Counter(find_region(hall) for hall in requirements.refused_halls)
         if self._spill_enabled:
-            refused = set(need.refused_halls)
+            refused = set(requirements.refused_halls)
             candidates = self._spill.filter(
                 candidates,
                 self.distances.get_distance,
@@ -221,9 +233,9 @@
             )
 
         def compute_hall_cost(hall: str) -> float:
-            cost = self.distances.compute_request_cost(hall, need.body_bytes + need.response_bytes)
+            cost = self.distances.compute_request_cost(hall, requirements.body_bytes + requirements.response_bytes)
             if handle is not None:
-                cost += self.distances.compute_transfer_cost(handle.upstream.hall, hall, need.cache)
+                cost += self.distances.compute_transfer_cost(handle.upstream.hall, hall, requirements.cache)
             if refusals and self._spill_enabled:
                 cost += self._spill.compute_cost(find_region(hall), refusals)
             return cost
@@ -233,7 +245,7 @@
         def compute_cost(one: Upstream) -> float:
             stats = self.stats.get(one.id)
             running = stats.running + stats.estimate_other_requests(now)
-            full = FULL_COST_S if stats.tokens + need.total_tokens > MAX_KV_FILL * kv_tokens else 0.0
+            full = FULL_COST_S if stats.tokens + requirements.total_tokens > MAX_KV_FILL * kv_tokens else 0.0
             cold = self.compute_cold_cost(one, now)
             return (
                 running * DECODE_STEP_COST_S
@@ -246,7 +258,7 @@
         return min(candidates, key=compute_cost, default=None)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
-        """Return the estimated share of an engine's slots that are taken."""
+        """Return the estimated share of an engine's slots that are in use."""
         stats = self.stats.get(upstream.id)
         return (stats.running + stats.estimate_other_requests(now)) / max(1, upstream.slots)
 
@@ -272,7 +284,7 @@
     def _sample(
         self, usable: Sequence[Upstream], phase: Phase | None, tried: set[UpstreamId], now: float, hall: str
     ) -> list[Upstream]:
-        """Return the candidates to compare: all of a small pool, a sample of a large one, most of it near a hall."""
+        """Return the candidates to compare: all if they are few, else a sample, mostly from near ``hall``."""
         sampled = usable if len(usable) <= SAMPLE_SIZE else random.sample(usable, SAMPLE_SIZE)
         eligible = self._filter(sampled, phase, tried, now)
         if not eligible and sampled is not usable:
@@ -282,19 +294,19 @@
         return self._sample_near(eligible, hall) if self._prefers_near else random.sample(eligible, MAX_CANDIDATES)
 
     def _sample_near(self, eligible: list[Upstream], hall: str) -> list[Upstream]:
-        """Return a sample from near a hall, and some from anywhere for when the near ones are full."""
-        measure = self.distances.places.measure
-        distances = {found: measure(hall, found) for found in {one.hall for one in eligible}}
-        rings: dict[Distance, list[Upstream]] = {distance: [] for distance in Distance}
+        """Return a sample that prefers upstreams near a hall, and has some others in case the near ones are full."""
+        get_distance = self.distances.places.measure
+        distances = {found: get_distance(hall, found) for found in {one.hall for one in eligible}}
+        by_distance: dict[Distance, list[Upstream]] = {distance: [] for distance in Distance}
         for one in eligible:
-            rings[distances[one.hall]].append(one)
+            by_distance[distances[one.hall]].append(one)
         sampled: list[Upstream] = []
-        others = rings[Distance.OTHER_REGION]
+        others = by_distance[Distance.OTHER_REGION]
         for distance, limit in NEAR_CANDIDATES.items():
-            ring = rings[distance]
+            group = by_distance[distance]
             count = limit - len(sampled)
-            first = random.randrange(len(ring)) if len(ring) > count else 0
-            rotated = ring[first:] + ring[:first]
+            first = random.randrange(len(group)) if len(group) > count else 0
+            rotated = group[first:] + group[:first]
             sampled += rotated[:count]
             others += rotated[count:]
         return sampled + random.sample(others, MAX_CANDIDATES - len(sampled))
--- a/src/beamhatch/relay/choosing/cold_gate.py
+++ b/src/beamhatch/relay/choosing/cold_gate.py
@@ -14,10 +14,10 @@
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 WINDOW_S = 1.02
-"""Seconds over which sent requests are counted: the second of the limit, plus timer granularity."""
+"""Seconds over which sent requests are counted: one, as limits are per second, plus timer granularity."""
 
 RESERVED_RETRY_S = 0.25
-"""Seconds until the next check if all room is reserved by requests that have not been sent yet."""
+"""Seconds until the next check if the limit is used up by reservations for requests that have not been sent yet."""
 
 STARTUP_DELAY_S = 2.0
 """Seconds after its start in which a VM sends nothing to cold upstreams.
@@ -28,7 +28,7 @@
 DISCOVERY_S = 12.0
 """Seconds after its start in which a VM may not know all others, since VMs announce new ones every 10 s.
 
-A VM that knows few others would take too large a part of the limit.
+A VM that knows few others would use too large a part of the limit.
 """
 
 VIEW_TTL_S = 1.0
@@ -40,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """Limit on the requests that may reach a cold upstream in any second, over all VMs."""
+    """Limit on the requests that all VMs together may send to a cold upstream in any second."""
 
     overage: float = 1.0
-    """Factor on the rate that the upstream accepts while it is cold."""
+    """Factor by which the limit exceeds the rate that the service's upstreams accept while they are cold."""
     slack: float = 0.0
-    """Requests a second added to that."""
+    """Requests a second added to the multiplied rate."""
 
     def compute_limit(self, terms: ColdTerms) -> float:
         """Return the requests that may be sent in one second."""
@@ -59,7 +59,7 @@
     own_name: str
     """Name of this VM, which a restart does not change."""
     list_others: Callable[[float], Sequence[str]]
-    """Returns the names of recently seen VMs at a time, connected or not."""
+    """Returns the names of the VMs seen recently, connected or not; takes the current time."""
     expects_others: Callable[[], bool]
     """Returns whether other VMs exist, even if none is known yet."""
 
@@ -76,11 +76,11 @@
 
     @abstractmethod
     def reserve(self, upstream: UpstreamId, now: float) -> None:
-        """Reserve room for a request that is to be sent to a cold upstream later."""
+        """Reserve a part of the limit for a request that is to be sent to a cold upstream later."""
 
     @abstractmethod
     def release(self, upstream: UpstreamId, now: float) -> None:
-        """Release reserved room when the request is sent or dropped."""
+        """Release a reservation when its request is sent or dropped."""
 
     @abstractmethod
     def record_sent(self, upstream: UpstreamId, now: float) -> None:
@@ -93,22 +93,22 @@
 
 @dataclass(slots=True)
 class ColdPermit:
-    """Reserved room for one request at a cold upstream, until the request is sent or dropped."""
+    """Reservation for one request to a cold upstream, until the request is sent or dropped."""
 
     gate: ColdGate
     upstream: UpstreamId
-    _held: bool = True
+    _reserved: bool = True
 
     def use(self, now: float) -> None:
-        """Release the room and count the request as sent."""
-        if self._held:
+        """Release the reservation and count the request as sent."""
+        if self._reserved:
             self.drop(now)
             self.gate.record_sent(self.upstream, now)
 
     def drop(self, now: float) -> None:
         """Release the room, unless that was done already."""
-        if self._held:
-            self._held = False
+        if self._reserved:
+            self._reserved = False
             self.gate.release(self.upstream, now)
 
 
@@ -135,10 +135,11 @@
 
 @dataclass(slots=True)
 class _SendLog:
-    """Requests that this VM sent to one upstream within the window, and reservations."""
+    """Times of the requests that this VM sent to one upstream within the window, and its reservations."""
 
     times: deque[float] = field(default_factory=deque)
     held: int = 0
+    """Reservations for requests that have not been sent yet."""
     used_at: float = 0.0
 
     def count(self, now: float) -> int:
@@ -154,7 +155,7 @@
 
 
 class CountingGate(ColdGate):
-    """Gate that counts sent requests in a sliding window; subclasses decide how many are allowed, and when."""
+    """Gate that counts sent requests in a sliding window; subclasses decide how many each VM may send, and when."""
 
     def __init__(self, vms: KnownVms, limit: ColdLimit, started: float) -> None:
         self.vms = vms
@@ -196,12 +197,12 @@
         return (0 if log is None else log.count(now)) < self.count_allowed(upstream, terms, now)
 
     def reserve(self, upstream: UpstreamId, now: float) -> None:
-        """Reserve room for a request."""
+        """Reserve a part of the limit for a request."""
         log = self._get_log(upstream, now)
         log.held += 1
 
     def release(self, upstream: UpstreamId, now: float) -> None:
-        """Release reserved room."""
+        """Release a reservation."""
         log = self._get_log(upstream, now)
         log.held = max(0, log.held - 1)
 
@@ -210,7 +211,7 @@
         self._get_log(upstream, now).times.append(now)
 
     def get_wait(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return the seconds until there is room; infinite if unknown."""
+        """Return the seconds until one more request may be sent; infinite if unknown."""
         if not self._is_open(now):
             return self._startup_ends_at - now if now < self._startup_ends_at else math.inf
         allowed = self.count_allowed(upstream, terms, now)
@@ -221,7 +222,7 @@
 
     @property
     def vm_count(self) -> int:
-        """Return the number of known VMs, with this one."""
+        """Return the number of known VMs, including this one."""
         return 1 + len(self._others)
 
     def list_others(self) -> Sequence[str]:
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -1,6 +1,6 @@
-"""Compute the cost of distance in seconds: round trips, bytes of callers, and KV cache transfers between engines.
+"""Compute the cost of distance in seconds: round trips, request and response bytes, and KV cache transfers.
 
-The cost of a transfer grows with the size of the cache, so large caches keep prefill and decode close together.
+The cost of a transfer grows with the size of the KV cache, so prefill and decode of long prompts run close together.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 """Transfer time of a KV cache relative to a transfer within a hall, as specified by the platform."""
 
 BYTE_COST_FACTORS = {Distance.SAME_HALL: 0.0, Distance.SAME_REGION: 1.0, Distance.OTHER_REGION: 3.0}
-"""Cost of a byte relative to one that crosses halls of a region, as specified by the platform for KV caches."""
+"""Cost of a byte relative to one sent between two halls of a region, as the platform specifies for KV caches."""
 
 KV_BYTE_COST_S = 0.02e-9
-"""Seconds per byte of a KV cache that crosses halls, in addition to the transfer time."""
+"""Cost in seconds per byte of a KV cache sent between halls, in addition to the transfer time."""
 
 CALLER_BYTE_COST_S = 1.5e-6
-"""Seconds per byte of a caller's request or answer that crosses halls.
+"""Cost in seconds per byte of a request or response sent between halls.
 
-Far above the cost of a KV cache's byte, since caches have links of their own.
+Much higher than ``KV_BYTE_COST_S``, since KV caches have dedicated links.
 """
 
 PLAIN_REQUEST_BYTES = 2_000
-"""Bytes of a plain request and its answer, with headers."""
+"""Assumed bytes of a request to a service without prefill and decode engines and of its response, with headers."""
 
 EVENT_BYTES = 150
-"""Bytes of one event of a stream, with packet and chunk overhead."""
+"""Bytes of one event of a streamed response, with packet and chunk overhead."""
 
 DEFAULT_TRANSFER_S = 0.02
 """Transfer time of a KV cache within a hall if its size or the link rate is unknown."""
@@ -48,21 +48,21 @@
     hall: str
     places: Places = field(default_factory=Places)
     enabled: bool = True
-    """False if distance costs nothing."""
+    """False if all costs are 0."""
 
     def get_distance(self, hall: str) -> Distance:
-        """Return the distance of a hall from this VM's hall."""
+        """Return the distance between ``self.hall`` and another hall."""
         return self.places.measure(self.hall, hall)
 
     def compute_request_cost(self, hall: str, caller_bytes: float) -> float:
-        """Return the cost of a request to a hall: the round trip, and the bytes of the caller that cross."""
+        """Return the cost of a request to a hall: the round trip, and the request and response bytes sent there."""
         if not self.enabled:
             return 0.0
         distance = self.get_distance(hall)
         return ROUND_TRIP_S[distance] + caller_bytes * CALLER_BYTE_COST_S * BYTE_COST_FACTORS[distance]
 
     def compute_transfer_cost(self, source: str, target: str, cache: CacheTransfer) -> float:
-        """Return the cost of a KV cache transfer between engines of two halls."""
+        """Return the cost of a KV cache transfer from an engine of one hall to an engine of another."""
         if not self.enabled:
             return 0.0
         distance = self.places.measure(source, target)
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheTransfer:
-    """Size and transfer time of one prompt's KV cache."""
+    """Size of one prompt's KV cache, and the time to transfer it."""
 
     size: float = 0.0
     """Bytes; 0 if unknown."""
@@ -80,11 +80,11 @@
 
 
 UNKNOWN_CACHE_TRANSFER = CacheTransfer()
-"""Transfer of a cache of unknown size."""
+"""Transfer of a KV cache whose size or link rate is unknown."""
 
 
 def compute_cache_transfer(engine: Engine, tokens: int) -> CacheTransfer:
-    """Return the size and transfer time of the KV cache of some tokens."""
+    """Return the size of the KV cache of some tokens, and the time to transfer it."""
     size = tokens * engine.kv_token_bytes
     if not size or not engine.link_rate:
         return UNKNOWN_CACHE_TRANSFER
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -1,7 +1,7 @@
 """Decide which upstreams a request may be sent to.
 
-Every code path that sends a request checks here, also for retries and memory reservations, so that each condition holds
-for all of them. The chooser then compares the costs of eligible upstreams.
+Every code path that sends a request uses these checks, including retries and memory reservations. The chooser then
+compares the costs of the eligible upstreams.
 """
 
 from __future__ import annotations
@@ -37,20 +37,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPermit:
-    """Reserved room for one request at an upstream that is cold, has announced a limit, or both."""
+    """Reservation for one request to an upstream that is cold, has announced a limit, or both."""
 
     cold: ColdPermit | None
     limited: LimitPermit | None
 
     def use(self, now: float) -> None:
-        """Use the room when the request is sent."""
+        """Count the request as sent, which uses up the reservation."""
         if self.cold is not None:
             self.cold.use(now)
         if self.limited is not None:
             self.limited.use(now)
 
     def drop(self, now: float) -> None:
-        """Release the room, unless the request was sent."""
+        """Release the reservation, unless the request was sent."""
         if self.cold is not None:
             self.cold.drop(now)
         if self.limited is not None:
@@ -75,7 +75,7 @@
 
         :param regions: the regions that the request may be served in; None allows any
         :param cold: the limits of the service's cold upstreams; None if they are not limited
-        :param owed: whether the caller was refused before
+        :param owed: whether the caller was refused before and retries now
         """
         if self.evacuations.is_evacuated(upstream.hall):
             return Obstacle.EVACUATED
@@ -94,7 +94,7 @@
         return regions is None or self.places.lies_in(upstream.hall, regions)
 
     def is_cold(self, upstream: Upstream, cold: ColdTerms, now: float) -> bool:
-        """Return whether an upstream is cold, or may be since the evacuation of its hall ended recently."""
+        """Return whether an upstream counts as cold, as it also does for some time after its hall's evacuation ends."""
         return now < self.get_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
@@ -102,8 +102,8 @@
 
     def get_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
         """Return until when an upstream counts as cold, in monotonic seconds."""
-        returned = self.evacuations.get_end_time(upstream.hall)
-        return max(self.listing.find_cold_until(upstream.id), returned + cold.start_time)
+        evacuation_end = self.evacuations.get_end_time(upstream.hall)
+        return max(self.listing.find_cold_until(upstream.id), evacuation_end + cold.start_time)
 
     def get_cold_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send to a cold upstream, at most until it is warm."""
@@ -111,7 +111,7 @@
         return min(warm_in, self.gate.get_wait(upstream, cold, now))
 
     def acquire_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
-        """Reserve room for a request to an upstream; return None if it is warm and has no limit."""
+        """Reserve one request to an upstream; return None if it is warm and has no limit, so that none is needed."""
         limited = self.limits.acquire_permit(upstream.life, now)
         if cold is None or not self.is_cold(upstream, cold, now):
             return None if limited is None else SendPermit(None, limited)
@@ -123,7 +123,7 @@
         return cold is not None and self.is_cold(upstream, cold, now) and not self.gate.may_send(upstream, cold, now)
 
     def record_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
-        """Count a request that is sent to an upstream without a permit."""
+        """Count a request that is sent without reserving a permit first."""
         self.limits.record_request(upstream.life, now)
         if cold is not None and self.is_cold(upstream, cold, now):
             self.gate.record_sent(upstream.id, now)
@@ -139,7 +139,7 @@
     ) -> list[Upstream]:
         """Return the upstreams that a request may be sent to."""
         if cold is not None and not self._may_any_be_cold(cold, now):
-            cold = None  # skip the check of each upstream
+            cold = None  # none is cold: avoids checking each upstream
         return [one for one in upstreams if self.get_obstacle(one, regions, cold, now, is_retry=is_retry) is None]
 
     def count_obstacles(
