--- a/src/beamhatch/relay/choosing/cold_gate.py
+++ b/src/beamhatch/relay/choosing/cold_gate.py
@@ -43,7 +43,7 @@
     """Limit on the requests that all VMs together may send to a cold upstream in any second."""
 
     overage: float = 1.0
-    """Factor by which the limit exceeds the rate that the service's upstreams accept while they are cold."""
+    """Factor on the rate that an upstream accepts while it is cold."""
     slack: float = 0.0
     """Requests a second added to the multiplied rate."""
 
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -17,16 +17,16 @@
     from beamhatch.relay.model import ColdTerms, Regions, Upstream
 
 EVACUATED_RETRY_S = 2.0
-"""Seconds until a retry if all halls are evacuated: an operator has to act first."""
+"""Seconds until a retry if all halls are evacuated, which an operator has to end."""
 
 LEAVING_RETRY_S = 1.0
-"""Seconds until a retry if all upstreams are leaving: replacements usually start meanwhile."""
+"""Seconds until a retry if all upstreams are leaving, since replacements usually start in that time."""
 
 PROBE_RETRY_S = 0.1
 """Seconds until a retry if back-offs are over and the first probes are in flight."""
 
 MIN_RETRY_WINDOW_S = 0.5
-"""Minimum seconds over which retries are spread: an upstream recovers from a back-off within about five round trips."""
+"""Minimum seconds over which retries are spread, as recovery from a back-off takes about five round trips."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,10 +43,10 @@
 def detect_shortage(
     eligibility: Eligibility, upstreams: Sequence[Upstream], regions: Regions, cold: ColdTerms | None, now: float
 ) -> Shortage | None:
-    """Return why none of some upstreams may be sent a request, or None if one may.
+    """Return the shortage if none of the upstreams may be sent a request, else None.
 
-    Back-offs and limits end by themselves, so the one that ends first takes precedence. Cold upstreams soon accept more
-    and are no shortage.
+    Back-offs and limits end without intervention, so the first one to end takes precedence over other obstacles. Cold
+    upstreams are no shortage, since they accept more requests soon.
     """
     found = eligibility.count_obstacles(upstreams, regions, cold, now)
     if not found or found.total() < len(upstreams) or Obstacle.COLD in found:
@@ -63,23 +63,29 @@
 
 
 def _detect_backoff(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
-    """Return the shortage until the first back-off ends, or None if no upstream backs off."""
+    """Return the shortage until the first back-off ends, or None if no upstream has asked for one."""
     backing_off = [one.life for one in answering if not eligibility.backoffs.may_send_to(one, now)]
     if not backing_off:
         return None
-    waits = [end - now for end in (eligibility.backoffs.get_end(life, now) for life in backing_off) if end is not None]
+    waits = [
+        end - now
+        for end in (eligibility.backoffs.get_end(incarnation, now) for incarnation in backing_off)
+        if end is not None
+    ]
     probing = len(backing_off) > len(waits)
     return Shortage(Obstacle.BACKING_OFF, PROBE_RETRY_S if probing else min(waits))
 
 
 def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
-    """Return the shortage until the first limit has room, or None if no upstream is excluded by its limit alone."""
+    """Return the shortage until the first limit allows a request, or None if no upstream is excluded by its limit."""
     limits = eligibility.limits
     limited = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
     if not limited:
         return None
     return Shortage(
-        Obstacle.LIMITED, min(limits.compute_wait(life, now) for life in limited), limits.compute_total_rate(limited)
+        Obstacle.LIMITED,
+        min(limits.compute_wait(incarnation, now) for incarnation in limited),
+        limits.compute_total_rate(limited),
     )
 
 
@@ -87,9 +93,9 @@
     """Return the seconds after which a refused caller should retry.
 
     Retries are spread over a window as long as the wait, so that they do not arrive all at once. Callers that were
-    refused before get the first half of it.
+    refused before retry in the first half of it, others in the second.
 
-    :param draw: a random number from 0 up to 1 for each caller
+    :param draw: a random number from 0 up to 1, drawn for each caller
     :param owed: whether the caller was refused before
     """
     half = max(wait, MIN_RETRY_WINDOW_S) / 2
--- a/src/beamhatch/relay/choosing/pace.py
+++ b/src/beamhatch/relay/choosing/pace.py
@@ -21,7 +21,7 @@
 """Prefill rate assumed before the model is fitted."""
 
 DEFAULT_OVERHEAD_S = 0.05
-"""Overhead of a call assumed before the model is fitted: round trips and the engine's own."""
+"""Overhead of a prefill assumed before the model is fitted: round trips and fixed work of the engine."""
 
 DECODE_RATE_FACTOR = 0.375
 """Prefill rate of a decode engine relative to a prefill engine, assumed before the model is fitted.
@@ -30,31 +30,31 @@
 """
 
 MAX_SAMPLES = 24
-"""Samples that a model is fitted to."""
+"""Number of recent samples that a model is fitted to."""
 
 MAX_UNSENT = 8
-"""Own samples kept until the next heartbeat to peers."""
+"""Number of own samples kept until the next heartbeat to peers."""
 
 MIN_SAMPLES = 8
-"""Samples needed for the first fit."""
+"""Number of samples needed for the first fit."""
 
 FIT_INTERVAL_SAMPLES = 4
-"""Samples between two fits."""
+"""Number of new samples between two fits."""
 
 FIT_ITERATIONS = 4
 """Iterations of least trimmed squares."""
 
 FIT_QUANTILE = 0.25
-"""Quantile of the samples that the line follows, since slower prefills had waited for unreported work."""
+"""Quantile of the prefill times that the model is fitted to, as slower prefills may have waited for unreported work."""
 
 MIN_TOKENS_STDEV = 200.0
 """Standard deviation of the prompt lengths below which the time per token can't be fitted."""
 
 MIN_TOKENS_PER_S = 2_000.0
-"""Lower bound of a fitted rate."""
+"""Lower bound of the fitted rate."""
 
 MAX_TOKENS_PER_S = 1_000_000.0
-"""Upper bound of a fitted rate."""
+"""Upper bound of the fitted rate."""
 
 
 class PrefillSample(msgspec.Struct, array_like=True, frozen=True):
@@ -62,20 +62,20 @@
 
     service: str
     at_decode: bool
-    """True if a decode engine did it, between decode steps."""
+    """True if a decode engine did the prefill, between decode steps."""
     tokens: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class PrefillModel:
-    """Linear model of prefill time: seconds of overhead, and tokens a second."""
+    """Linear model of prefill time, with an overhead in seconds and a rate in tokens a second."""
 
     overhead: float = DEFAULT_OVERHEAD_S
     rate: float = DEFAULT_TOKENS_PER_S
 
     def predict(self, tokens: float) -> float:
-        """Return the seconds to prefill some tokens, those of a prompt and those queued before it."""
+        """Return the seconds to prefill some tokens: those of a prompt and those queued before it."""
         return self.overhead + tokens / self.rate
 
 
@@ -90,24 +90,24 @@
     _samples: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _unsent: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=MAX_UNSENT))
     """Own samples not yet sent to peers, as tokens and seconds."""
-    _unfitted: int = 0
+    _samples_since_fit: int = 0
 
     def record_own(self, tokens: int, seconds: float) -> None:
-        """Record a prefill for this VM that had no known work queued before it, and keep it for peers."""
+        """Record a prefill of this VM's request, with no known work queued before it, and keep it to send to peers."""
         self._unsent.append((tokens, seconds))
         self.record(tokens, seconds)
 
     def record(self, tokens: int, seconds: float) -> None:
-        """Record a prefill for any VM, and fit the model if enough samples are new.
+        """Record a prefill of any VM's request, and fit the model if there are enough new samples.
 
-        Samples of peers count as well, since a VM of a large fleet sees few prefills itself.
+        Samples of peers are used as well, since one VM of a large fleet sees few prefills.
         """
         if not self.enabled:
             return
         self._samples.append((float(tokens), seconds))
-        self._unfitted += 1
-        if len(self._samples) >= MIN_SAMPLES and (not self.fitted or self._unfitted >= FIT_INTERVAL_SAMPLES):
-            self._unfitted = 0
+        self._samples_since_fit += 1
+        if len(self._samples) >= MIN_SAMPLES and (not self.fitted or self._samples_since_fit >= FIT_INTERVAL_SAMPLES):
+            self._samples_since_fit = 0
             self.model = fit_model(list(self._samples))
             self.fitted = True
 
@@ -169,7 +169,7 @@
         return estimator
 
     def record(self, sample: PrefillSample) -> None:
-        """Record a sample of a peer."""
+        """Record a sample that a peer sent."""
         service = ServiceName(sample.service)
         estimator = self.get_decode(service) if sample.at_decode else self.get_prefill(service)
         estimator.record(sample.tokens, sample.seconds)
@@ -185,7 +185,7 @@
     def get_decode(self, service: ServiceName) -> PrefillEstimator:
         """Return the estimator of a service's decode engines.
 
-        Until its first fit, its model is derived from that of the prefill engines.
+        Until it is fitted, its model is derived from that of the prefill engines.
         """
         estimator = self._decode.get(service)
         if estimator is None:
--- a/src/beamhatch/relay/choosing/peer_backlog.py
+++ b/src/beamhatch/relay/choosing/peer_backlog.py
@@ -1,6 +1,7 @@
 """Track the prefill work that peers have queued at each engine.
 
-Engines need not report their load, so each VM sends its peers the number of its pending prompt tokens by engine.
+Engines need not report their load, so each VM sends its peers the number of its prompt tokens still to be
+prefilled, by engine.
 """
 
 from __future__ import annotations
@@ -20,5 +21,5 @@
     __slots__ = ()
 
     def count_tokens(self, upstream: UpstreamId, now: float) -> int:
-        """Return the pending prompt tokens at an engine, summed over the peers with a recent report."""
+        """Return the pending prompt tokens at an engine, summed over the recent reports of all peers."""
         return sum(tokens.get(upstream, 0) for tokens in self.list_values(now))
--- a/src/beamhatch/relay/choosing/prefill_times.py
+++ b/src/beamhatch/relay/choosing/prefill_times.py
@@ -1,4 +1,4 @@
-"""Track recent prefill times from call to answer, so that a busy engine is not mistaken for an unresponsive one."""
+"""Track prefill times, from request to response, so that a busy engine is not mistaken for an unresponsive one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 WINDOW_S = 4.0
-"""Seconds for which a time counts."""
+"""Seconds for which a recorded time is used."""
 
 MAX_TIMES = 32
 
--- a/src/beamhatch/relay/choosing/rests.py
+++ b/src/beamhatch/relay/choosing/rests.py
@@ -1,7 +1,7 @@
 """Track upstreams that have asked this VM to back off, and ramp requests up again afterwards.
 
-After a back-off, one request probes the upstream, and each answer allows more. An upstream asks one VM to back off and
-may have room for others, so back-offs are not shared with peers.
+After a back-off, one request probes the upstream, and each response allows more in flight. An upstream that asks
+one VM to back off may accept requests of others, so back-offs are not shared with peers.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
     from beamhatch.relay.model import Life, Upstream, UpstreamId
 
 MAX_JITTER = 0.25
-"""Maximum random extension of a back-off, as a share of it, so that VMs do not all return at once."""
+"""Maximum random extension of a back-off, as a share of it, so that VMs do not all resume at the same time."""
 
 INITIAL_PROBES = 1
-"""Requests that may be in flight after a back-off until the first one is answered."""
+"""Requests that may be in flight after a back-off until the first response."""
 
 RECOVERY_RESPONSES = 16
-"""Answers after which an upstream is used without limits again."""
+"""Responses after which an upstream is used without this limit again."""
 
 PROBE_TIMEOUT_S = 1.0
 """Seconds after which a probe without a result no longer counts as in flight."""
@@ -32,22 +32,22 @@
 @dataclass(slots=True)
 class _Backoff:
     until: float
-    """Monotonic seconds."""
-    answers: int = 0
-    """Requests that were answered after the end of the back-off, and not rejected."""
+    """End of the back-off, in monotonic seconds."""
+    responses: int = 0
+    """Requests that were answered and not rejected since the end of the back-off."""
     probes: deque[float] = field(default_factory=deque)
-    """Start of each probe in flight."""
+    """Send time of each probe in flight."""
 
     def has_room(self, now: float) -> bool:
         """Return whether one more probe may be sent."""
         while self.probes and self.probes[0] <= now - PROBE_TIMEOUT_S:
             self.probes.popleft()
-        return len(self.probes) < INITIAL_PROBES + self.answers
+        return len(self.probes) < INITIAL_PROBES + self.responses
 
 
 @dataclass(slots=True)
 class BackoffProbe:
-    """Request to an upstream that has asked for a back-off; its result is recorded once."""
+    """Request to an upstream that is recovering from a back-off; its result is recorded once."""
 
     backoffs: Backoffs
     incarnation: Life
@@ -66,14 +66,14 @@
 
     _backoffs: dict[Life, _Backoff] = field(default_factory=dict)
     _ids: set[UpstreamId] = field(default_factory=set)
-    """Upstreams with a back-off, as a fast path for all others."""
+    """Upstreams that may have a back-off; all others skip the lookup by incarnation."""
 
     def may_send_to(self, upstream: Upstream, now: float) -> bool:
-        """Return whether an upstream may be sent one more request; see ``may_send``."""
+        """Return whether an upstream may be sent one more request; see ``may_send_to_incarnation``."""
         return upstream.id not in self._ids or self.may_send_to_incarnation(upstream.life, now)
 
     def record(self, incarnation: Life, seconds: float, now: float) -> bool:
-        """Record that an upstream asks for a back-off of some seconds; return whether none was active."""
+        """Record a requested back-off, or extend an active one; return True if none was active."""
         until = now + seconds * random.uniform(1.0, 1.0 + MAX_JITTER)
         known = self._backoffs.get(incarnation)
         if known is not None and now < known.until:
@@ -89,7 +89,7 @@
         return backoff.until if backoff is not None and now < backoff.until else None
 
     def may_send_to_incarnation(self, life: Life, now: float) -> bool:
-        """Return whether an upstream may be sent one more request, without counting it."""
+        """Return whether one more request may be sent to an incarnation, without counting it."""
         backoff = self._backoffs.get(life)
         return backoff is None or (now >= backoff.until and backoff.has_room(now))
 
@@ -98,7 +98,7 @@
         return self.get_end(incarnation, now) is not None
 
     def begin_request(self, incarnation: Life, now: float) -> BackoffProbe | None:
-        """Count a request that is sent; return its probe, or None if the upstream has asked for no back-off."""
+        """Count a request that is sent; return its probe, or None if the upstream has no back-off or has recovered."""
         backoff = self._backoffs.get(incarnation)
         if backoff is None:
             return None
@@ -115,8 +115,8 @@
             return
         if backoff.probes:
             backoff.probes.popleft()
-        backoff.answers += answered
-        if backoff.answers >= RECOVERY_RESPONSES:
+        backoff.responses += answered
+        if backoff.responses >= RECOVERY_RESPONSES:
             del self._backoffs[incarnation]
 
     def count_active(self, now: float) -> int:
--- a/src/beamhatch/relay/choosing/round_robin_gate.py
+++ b/src/beamhatch/relay/choosing/round_robin_gate.py
@@ -1,7 +1,7 @@
 """Give each VM a short turn to send requests to each cold upstream, one after the other.
 
-Turns are scheduled by the upstream's remaining cold time, which VMs know without messages among them. It may differ
-between VMs, so turns of different times of the schedule can fall into the same second.
+Turns are scheduled by the upstream's remaining cold time, which VMs know without messages among them. That time
+may differ between VMs, so VMs with different turns may send in the same second.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 """Maximum difference between VMs in the remaining cold time of an upstream, in seconds."""
 
 MIN_ROUND_S = 1.0 + MAX_COUNTDOWN_SKEW_S + TURN_S
-"""Seconds of the schedule whose turns may fall into one second of real time."""
+"""Minimum length of a round: the part of the schedule whose turns may overlap one second of real time."""
 
 
 class RoundRobinGate(CountingGate):
@@ -42,7 +42,7 @@
         self._ranks.clear()
 
     def count_allowed(self, upstream: Upstream, terms: ColdTerms, now: float) -> int:
-        """Return 0 outside of this VM's turn, in it 1 or an equal part of the limit, whichever is more."""
+        """Return 0 outside this VM's turn; during it an equal part of the limit, but at least 1."""
         if self._get_wait_for_turn(upstream.id, terms, now) > 0:
             return 0
         return max(1, int(self.limit.compute_limit(terms) / self.vm_count))
@@ -52,15 +52,15 @@
         return max(0.0, self._get_wait_for_turn(upstream.id, terms, now))
 
     def _get_wait_for_turn(self, upstream: UpstreamId, terms: ColdTerms, now: float) -> float:
-        """Return the seconds until this VM's turn begins; 0 or less during the turn."""
+        """Return the seconds until this VM's turn begins, 0 or less during it; if the limit is below 1, until warm."""
         limit = self.limit.compute_limit(terms)
         if limit < 1 + 1e-9:
             return self._find_cold_until(upstream) - now
         rate = (limit - 1) / MIN_ROUND_S
         period = max(self.vm_count / rate, MIN_ROUND_S)
         left = self._find_cold_until(upstream) - now
-        until = (left - self._get_rank(upstream) / rate) % period
-        return until - period if until > period - TURN_S else until
+        wait = (left - self._get_rank(upstream) / rate) % period
+        return wait - period if wait > period - TURN_S else wait
 
     def _get_rank(self, upstream: UpstreamId) -> int:
         rank = self._ranks.get(upstream)
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -1,4 +1,4 @@
-"""Decide when a request that needs decode memory spills to another hall or region than its VM's."""
+"""Decide when a request that needs decode memory spills over to a hall or region other than its VM's."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from beamhatch.relay.places import Distance, RegionName
 
 FAILED_ROUND_COST_S = 0.1
-"""Cost of a round of requests in which no engine had memory."""
+"""Cost of a round of reservation attempts in which no engine had memory."""
 
 REFUSAL_PRIOR = 2.0
-"""Weight of the prior that an engine has memory: after this many refusals, the next one has a probability of 0.5."""
+"""Number of refusals by a region's engines after which the next one is expected to refuse with probability 0.5."""
 
 IsNear = Callable[[str], bool]
 """Returns whether a hall is in the VM's region."""
 
 
 class SpillReason(Enum):
-    """Reason why a request runs in another region than its VM."""
+    """Reason why a request runs in a region other than its VM's."""
 
     NONE_NEAR = "the own region has no engine that may take it"
     PAIR = "the decode engine that has memory for it is there"
@@ -34,7 +34,8 @@
     """Return why an engine of another region was chosen.
 
     :param usable: the engines that were available for the choice
-    :param refused: those that had no memory for the request
+    :param refused: the engines that had no memory for the request
+    :param is_near: returns whether a hall is in the VM's region
     """
     local = [one for one in usable if one.phase is phase and is_near(one.hall)]
     if not local:
@@ -43,15 +44,15 @@
 
 
 EstimateLoad = Callable[[Upstream], float]
-"""Returns the estimated share of an engine's slots that are taken; 1 if it has just refused."""
+"""Returns the estimated share of an engine's slots that are in use; 1 for an engine whose hall has refused."""
 
 
 class SpillPolicy(ABC):
-    """Policy that restricts and prices sampled engines by their location and by earlier refusals."""
+    """Policy that filters sampled engines and adds to their costs, by their location and earlier refusals."""
 
     @abstractmethod
     def filter(
-        self, sampled: Sequence[Upstream], measure: Callable[[str], Distance], estimate_load: EstimateLoad
+        self, sampled: Sequence[Upstream], get_distance: Callable[[str], Distance], estimate_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return the engines whose costs are to be compared."""
 
@@ -64,10 +65,10 @@
 
 
 class CostSpillPolicy(SpillPolicy):
-    """Policy that compares all engines and adds a cost for the probability that the next engine of a region refuses."""
+    """Policy that compares all engines, and adds to the cost of each the probable cost of a refusal in its region."""
 
     def filter(
-        self, sampled: Sequence[Upstream], measure: Callable[[str], Distance], estimate_load: EstimateLoad
+        self, sampled: Sequence[Upstream], get_distance: Callable[[str], Distance], estimate_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return all sampled engines."""
         return sampled
--- a/src/beamhatch/relay/choosing/sponsor_gate.py
+++ b/src/beamhatch/relay/choosing/sponsor_gate.py
@@ -1,4 +1,4 @@
-"""Let only a few VMs, its sponsors, send requests to each cold upstream.
+"""Limit requests to each cold upstream by letting only a few VMs, its sponsors, send them.
 
 Sponsors are chosen by consistent hashing over the known VMs, so VMs with the same view agree without messages. Together
 they use half of the upstream's limit, so that the sponsors of two disjoint views still stay within it.
@@ -23,10 +23,10 @@
 """Number of disjoint views whose sponsors together stay within an upstream's limit."""
 
 SPONSOR_TERM_S = 10.0
-"""Seconds after which the sponsors of an upstream that stays cold change."""
+"""Seconds after which an upstream that is still cold gets other sponsors."""
 
 SPONSOR_TERM_GAP_S = 2.0
-"""Seconds without sponsors between two terms: the delay of updates between VMs, and the second of the limit."""
+"""Seconds without sponsors between two terms: the delay of updates between VMs, plus the second of the limit."""
 
 
 class SponsorGate(CountingGate):
@@ -73,7 +73,7 @@
         return 1 if self.is_discovering(now) else part // sponsors
 
     def get_wait_for_allowance(self, upstream: Upstream, terms: ColdTerms, now: float) -> float:
-        """Return infinity: other VMs are sponsors, and callers that retry may reach one of them."""
+        """Return infinity, since it is unknown when this VM is a sponsor; callers that retry may reach one that is."""
         return math.inf
 
     def _get_term(self, upstream: Upstream, terms: ColdTerms, now: float) -> int | None:
--- a/src/beamhatch/relay/choosing/standing.py
+++ b/src/beamhatch/relay/choosing/standing.py
@@ -9,16 +9,16 @@
     from beamhatch.relay.model import UpstreamId
 
 FAILURE_HALF_LIFE_S = 4.0
-"""Seconds after which a failure rate without new results has halved."""
+"""Seconds in which a failure rate without new results halves."""
 
 FAILURE_WEIGHT = 0.25
 """Weight of a new result in the moving average of the failure rate."""
 
 MIN_UNRESPONSIVE_PAUSE_S = 0.8
-"""First pause after no response; each further pause is twice as long."""
+"""First pause after a missing response; each further pause is twice as long."""
 
 MAX_UNRESPONSIVE_PAUSE_S = 4.0
-"""Longest pause after no response."""
+"""Longest pause after a missing response."""
 
 UNREACHABLE_THRESHOLD = 2
 """Consecutive requests without a response after which an upstream counts as unreachable."""
@@ -30,16 +30,16 @@
 """First pause after a misdirected request; each further pause is twice as long."""
 
 MAX_MISDIRECTED_PAUSE_S = 30.0
-"""Longest pause after a misdirected request, which another upstream at the same address has answered."""
+"""Longest pause after a misdirected request, to which another upstream at the same address responded."""
 
 BUSY_PAUSE_S = 0.6
 """Seconds for which an upstream that rejected a request is avoided."""
 
 PEER_FAILURE_RATE_WEIGHT = 0.8
-"""Weight of a failure rate that another VM reports."""
+"""Factor on a failure rate that another VM reports."""
 
 UNRESPONSIVE_FAILURE_RATE = 0.5
-"""Failure rate from which on an upstream counts as unresponsive."""
+"""Failure rate at and above which an upstream counts as unresponsive."""
 
 LOAD_TTL_S = 0.6
 """Seconds over which the weight of a reported load falls to 0."""
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Load that an upstream reports: running and waiting requests, and its slots."""
+    """Load that an upstream reports: numbers of running requests, waiting requests and slots."""
 
     running: int
     waiting: int
@@ -70,6 +70,7 @@
     latency: float = 0.0
     """Moving average of the seconds per request; 0 before the first success."""
     responded_at: float = -1e9
+    """Time of the last response to this VM."""
     unresponsive_count: int = 0
     """Consecutive connections that were refused or got no response."""
     unresponsive_until: float = -1e9
@@ -79,13 +80,14 @@
     misdirected_until: float = -1e9
     busy_until: float = -1e9
     drops_caches_until: float = -1e9
-    """Until when its handles are assumed to lapse at once."""
+    """Until when it is assumed to drop KV caches before they are fetched."""
     _failure_rate: float = 0.0
-    """By own requests and by reports of other VMs."""
+    """Of this VM's requests, raised by the reports of other VMs."""
     _own_failure_rate: float = 0.0
-    """By own requests only, as reported to other VMs."""
+    """Of this VM's requests only, as reported to other VMs."""
     _failure_rate_at: float = 0.0
-    _others: int = 0
+    _other_requests: int = 0
+    """Requests of other VMs, by the last load report."""
     _load_at: float = -1e9
 
     def record_start(self, tokens: int, now: float) -> None:
@@ -101,7 +103,7 @@
             setattr(self, each.name, getattr(fresh, each.name))
 
     def should_skip(self, now: float) -> bool:
-        """Return whether it is known to be unreachable and was probed within ``PROBE_INTERVAL_S``."""
+        """Return whether it is unreachable and not due for another probe."""
         unreachable = self.unresponsive_count >= UNREACHABLE_THRESHOLD and now < self.unresponsive_until
         return unreachable and now - self.sent_at < PROBE_INTERVAL_S
 
@@ -141,7 +143,7 @@
         self.busy_until = now + BUSY_PAUSE_S
 
     def apply_peer_failure_rate(self, failure_rate: float, now: float) -> None:
-        """Apply the failure rate that another VM reports, if it is higher than the known one after weighting."""
+        """Apply a failure rate that another VM reports, if it is still higher than the known one after weighting."""
         weighted = PEER_FAILURE_RATE_WEIGHT * failure_rate
         if weighted > self.get_failure_rate(now):
             self._own_failure_rate = self.get_own_failure_rate(now)
@@ -149,20 +151,20 @@
             self._failure_rate_at = now
 
     def record_misdirected(self, now: float) -> None:
-        """Record that another upstream answered at its address."""
+        """Record that another upstream responded at its address."""
         pause = min(MAX_MISDIRECTED_PAUSE_S, MIN_MISDIRECTED_PAUSE_S * 2**self.misdirected_count)
         self.misdirected_count += 1
         self.misdirected_until = now + pause
 
     def record_load(self, load: Load, now: float) -> None:
         """Record the load that it reports."""
-        self._others = max(0, load.running + load.waiting - self.running)
+        self._other_requests = max(0, load.running + load.waiting - self.running)
         self._load_at = now
 
     def estimate_other_requests(self, now: float) -> float:
         """Return the estimated number of requests of other VMs."""
         age = now - self._load_at
-        return self._others * max(0.0, 1.0 - age / LOAD_TTL_S)
+        return self._other_requests * max(0.0, 1.0 - age / LOAD_TTL_S)
 
     def get_failure_rate(self, now: float) -> float:
         """Return the recent failure rate, including reports of other VMs."""
@@ -187,19 +189,19 @@
     _stats: dict[UpstreamId, UpstreamStats] = field(default_factory=dict)
 
     def get(self, upstream: UpstreamId) -> UpstreamStats:
-        """Return the statistics of an upstream, created if missing."""
+        """Return the statistics of an upstream, after creating them if missing."""
         stats = self._stats.get(upstream)
         if stats is None:
             stats = self._stats[upstream] = UpstreamStats()
         return stats
 
     def get_own_failure_rates(self, min_rate: float, now: float) -> dict[str, float]:
-        """Return the upstreams whose own failure rate is at least ``least``, with that rate."""
+        """Return the failure rates of this VM's requests by upstream, without those below ``min_rate``."""
         rates = {str(name): round(one.get_own_failure_rate(now), 2) for name, one in self._stats.items()}
         return {name: rate for name, rate in rates.items() if rate >= min_rate}
 
     def list_unresponsive(self, now: float) -> set[UpstreamId]:
-        """Return the unresponsive upstreams, by own requests or by reports of other VMs."""
+        """Return the upstreams that are unresponsive according to own requests or reports of other VMs."""
         return {
             name
             for name, one in self._stats.items()
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -1,7 +1,7 @@
-"""Simulation of decode engines in three regions of two halls, with the real chooser on each VM.
+"""Simulation of decode engines in three regions with two halls each, and the real chooser on each VM.
 
-Requests arrive at random, ask engines for a slot in rounds, and hold it for the duration of a stream. A VM knows of an
-engine only what its own requests observe.
+Requests arrive at random, ask engines for a slot in rounds, and hold it for the duration of a stream. A VM knows
+only what its own requests observe of an engine.
 """
 
 from __future__ import annotations
@@ -33,38 +33,38 @@
 """Mean duration of a stream."""
 
 NORMAL_RATE = 0.5 * SLOTS * ENGINES / STREAM_S
-"""Requests a second and hall that occupy half of the slots."""
+"""Requests a second in each hall that occupy half of its slots."""
 
 IN_TIME_S, TIMEOUT_S, POLL_S = 0.5, 3.0, 0.1
-"""Seconds after which a request counts as late, after which it is given up, and between two rounds of attempts."""
+"""Seconds after which a request counts as late, after which it is lost, and between two rounds of attempts."""
 
 ROUND_TRIP_S = {Distance.SAME_HALL: 0.001, Distance.SAME_REGION: 0.0015, Distance.OTHER_REGION: 0.025}
-"""Seconds of one attempt."""
+"""Seconds from an attempt to its result."""
 
 NEED = RequestRequirements("p", 5000, 5070, response_bytes=70 * 150)
 
 
 RING_LOAD = 0.85
-"""Estimated share of taken slots in a ring from which on the next ring is added."""
+"""Estimated share of taken slots in a ring at and above which the next ring is added."""
 
 
 class RingSpillPolicy(SpillPolicy):
     """Policy by rings (own hall, own region, others) that adds the next ring when the nearer ones exceed a load."""
 
     def filter(
-        self, sampled: Sequence[Upstream], measure: Callable[[str], Distance], estimate_load: EstimateLoad
+        self, sampled: Sequence[Upstream], get_distance: Callable[[str], Distance], estimate_load: EstimateLoad
     ) -> Sequence[Upstream]:
         """Return the engines of the nearest rings, up to the first that has room."""
         chosen: list[Upstream] = []
         for ring in Distance:
-            found = [one for one in sampled if measure(one.hall) is ring]
+            found = [one for one in sampled if get_distance(one.hall) is ring]
             chosen += found
             if found and sum(map(estimate_load, found)) < RING_LOAD * len(found):
                 break
         return chosen
 
     def compute_cost(self, region: RegionName, refusals: dict[RegionName, int]) -> float:
-        """Return 0: the rings decide."""
+        """Return 0, since only ``filter`` decides."""
         return 0.0
 
 
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -7,11 +7,11 @@
 from beamhatch.relay.model import Address, Handle, Phase, ServiceName, Upstream, UpstreamId
 
 NEED = RequestRequirements("p1", 5000, 6000)
-KV = 60_000
+KV_TOKENS = 60_000
 NOW = 100.0
 
 
-def make(name: str, phase: Phase, hall: str = "a") -> Upstream:
+def make_upstream(name: str, phase: Phase, hall: str = "a") -> Upstream:
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), hall, False, phase, 6)
 
 
@@ -21,14 +21,14 @@
 
 
 def test_the_same_prompt_goes_to_the_same_engine_on_every_vm() -> None:
-    engines = [make(f"u{number}", Phase.PREFILL) for number in range(4)]
+    engines = [make_upstream(f"u{number}", Phase.PREFILL) for number in range(4)]
     chosen = {make_chooser()[0].choose_prefill(engines, NEED, set(), NOW) for _ in range(5)}
     assert len(chosen) == 1
 
 
 def test_a_queue_outweighs_cache_affinity() -> None:
     chooser, registry = make_chooser()
-    engines = [make(f"u{number}", Phase.PREFILL) for number in range(4)]
+    engines = [make_upstream(f"u{number}", Phase.PREFILL) for number in range(4)]
     preferred = chooser.choose_prefill(engines, NEED, set(), NOW)
     assert preferred is not None
     for _ in range(3):
@@ -38,17 +38,20 @@
 
 def test_the_decode_engine_is_in_the_hall_of_the_kv_cache_unless_it_is_busier() -> None:
     chooser, registry = make_chooser()
-    near, far = make("near", Phase.DECODE, "b"), make("far", Phase.DECODE, "a")
-    handle = Handle("k", make("p", Phase.PREFILL, "b"), NOW)
-    assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == near
+    beside_cache, other = make_upstream("near", Phase.DECODE, "b"), make_upstream("far", Phase.DECODE, "a")
+    handle = Handle("k", make_upstream("p", Phase.PREFILL, "b"), NOW)
+    assert (
+        chooser.choose_decode([other, beside_cache], NEED, set(), NOW, handle=handle, kv_tokens=KV_TOKENS)
+        == beside_cache
+    )
     for _ in range(4):
-        registry.get(near.id).record_start(6000, NOW)
-    assert chooser.choose_decode([far, near], NEED, set(), NOW, handle=handle, kv_tokens=KV) == far
+        registry.get(beside_cache.id).record_start(6000, NOW)
+    assert chooser.choose_decode([other, beside_cache], NEED, set(), NOW, handle=handle, kv_tokens=KV_TOKENS) == other
 
 
 def test_failures_outweigh_load_until_they_expire() -> None:
     chooser, registry = make_chooser()
-    good, bad = make("good", Phase.PLAIN), make("bad", Phase.PLAIN)
+    good, bad = make_upstream("good", Phase.PLAIN), make_upstream("bad", Phase.PLAIN)
     registry.get(good.id).record_load(Load(6, 2, 6), NOW)
     registry.get(bad.id).record_no_response(NOW)
     assert chooser.choose_plain([bad, good], set(), NOW) == good
@@ -62,7 +65,7 @@
 
 def test_failure_rates_reported_by_peers_expire() -> None:
     chooser, registry = make_chooser()
-    reported, other = make("told", Phase.PLAIN), make("other", Phase.PLAIN)
+    reported, other = make_upstream("reported", Phase.PLAIN), make_upstream("other", Phase.PLAIN)
     registry.get(other.id).record_start(0, NOW)
     registry.get(reported.id).apply_peer_failure_rate(0.5, NOW)
     assert chooser.choose_plain([reported, other], set(), NOW) == other
@@ -73,13 +76,15 @@
 def test_a_choice_among_thousands_examines_a_sample() -> None:
     chooser, registry = make_chooser()
     phases = (Phase.PREFILL, Phase.DECODE, Phase.DECODE)
-    engines = [make(f"u{number}", phases[number % 3]) for number in range(6900)]
+    engines = [make_upstream(f"u{number}", phases[number % 3]) for number in range(6900)]
     assert chooser.choose_prefill(engines, NEED, set(), NOW) is not None
-    assert chooser.choose_decode(engines, NEED, set(), NOW, handle=None, kv_tokens=KV) is not None
+    assert chooser.choose_decode(engines, NEED, set(), NOW, handle=None, kv_tokens=KV_TOKENS) is not None
     assert len(registry._stats) <= 2 * SAMPLE_SIZE
 
 
 def test_the_only_engine_of_a_phase_is_found_among_thousands() -> None:
     chooser, _ = make_chooser()
-    engines = [make(f"u{number}", Phase.DECODE) for number in range(2000)] + [make("only", Phase.PREFILL)]
+    engines = [make_upstream(f"u{number}", Phase.DECODE) for number in range(2000)] + [
+        make_upstream("only", Phase.PREFILL)
+    ]
     assert chooser.choose_prefill(engines, NEED, set(), NOW) == engines[-1]
--- a/tests/relay/choosing/test_cold_fleet.py
+++ b/tests/relay/choosing/test_cold_fleet.py
@@ -8,17 +8,17 @@
 from beamhatch.relay.choosing.sponsor_gate import SponsorGate
 from tests.support.cold_fleet import MAX_REQUESTS, ColdFleet, GateClass
 
-KINDS = [SponsorGate, RoundRobinGate]
-HIGH = 170.0
-"""Requests a second for a cold upstream, ten times its limit."""
+GATE_CLASSES = [SponsorGate, RoundRobinGate]
+SURGE_RATE = 170.0
+"""Requests a second to a cold upstream, ten times its limit."""
 
 
 @pytest.mark.parametrize("vms", [1, 8, 74, 195])
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", GATE_CLASSES)
 def test_a_surge_to_a_cold_upstream_is_limited(kind: GateClass, vms: int) -> None:
     fleet = ColdFleet(vms, kind)
     fleet.turn_cold(6.0)
-    fleet.run(5.0, HIGH)
+    fleet.run(5.0, SURGE_RATE)
     assert fleet.count_sent() >= 5
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
@@ -27,7 +27,7 @@
 def test_the_limit_holds_under_random_fleet_events(seed: int) -> None:
     fleet = ColdFleet([8, 74][seed % 2], seed=seed)
     fleet.turn_cold(30.0)
-    fleet.run_random_events(12.0, HIGH)
+    fleet.run_random_events(12.0, SURGE_RATE)
     assert fleet.count_sent()
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
@@ -36,7 +36,7 @@
 def test_the_limit_holds_under_random_events_in_a_large_fleet(seed: int) -> None:
     fleet = ColdFleet(195, seed=seed)
     fleet.turn_cold(30.0)
-    fleet.run_random_events(12.0, HIGH)
+    fleet.run_random_events(12.0, SURGE_RATE)
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
 
@@ -47,7 +47,7 @@
     fleet.run(8.0, 0.0)
     fleet.forget_disconnected()
     fleet.turn_cold(6.0)
-    fleet.run(6.0, 10 * HIGH)
+    fleet.run(6.0, 10 * SURGE_RATE)
     assert 8 < fleet.get_max_per_second() <= MAX_REQUESTS
 
 
@@ -55,7 +55,7 @@
     fleet = ColdFleet(74)
     fleet.turn_cold(30.0)
     for _ in range(6):
-        fleet.run(2.6, 10 * HIGH)
+        fleet.run(2.6, 10 * SURGE_RATE)
         fleet.restart(list(fleet.vms))
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
@@ -65,9 +65,9 @@
     for side, vm in enumerate(fleet.vms):
         fleet.partition([vm], side)
     fleet.turn_cold(12.0)
-    fleet.run(4.0, 10 * HIGH)
+    fleet.run(4.0, 10 * SURGE_RATE)
     fleet.restart(fleet.vms[::2])
-    fleet.run(6.0, 10 * HIGH)
+    fleet.run(6.0, 10 * SURGE_RATE)
     assert fleet.count_sent()
     assert fleet.get_max_per_second() <= MAX_REQUESTS
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize(("parts", "cold"), [(2, 25.0), (3, 6.0)])
 def test_parts_that_forgot_each_other_stay_below_the_bound(parts: int, cold: float, seed: int) -> None:
-    """Exceeded by three parts, as each uses half of the limit, and by two parts with sponsors of different terms."""
+    """Three parts may exceed the limit, as each uses half of it, and two parts may have sponsors of different terms."""
     fleet = ColdFleet(24, seed=seed)
     for side in range(1, parts):
         fleet.partition(fleet.vms[side::parts], side)
@@ -90,5 +90,5 @@
     fleet.run(8.0, 0.0)
     fleet.forget_disconnected()
     fleet.turn_cold(cold)
-    fleet.run(cold, 3 * HIGH)
+    fleet.run(cold, 3 * SURGE_RATE)
     assert fleet.get_max_per_second() <= MAX_REQUESTS
--- a/tests/relay/choosing/test_cold_gate.py
+++ b/tests/relay/choosing/test_cold_gate.py
@@ -24,7 +24,7 @@
 TERMS = ColdTerms(3.0, 8.0)
 BOUND = ColdLimit(1.5, 5.0)
 START = 100.0
-KINDS = [SponsorGate, RoundRobinGate]
+GATE_CLASSES = [SponsorGate, RoundRobinGate]
 
 
 def make_upstream(name: str = "u", cold_left: float = 3.0) -> Upstream:
@@ -48,12 +48,12 @@
     return kind(vms, bound, START, lambda upstream: cold_until)
 
 
-def count_sponsors(names: list[str], upstream: Upstream, now: float = 200.0, cold_until: float = 201.0) -> int:
+def count_allowed_requests(names: list[str], upstream: Upstream, now: float = 200.0, cold_until: float = 201.0) -> int:
     gates = [make_gate(SponsorGate, name, names, cold_until=cold_until) for name in names]
     return sum(gate.count_allowed(upstream, TERMS, now) for gate in gates if gate.may_send(upstream, TERMS, now))
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", GATE_CLASSES)
 def test_a_vm_sends_nothing_just_after_its_start(kind: type[SponsorGate] | type[RoundRobinGate]) -> None:
     gate = make_gate(kind)
     assert not gate.may_send(make_upstream(), TERMS, START + STARTUP_DELAY_S - 0.1)
@@ -61,7 +61,7 @@
     assert any(gate.may_send(make_upstream(), TERMS, START + STARTUP_DELAY_S + part / 10) for part in range(40))
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", GATE_CLASSES)
 def test_a_vm_that_knows_none_of_the_expected_others_sends_nothing(
     kind: type[SponsorGate] | type[RoundRobinGate],
 ) -> None:
@@ -73,14 +73,14 @@
 def test_all_vms_of_a_view_stay_within_its_part_of_the_limit(vms: int) -> None:
     names = make_names(vms)
     for number in range(20):
-        assert 0 < count_sponsors(names, make_upstream(f"u{number}")) <= 17 // MAX_DISJOINT_VIEWS
+        assert 0 < count_allowed_requests(names, make_upstream(f"u{number}")) <= 17 // MAX_DISJOINT_VIEWS
 
 
 def test_two_disjoint_views_stay_within_the_limit() -> None:
     names = make_names(74)
     for number in range(20):
         upstream = make_upstream(f"u{number}")
-        assert count_sponsors(names[:30], upstream) + count_sponsors(names[30:], upstream) <= 17
+        assert count_allowed_requests(names[:30], upstream) + count_allowed_requests(names[30:], upstream) <= 17
 
 
 def test_a_vm_counts_its_requests_in_any_second() -> None:
@@ -187,8 +187,8 @@
     assert transitions.record_cold(names) == ["a"]
 
 
-def measure() -> None:
-    """Print the time to check a thousand cold upstreams on one of 300 VMs."""
+def benchmark_cold_checks() -> None:
+    """Print the time to check a thousand cold upstreams on one of 300 VMs; not called by tests."""
     names = make_names(300)
     gate = make_gate(SponsorGate, names[0], names, cold_until=201.0)
     upstreams = [make_upstream(f"u{number}") for number in range(1000)]
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -23,10 +23,10 @@
 LARGE = Engine(64, 44_907, 0.5, kv_token_bytes=163_840, link_rate=1300e9 / 8)
 SMALL = Engine(16, 45_026, 0.5, kv_token_bytes=18_432, link_rate=280e9 / 8)
 NOW = 100.0
-KV = 60_000
+KV_TOKENS = 60_000
 
 
-def make(name: str, phase: Phase, hall: str) -> Upstream:
+def make_upstream(name: str, phase: Phase, hall: str) -> Upstream:
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), hall, False, phase, 16)
 
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("engine", "costs"), [(LARGE, (5.0, 26.5, 99.6)), (SMALL, (2.6, 7.1, 31.9))])
-def test_one_formula_weighs_caches_of_all_sizes(engine: Engine, costs: tuple[float, ...]) -> None:
+def test_transfer_cost_grows_with_cache_size_and_distance(engine: Engine, costs: tuple[float, ...]) -> None:
     cache = compute_cache_transfer(engine, 5000)
     found = [1000 * DistanceCosts("a", PLACES).compute_transfer_cost("a", hall, cache) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
@@ -51,13 +51,13 @@
 @pytest.mark.parametrize(
     ("size", "costs"), [(68 * EVENT_BYTES, (0.5, 16.3, 70.9)), (PLAIN_REQUEST_BYTES, (0.5, 4.0, 34.0))]
 )
-def test_requests_cost_round_trips_and_the_bytes_that_cross(size: int, costs: tuple[float, ...]) -> None:
+def test_requests_cost_round_trips_and_the_bytes_sent_between_halls(size: int, costs: tuple[float, ...]) -> None:
     found = [1000 * DistanceCosts("a", PLACES).compute_request_cost(hall, size) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
 
 
 @pytest.mark.parametrize("engine", [Engine(1, 1, 0.5), Engine(1, 1, 0.5, kv_token_bytes=9.0)])
-def test_a_cache_of_unknown_size_has_a_default_transfer(engine: Engine) -> None:
+def test_a_cache_of_unknown_size_or_link_rate_has_a_default_transfer(engine: Engine) -> None:
     assert compute_cache_transfer(engine, 5000) is UNKNOWN_CACHE_TRANSFER
 
 
@@ -65,7 +65,7 @@
     """Return the number of prompts queued at a near prefill engine when a far one is chosen."""
     registry = UpstreamStatsRegistry()
     chooser = LeastCostChooser(registry, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
-    engines = [make("near", Phase.PREFILL, near), make("far", Phase.PREFILL, far)]
+    engines = [make_upstream("near", Phase.PREFILL, near), make_upstream("far", Phase.PREFILL, far)]
     for number in range(10):
         if chooser.choose_prefill(engines, make_need(engine, "a"), set(), NOW) is engines[1]:
             return number
@@ -73,26 +73,26 @@
     return 10
 
 
-def test_a_large_cache_keeps_engines_together_that_a_small_one_does_not() -> None:
+def test_prefill_stays_closer_to_decode_for_a_large_cache_than_for_a_small_one() -> None:
     assert count_prompts_until_far(LARGE, "a", "b") > count_prompts_until_far(SMALL, "a", "b") > 0
     assert count_prompts_until_far(LARGE, "a", "c") > count_prompts_until_far(LARGE, "a", "b")
 
 
 def test_prefill_is_in_the_region_of_the_decode_engine() -> None:
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
-    engines = [make("west", Phase.PREFILL, "a"), make("east", Phase.PREFILL, "c")]
+    engines = [make_upstream("west", Phase.PREFILL, "a"), make_upstream("east", Phase.PREFILL, "c")]
     assert chooser.choose_prefill(engines, make_need(LARGE), set(), NOW) is engines[0]
     assert chooser.choose_prefill(engines, make_need(LARGE, "c"), set(), NOW) is engines[1]
 
 
 def test_decode_is_near_the_caller_or_near_a_large_cache() -> None:
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", places=PLACES)
-    near, far = make("near", Phase.DECODE, "a"), make("far", Phase.DECODE, "b")
+    near, far = make_upstream("near", Phase.DECODE, "a"), make_upstream("far", Phase.DECODE, "b")
     engines = [far, near]
-    assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=None, kv_tokens=KV) is near
-    handle = Handle("k", make("p", Phase.PREFILL, "b"), NOW)
-    assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=handle, kv_tokens=KV) is near
-    assert chooser.choose_decode(engines, make_need(LARGE), set(), NOW, handle=handle, kv_tokens=KV) is far
+    assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=None, kv_tokens=KV_TOKENS) is near
+    handle = Handle("k", make_upstream("p", Phase.PREFILL, "b"), NOW)
+    assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=handle, kv_tokens=KV_TOKENS) is near
+    assert chooser.choose_decode(engines, make_need(LARGE), set(), NOW, handle=handle, kv_tokens=KV_TOKENS) is far
 
 
 def test_disabled_distance_costs_are_zero() -> None:
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -15,7 +15,7 @@
 COLD = ColdTerms(3.0, 8.0)
 
 
-class ShutGate(ColdGate):
+class ClosedGate(ColdGate):
     def __init__(self) -> None:
         self.sent: list[UpstreamId] = []
 
@@ -42,7 +42,7 @@
 def make_eligibility(*upstreams: Upstream) -> Eligibility:
     listing = Listing()
     listing.take_whole([Entry(one.id, 1, one) for one in upstreams], 1, 10.0)
-    return Eligibility(listing, PLACES, gate=ShutGate())
+    return Eligibility(listing, PLACES, gate=ClosedGate())
 
 
 def test_an_evacuated_hall_gets_nothing_until_its_evacuation_ends() -> None:
@@ -68,7 +68,7 @@
     assert eligibility.list_eligible(upstreams, None, COLD, 12.1) == upstreams
     for one in upstreams:
         eligibility.record_send(one, COLD, 11.9)
-    assert isinstance(eligibility.gate, ShutGate)
+    assert isinstance(eligibility.gate, ClosedGate)
     assert eligibility.gate.sent == [upstreams[0].id]
 
 
--- a/tests/relay/choosing/test_pace.py
+++ b/tests/relay/choosing/test_pace.py
@@ -17,7 +17,7 @@
 from beamhatch.relay.model import ServiceName
 
 
-def prefill(estimator: PrefillEstimator, model: PrefillModel, count: int, seed: int) -> None:
+def record_prefills(estimator: PrefillEstimator, model: PrefillModel, count: int, seed: int) -> None:
     """Record prefills that follow a model; a third of them also wait for unreported work."""
     rng = random.Random(seed)
     for _ in range(count):
@@ -33,7 +33,7 @@
 )
 def test_fits_engines_of_any_speed(pace: PrefillModel, seed: int) -> None:
     estimator = PrefillEstimator()
-    prefill(estimator, pace, 40, seed)
+    record_prefills(estimator, pace, 40, seed)
     for tokens in (1_000, 3_000, 6_000):
         assert estimator.model.predict(tokens) == pytest.approx(pace.predict(tokens), rel=0.15)
     assert estimator.model.rate == pytest.approx(pace.rate, rel=0.3)
@@ -41,18 +41,18 @@
 
 def test_uses_the_defaults_until_there_are_enough_samples() -> None:
     estimator = PrefillEstimator()
-    prefill(estimator, PrefillModel(0.05, 8_000), MIN_SAMPLES - 1, 1)
+    record_prefills(estimator, PrefillModel(0.05, 8_000), MIN_SAMPLES - 1, 1)
     assert not estimator.fitted
     assert estimator.model.rate == DEFAULT_TOKENS_PER_S
-    prefill(estimator, PrefillModel(0.05, 8_000), 1, 2)
+    record_prefills(estimator, PrefillModel(0.05, 8_000), 1, 2)
     assert estimator.fitted
     assert estimator.model.rate < DEFAULT_TOKENS_PER_S / 2
 
 
 def test_follows_engines_that_slow_down() -> None:
     estimator = PrefillEstimator()
-    prefill(estimator, PrefillModel(0.05, 40_000), 40, 1)
-    prefill(estimator, PrefillModel(0.05, 10_000), 40, 2)
+    record_prefills(estimator, PrefillModel(0.05, 40_000), 40, 1)
+    record_prefills(estimator, PrefillModel(0.05, 10_000), 40, 2)
     assert estimator.model.rate == pytest.approx(10_000, rel=0.3)
 
 
@@ -67,7 +67,7 @@
     estimator = PrefillEstimator()
     estimator.adopt(PrefillModel(0.1, 5_000))
     assert estimator.model == PrefillModel(0.1, 5_000)
-    prefill(estimator, PrefillModel(0.05, 33_000), 40, 1)
+    record_prefills(estimator, PrefillModel(0.05, 33_000), 40, 1)
     fitted = estimator.model
     estimator.adopt(PrefillModel(0.1, 5_000))
     assert estimator.model == fitted
@@ -76,10 +76,10 @@
 def test_decode_engines_default_to_a_share_of_the_prefill_rate() -> None:
     estimators = PrefillEstimators()
     service = ServiceName("s")
-    prefill(estimators.get_prefill(service), PrefillModel(0.05, 33_000), 40, 1)
+    record_prefills(estimators.get_prefill(service), PrefillModel(0.05, 33_000), 40, 1)
     rate = estimators.get_prefill(service).model.rate
     assert estimators.get_decode(service).model.rate == pytest.approx(DECODE_RATE_FACTOR * rate)
-    prefill(estimators.get_decode(service), PrefillModel(0.05, 20_000), 40, 1)
+    record_prefills(estimators.get_decode(service), PrefillModel(0.05, 20_000), 40, 1)
     assert estimators.get_decode(service).model.rate == pytest.approx(20_000, rel=0.2)
 
 
--- a/tests/relay/choosing/test_prefill_times.py
+++ b/tests/relay/choosing/test_prefill_times.py
@@ -8,7 +8,7 @@
 from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
 from tests.support.platform import Platform, make_platform
 
-CALM, BUSY = 10_000.0, 6_500.0
+FAST_RATE, SLOW_RATE = 10_000.0, 6_500.0
 """Prefill rates in tokens a second, at which a prompt of 5,000 tokens takes 0.5 s and 0.77 s."""
 
 
@@ -22,25 +22,25 @@
     assert times.get_longest(16.0) == 0.0
 
 
-def make_slower(platform: Platform, rate: float) -> None:
+def set_prefill_rate(platform: Platform, rate: float) -> None:
     for name in ("prefill-0", "prefill-1"):
         platform.upstreams[name].read_rate = rate  # type: ignore[attr-defined]
 
 
-@pytest.mark.parametrize(("without", "most"), [(ALL_IN, 8), (frozenset({Mechanism.READ_TIMES}), 16)])
-def test_prompts_at_engines_that_slow_down_are_prefilled_once(without: Without, most: int) -> None:
+@pytest.mark.parametrize(("without", "max_prompts"), [(ALL_IN, 8), (frozenset({Mechanism.READ_TIMES}), 16)])
+def test_prompts_at_engines_that_slow_down_are_prefilled_once(without: Without, max_prompts: int) -> None:
     """Without recent prefill times, prompts at engines that slow down are prefilled twice."""
     platform = make_platform(without=without)
-    make_slower(platform, CALM)
+    set_prefill_rate(platform, FAST_RATE)
     platform.finish(platform.call("/stream/x", "first"))
-    make_slower(platform, BUSY)
+    set_prefill_rate(platform, SLOW_RATE)
     prompts = 0
     for number in range(8):
         request = f"q{number}"
         assert platform.finish(platform.call("/stream/x", request)).status == 200
         platform.network.run(0.2)
         prompts += platform.ledger.prefilled[request] + platform.ledger.stopped[request]
-    assert prompts <= most
+    assert prompts <= max_prompts
     if without:
         assert prompts > 8
 
--- a/tests/relay/choosing/test_rests.py
+++ b/tests/relay/choosing/test_rests.py
@@ -17,8 +17,8 @@
 MAX_BACKOFF_S = 3.0 * (1 + MAX_JITTER)
 
 
-def make_ended() -> tuple[Backoffs, float]:
-    """Return back-offs of which one of 3 s has just ended, and the time."""
+def make_ended_backoff() -> tuple[Backoffs, float]:
+    """Return back-offs with one that has just ended, and the current time."""
     backoffs = Backoffs()
     backoffs.record(ONE, 3.0, NOW)
     return backoffs, NOW + MAX_BACKOFF_S
@@ -50,7 +50,7 @@
 
 
 def test_each_answered_probe_allows_two_more() -> None:
-    backoffs, now = make_ended()
+    backoffs, now = make_ended_backoff()
     allowed = []
     for _ in range(4):
         probes = []
@@ -66,7 +66,7 @@
 
 
 def test_probing_ends_after_enough_answers() -> None:
-    backoffs, now = make_ended()
+    backoffs, now = make_ended_backoff()
     for _ in range(RECOVERY_RESPONSES):
         probe = backoffs.begin_request(ONE, now)
         assert probe is not None
@@ -75,7 +75,7 @@
 
 
 def test_a_probe_is_counted_once_and_a_failed_one_allows_no_more() -> None:
-    backoffs, now = make_ended()
+    backoffs, now = make_ended_backoff()
     probe = backoffs.begin_request(ONE, now)
     assert probe is not None
     assert not backoffs.may_send_to_incarnation(ONE, now)
@@ -87,14 +87,14 @@
 
 
 def test_a_probe_without_a_result_times_out() -> None:
-    backoffs, now = make_ended()
+    backoffs, now = make_ended_backoff()
     backoffs.begin_request(ONE, now)
     assert not backoffs.may_send_to_incarnation(ONE, now + PROBE_TIMEOUT_S - 0.01)
     assert backoffs.may_send_to_incarnation(ONE, now + PROBE_TIMEOUT_S)
 
 
 def test_a_probe_may_start_another_backoff() -> None:
-    backoffs, now = make_ended()
+    backoffs, now = make_ended_backoff()
     probe = backoffs.begin_request(ONE, now)
     assert probe is not None
     assert backoffs.record(ONE, 3.0, now)
@@ -112,8 +112,8 @@
 
 
 @pytest.mark.parametrize("vms", [8, 74, 195, 300])
-def test_vms_that_were_rejected_at_once_return_at_different_times(vms: int) -> None:
-    random.seed(vms)  # a few seeds exceed the bound by chance
+def test_vms_that_were_rejected_together_resume_at_different_times(vms: int) -> None:
+    random.seed(vms)  # other seeds may exceed the bound by chance
     busiest = []
     for _ in range(100):
         ends = Counter[int]()
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -97,6 +97,6 @@
 
 def test_callers_that_were_refused_before_retry_first() -> None:
     for wait in (0.05, 1.0, 3.0):
-        latest_owed = compute_retry_delay(wait, 0.999, is_retry=True)
-        earliest_new = compute_retry_delay(wait, 0.0, is_retry=False)
-        assert wait <= latest_owed <= earliest_new
+        latest_refused_before = compute_retry_delay(wait, 0.999, is_retry=True)
+        earliest_first_refused = compute_retry_delay(wait, 0.0, is_retry=False)
+        assert wait <= latest_refused_before <= earliest_first_refused
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -1,4 +1,4 @@
-"""Tests of the spill of requests to other regions, and of their return."""
+"""Tests that requests spill to other regions when needed, and stay in their own when it has capacity again."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 """Seconds of a simulation, and the start and end of the disturbance of one region."""
 
 
-def get_calm_rate(hall: str, now: float) -> float:
+def get_normal_rate(hall: str, now: float) -> float:
     return 1.0
 
 
@@ -31,14 +31,14 @@
 
 
 def test_requests_stay_in_their_region_under_normal_load() -> None:
-    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate)
+    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_normal_rate)
     assert outcome.far_share < 0.01
     assert outcome.late_or_lost_share == 0
 
 
 def test_requests_leave_their_region_without_distance_costs() -> None:
     outcome = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(
-        LENGTH, get_calm_rate
+        LENGTH, get_normal_rate
     )
     assert outcome.far_share > 0.3
 
@@ -55,12 +55,12 @@
 def test_requests_are_late_if_refusals_have_no_cost(
     make_spill: type[CostSpillPolicy | RingSpillPolicy], without: Without
 ) -> None:
-    """Alternatives to ``CostSpillPolicy`` miss its bound, since a VM knows few engines' loads."""
+    """Without a cost for refusals, many requests of a surge are late, since a VM knows the loads of few engines."""
     assert Simulation(make_spill, 1, without).run(LENGTH, get_surge_rate).late_or_lost_share > 0.02
 
 
-def test_a_region_without_engines_is_served_by_others_until_its_own_return() -> None:
-    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_calm_rate, is_unlisted)
+def test_a_region_without_engines_is_served_by_others_until_its_engines_are_listed_again() -> None:
+    outcome = Simulation(CostSpillPolicy, 1).run(LENGTH, get_normal_rate, is_unlisted)
     assert outcome.late_or_lost_share < 0.005
     by_second = [outcome.far_by_second[second] for second in range(int(LENGTH))]
     assert min(by_second[int(BEGIN) : int(END)]) > 30
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -1,4 +1,4 @@
-"""Simulation of VMs that send requests to cold upstreams, without a network or a store."""
+"""In-process simulation of VMs that send requests to cold upstreams."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 """Time step of the simulation."""
 
 MAX_UPDATE_DELAY_S = 1.0
-"""Delay until the last VM knows that an upstream is cold, or that a VM is new."""
+"""Maximum delay until a VM knows that an upstream is cold, or that a VM is new; longer after a restart."""
 
 MAX_CONNECT_S = 0.05
 """Delay between the choice of an upstream and the sending of the request."""
@@ -57,7 +57,7 @@
         self.request_count = 0
         self.sent: dict[UpstreamId, list[float]] = {}
         self.sending_vms: set[str] = set()
-        """Names of VMs that were allowed to send a request."""
+        """Names of the VMs that were allowed to send a request."""
         self._pending: list[tuple[float, UpstreamId, Vm, ColdGate]] = []
         self._announcements: list[tuple[float, str, Vm]] = []
         self.upstreams = [self._make_upstream(f"u{seed}-{number}") for number in range(upstreams)]
@@ -91,7 +91,7 @@
         self.cold_until = self.now + seconds
 
     def partition(self, vms: Iterable[Vm], side: int = 1) -> None:
-        """Partition VMs from the others; they still know of each other."""
+        """Separate VMs from the others by a network partition; they still know of each other."""
         for vm in vms:
             vm.side = side
 
@@ -105,7 +105,7 @@
                     self._announcements.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), other.name, vm))
 
     def restart(self, vms: Iterable[Vm]) -> None:
-        """Restart VMs without state; connected VMs announce most of those that they know during the startup delay."""
+        """Restart VMs without state; connected VMs announce the VMs that they know, mostly in the startup delay."""
         gone = list(vms)
         announced = {vm.name: self._list_announced(vm) for vm in gone}
         for vm in gone:
@@ -128,7 +128,7 @@
         return sorted(names - {vm.name})
 
     def forget_disconnected(self) -> None:
-        """Make VMs forget the VMs that they are not connected to."""
+        """Make each VM forget the VMs that it is not connected to."""
         for vm in self.vms:
             vm.others = {one.name for one in self.vms if one.side == vm.side and one is not vm}
 
@@ -141,7 +141,7 @@
             self._announcements.append((self.now + self.random.uniform(0, MAX_UPDATE_DELAY_S), name, other))
 
     def remove(self, vm: Vm) -> None:
-        """Remove a VM for good."""
+        """Remove a VM permanently."""
         self.vms.remove(vm)
 
     # --- time --------------------------------------------------------------------------------------------------------
@@ -153,12 +153,12 @@
         :param vms: the VMs that receive the requests; all if omitted
         """
         end = self.now + seconds
-        owed = 0.0
+        due_requests = 0.0
         while self.now < end - 1e-9:
             self._apply_announcements()
-            owed += demand * STEP_S * len(self.upstreams)
-            while owed > self.random.random():
-                owed -= 1
+            due_requests += demand * STEP_S * len(self.upstreams)
+            while due_requests > self.random.random():
+                due_requests -= 1
                 self._request(self.random.choice(vms or self.vms), self.random.choice(self.upstreams))
             self._deliver()
             self.now += STEP_S
@@ -231,4 +231,4 @@
     return most
 
 
-assert WINDOW_S > 1.0
+assert WINDOW_S > 1.0  # gates count over more than the second that is checked here
