--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -25,12 +25,12 @@
 
 
 class Obstacle(Enum):
-    """Reason why an upstream may not be sent a request."""
+    """Reason why an upstream may not be sent a request; names in lower case are metric labels and log fields."""
 
-    EVACUATED = "the operators have emptied its hall"
+    EMPTIED = "the operators have emptied its hall"
     LEAVING = "it leaves"
     REGION = "it is in no region that the request may be served in"
-    BACKING_OFF = "it has asked for rest"
+    RESTING = "it has asked for rest"
     LIMITED = "it takes no more now, by the limit that it names"
     COLD = "it is cold, and bears no more now"
 
@@ -78,13 +78,13 @@
         :param owed: whether the caller was refused before and retries now
         """
         if self.evacuations.is_evacuated(upstream.hall):
-            return Obstacle.EVACUATED
+            return Obstacle.EMPTIED
         if self.listing.is_leaving(upstream):
             return Obstacle.LEAVING
         if not self.is_in_regions(upstream, regions):
             return Obstacle.REGION
         if not self.backoffs.may_send_to(upstream, now):
-            return Obstacle.BACKING_OFF
+            return Obstacle.RESTING
         if not self.limits.may_send_to(upstream, now, is_retry=is_retry):
             return Obstacle.LIMITED
         return Obstacle.COLD if self.is_cold_blocked(upstream, cold, now) else None
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -59,7 +59,7 @@
     if temporary:
         return min(temporary, key=lambda shortage: shortage.wait)
     obstacle = found.most_common(1)[0][0]
-    return Shortage(obstacle, EVACUATED_RETRY_S if obstacle is Obstacle.EVACUATED else LEAVING_RETRY_S)
+    return Shortage(obstacle, EVACUATED_RETRY_S if obstacle is Obstacle.EMPTIED else LEAVING_RETRY_S)
 
 
 def _detect_backoff(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
@@ -73,7 +73,7 @@
         if end is not None
     ]
     probing = len(backing_off) > len(waits)
-    return Shortage(Obstacle.BACKING_OFF, PROBE_RETRY_S if probing else min(waits))
+    return Shortage(Obstacle.RESTING, PROBE_RETRY_S if probing else min(waits))
 
 
 def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -20,7 +20,7 @@
 
 
 class SpillReason(Enum):
-    """Reason why a request runs in a region other than its VM's."""
+    """Reason why a request runs in a region other than its VM's; names in lower case are metric labels."""
 
     NONE_NEAR = "the own region has no engine that may take it"
     PAIR = "the decode engine that has memory for it is there"
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -52,7 +52,7 @@
         eligibility.evacuations.apply(Evacuation(hall, 2, True), NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW)
     assert shortage is not None
-    assert (shortage.obstacle, shortage.wait) == (Obstacle.EVACUATED, EVACUATED_RETRY_S)
+    assert (shortage.obstacle, shortage.wait) == (Obstacle.EMPTIED, EVACUATED_RETRY_S)
 
 
 def test_the_wait_lasts_until_the_first_backoff_ends() -> None:
@@ -63,7 +63,7 @@
     eligibility.backoffs.record(upstreams[2].life, 3.0, NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 1.0)
     assert shortage is not None
-    assert shortage.obstacle is Obstacle.BACKING_OFF
+    assert shortage.obstacle is Obstacle.RESTING
     assert 2.0 <= shortage.wait <= 2.75
 
 
@@ -74,7 +74,7 @@
     eligibility.backoffs.begin_request(upstreams[0].life, NOW + 2.0)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 2.0)
     assert shortage is not None
-    assert (shortage.obstacle, shortage.wait) == (Obstacle.BACKING_OFF, PROBE_RETRY_S)
+    assert (shortage.obstacle, shortage.wait) == (Obstacle.RESTING, PROBE_RETRY_S)
 
 
 def simulate_retries(rate: int, backoff: float) -> list[float]:
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -129,7 +129,7 @@
 MUTANTS = {
     "runs-again": Mutant(Promise.ONCE, UPSTREAM_FAULTS, _runs_again),
     "promises-falsely": Mutant(Promise.NOT_RUN, UPSTREAM_FAULTS, _promises_falsely),
-    "ignores-evacuations": Mutant(Promise.EMPTIED, [FaultKind.EVACUATE], _passes_obstacle(Obstacle.EVACUATED)),
+    "ignores-evacuations": Mutant(Promise.EMPTIED, [FaultKind.EVACUATE], _passes_obstacle(Obstacle.EMPTIED)),
     "ignores-regions": Mutant(Promise.REGION, [FaultKind.CONFIGURE], _passes_obstacle(Obstacle.REGION)),
     "ignores-cold": Mutant(Promise.COLD, COLD_FAULTS, _ignores_cold),
     "uses-leaving": Mutant(Promise.LEAVING, [FaultKind.UPSTREAM_LEAVES], _uses_leaving),
