--- a/src/beamhatch/relay/choosing/cold_gate.py
+++ b/src/beamhatch/relay/choosing/cold_gate.py
@@ -14,7 +14,7 @@
     from beamhatch.relay.model import ColdTerms, Upstream, UpstreamId
 
 WINDOW_S = 1.02
-"""Seconds over which sent requests are counted: one, as limits are per second, plus timer granularity."""
+"""Seconds over which sent requests are counted: the one that limits apply to, plus timer granularity."""
 
 RESERVED_RETRY_S = 0.25
 """Seconds until the next check if the limit is used up by reservations for requests that have not been sent yet."""
--- a/tests/relay/choosing/test_chooser.py
+++ b/tests/relay/choosing/test_chooser.py
@@ -6,7 +6,7 @@
 from beamhatch.relay.choosing.standing import Load, UpstreamStatsRegistry
 from beamhatch.relay.model import Address, Handle, Phase, ServiceName, Upstream, UpstreamId
 
-NEED = RequestRequirements("p1", 5000, 6000)
+REQUIREMENTS = RequestRequirements("p1", 5000, 6000)
 KV_TOKENS = 60_000
 NOW = 100.0
 
@@ -22,18 +22,18 @@
 
 def test_the_same_prompt_goes_to_the_same_engine_on_every_vm() -> None:
     engines = [make_upstream(f"u{number}", Phase.PREFILL) for number in range(4)]
-    chosen = {make_chooser()[0].choose_prefill(engines, NEED, set(), NOW) for _ in range(5)}
+    chosen = {make_chooser()[0].choose_prefill(engines, REQUIREMENTS, set(), NOW) for _ in range(5)}
     assert len(chosen) == 1
 
 
 def test_a_queue_outweighs_cache_affinity() -> None:
     chooser, registry = make_chooser()
     engines = [make_upstream(f"u{number}", Phase.PREFILL) for number in range(4)]
-    preferred = chooser.choose_prefill(engines, NEED, set(), NOW)
+    preferred = chooser.choose_prefill(engines, REQUIREMENTS, set(), NOW)
     assert preferred is not None
     for _ in range(3):
         registry.get(preferred.id).record_start(5000, NOW)
-    assert chooser.choose_prefill(engines, NEED, set(), NOW) != preferred
+    assert chooser.choose_prefill(engines, REQUIREMENTS, set(), NOW) != preferred
 
 
 def test_the_decode_engine_is_in_the_hall_of_the_kv_cache_unless_it_is_busier() -> None:
@@ -41,12 +41,15 @@
     beside_cache, other = make_upstream("near", Phase.DECODE, "b"), make_upstream("far", Phase.DECODE, "a")
     handle = Handle("k", make_upstream("p", Phase.PREFILL, "b"), NOW)
     assert (
-        chooser.choose_decode([other, beside_cache], NEED, set(), NOW, handle=handle, kv_tokens=KV_TOKENS)
+        chooser.choose_decode([other, beside_cache], REQUIREMENTS, set(), NOW, handle=handle, kv_tokens=KV_TOKENS)
         == beside_cache
     )
     for _ in range(4):
         registry.get(beside_cache.id).record_start(6000, NOW)
-    assert chooser.choose_decode([other, beside_cache], NEED, set(), NOW, handle=handle, kv_tokens=KV_TOKENS) == other
+    assert (
+        chooser.choose_decode([other, beside_cache], REQUIREMENTS, set(), NOW, handle=handle, kv_tokens=KV_TOKENS)
+        == other
+    )
 
 
 def test_failures_outweigh_load_until_they_expire() -> None:
@@ -77,8 +80,8 @@
     chooser, registry = make_chooser()
     phases = (Phase.PREFILL, Phase.DECODE, Phase.DECODE)
     engines = [make_upstream(f"u{number}", phases[number % 3]) for number in range(6900)]
-    assert chooser.choose_prefill(engines, NEED, set(), NOW) is not None
-    assert chooser.choose_decode(engines, NEED, set(), NOW, handle=None, kv_tokens=KV_TOKENS) is not None
+    assert chooser.choose_prefill(engines, REQUIREMENTS, set(), NOW) is not None
+    assert chooser.choose_decode(engines, REQUIREMENTS, set(), NOW, handle=None, kv_tokens=KV_TOKENS) is not None
     assert len(registry._stats) <= 2 * SAMPLE_SIZE
 
 
@@ -87,4 +90,4 @@
     engines = [make_upstream(f"u{number}", Phase.DECODE) for number in range(2000)] + [
         make_upstream("only", Phase.PREFILL)
     ]
-    assert chooser.choose_prefill(engines, NEED, set(), NOW) == engines[-1]
+    assert chooser.choose_prefill(engines, REQUIREMENTS, set(), NOW) == engines[-1]
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -30,7 +30,7 @@
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), hall, False, phase, 16)
 
 
-def make_need(engine: Engine, decode_hall: str = "") -> RequestRequirements:
+def make_requirements(engine: Engine, decode_hall: str = "") -> RequestRequirements:
     return RequestRequirements(
         "p",
         5000,
@@ -67,7 +67,7 @@
     chooser = LeastCostChooser(registry, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make_upstream("near", Phase.PREFILL, near), make_upstream("far", Phase.PREFILL, far)]
     for number in range(10):
-        if chooser.choose_prefill(engines, make_need(engine, "a"), set(), NOW) is engines[1]:
+        if chooser.choose_prefill(engines, make_requirements(engine, "a"), set(), NOW) is engines[1]:
             return number
         registry.get(engines[0].id).record_start(500, NOW)
     return 10
@@ -81,18 +81,24 @@
 def test_prefill_is_in_the_region_of_the_decode_engine() -> None:
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
     engines = [make_upstream("west", Phase.PREFILL, "a"), make_upstream("east", Phase.PREFILL, "c")]
-    assert chooser.choose_prefill(engines, make_need(LARGE), set(), NOW) is engines[0]
-    assert chooser.choose_prefill(engines, make_need(LARGE, "c"), set(), NOW) is engines[1]
+    assert chooser.choose_prefill(engines, make_requirements(LARGE), set(), NOW) is engines[0]
+    assert chooser.choose_prefill(engines, make_requirements(LARGE, "c"), set(), NOW) is engines[1]
 
 
 def test_decode_is_near_the_caller_or_near_a_large_cache() -> None:
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "a", places=PLACES)
     near, far = make_upstream("near", Phase.DECODE, "a"), make_upstream("far", Phase.DECODE, "b")
     engines = [far, near]
-    assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=None, kv_tokens=KV_TOKENS) is near
+    assert (
+        chooser.choose_decode(engines, make_requirements(SMALL), set(), NOW, handle=None, kv_tokens=KV_TOKENS) is near
+    )
     handle = Handle("k", make_upstream("p", Phase.PREFILL, "b"), NOW)
-    assert chooser.choose_decode(engines, make_need(SMALL), set(), NOW, handle=handle, kv_tokens=KV_TOKENS) is near
-    assert chooser.choose_decode(engines, make_need(LARGE), set(), NOW, handle=handle, kv_tokens=KV_TOKENS) is far
+    assert (
+        chooser.choose_decode(engines, make_requirements(SMALL), set(), NOW, handle=handle, kv_tokens=KV_TOKENS) is near
+    )
+    assert (
+        chooser.choose_decode(engines, make_requirements(LARGE), set(), NOW, handle=handle, kv_tokens=KV_TOKENS) is far
+    )
 
 
 def test_disabled_distance_costs_are_zero() -> None:
