--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -299,7 +299,7 @@
         self._backlog_throttle.request()
 
     def _send_backlog(self) -> None:
-        backlog = self.core.standings.list_pending_prefill()
+        backlog = self.core.standings.get_pending_prefill_tokens()
         if backlog == self._sent_backlog or self._stopped:
             return
         self._sent_backlog = backlog
@@ -457,7 +457,7 @@
         self._apply_backlog(connection)
         faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
         for upstream, rate in faulty.items():
-            self.core.standings.get(UpstreamId(upstream)).apply_hint(rate, now)
+            self.core.standings.get(UpstreamId(upstream)).apply_peer_failure_rate(rate, now)
         self._apply_phase_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
@@ -500,9 +500,9 @@
             core.version,
             core.revision,
             core.report_demands(),
-            core.standings.list_failing(MIN_FAILURE_RATE, now),
+            core.standings.get_own_failure_rates(MIN_FAILURE_RATE, now),
             core.changes.list_updates(now),
-            core.standings.list_pending_prefill(),
+            core.standings.get_pending_prefill_tokens(),
             list(readings),
             evacuations.list_updates() if evacuations.complete and not evacuations.has_overflowed else None,
             evacuations.as_of,
