--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -261,7 +261,7 @@
             changed = [entry for entry in entries if listing.take(entry, now)]
         for entry in changed:
             self.journal.write("LISTING", _describe(entry), upstream=entry.id, revision=entry.revision, source=source)
-            self.changes.record_entry(entry.id, None if entry.upstream is None else entry.upstream.phase)
+            self.changes.record_listed_phase(entry.id, None if entry.upstream is None else entry.upstream.phase)
             last = before.get(entry.id)
             if entry.upstream is not None and last is not None and not entry.upstream.is_same_life(last):
                 self._note_restart(entry.upstream, last)
@@ -276,7 +276,7 @@
         """Forget what was believed of an upstream that has started again under its id."""
         self.journal.write("LISTING", "started again", upstream=upstream.id, born=upstream.born, before=before.born)
         self.standings.get(upstream.id).reset()
-        self.changes.record_entry(upstream.id, None)
+        self.changes.record_listed_phase(upstream.id, None)
 
     def is_over(self, upstream: Upstream) -> bool:
         """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
@@ -563,7 +563,7 @@
 
     def _refuse_held(self, fingerprint: Fingerprint) -> _Refusal | None:
         """Return how a request is refused that ends what runs it, None where it does not."""
-        hold = self.quarantine.get_hold(fingerprint, self.clock.now())
+        hold = self.quarantine.get_entry(fingerprint, self.clock.now())
         if hold is None:
             return None
         self.tally.count("quarantine_refusals_total")
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -143,7 +143,7 @@
         if self._gossip is not None:
             self._gossip.is_store_unreachable = self._is_turned_away
         keeping = QuarantinePersistence(self.core, store)
-        self.core.quarantine_talk.on_hold = keeping.add
+        self.core.quarantine_talk.on_quarantined = keeping.add
         self.core.quarantine_talk.on_clear = keeping.remove
         self._usage = self._make_usage()
         if self._gossip is not None and Mechanism.TOLD_DEPARTURES not in settings.without:
--- a/src/beamhatch/relay/engines/balancing.py
+++ b/src/beamhatch/relay/engines/balancing.py
@@ -61,7 +61,7 @@
     decodes: int
 
 
-NONE_AWAY = Split(0, 0)
+NO_ENGINES = Split(0, 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +144,7 @@
 
 
 def predict_gain(
-    split: Split, count: int, phase: Phase, demand: ServiceDemand, switch_time: float, away: Split = NONE_AWAY
+    split: Split, count: int, phase: Phase, demand: ServiceDemand, switch_time: float, unavailable: Split = NO_ENGINES
 ) -> float:
     """Return the additional prompt tokens served within the horizon if some engines change.
 
@@ -157,7 +157,7 @@
     prefills, decodes = split.prefills, split.decodes
     before = compute_capacity(prefills, decodes, parameters)
     after = compute_capacity(prefills + to_prefill - to_decode, decodes + to_decode - to_prefill, parameters)
-    present_prefills, present_decodes = prefills - away.prefills, decodes - away.decodes
+    present_prefills, present_decodes = prefills - unavailable.prefills, decodes - unavailable.decodes
     present = compute_capacity(present_prefills, present_decodes, parameters)
     meanwhile = compute_capacity(present_prefills - to_decode, present_decodes - to_prefill, parameters)
     away_time = min(HORIZON_S, switch_time + parameters.residence_s)
--- a/src/beamhatch/relay/engines/changing.py
+++ b/src/beamhatch/relay/engines/changing.py
@@ -67,7 +67,7 @@
         self._by_upstream[upstream] = replace(known, confirmed=True)
         return True
 
-    def record_entry(self, upstream: UpstreamId, phase: Phase | None) -> None:
+    def record_listed_phase(self, upstream: UpstreamId, phase: Phase | None) -> None:
         """Record the phase in an engine's entry, or None if the entry was removed, and end a finished change."""
         change = self._by_upstream.get(upstream)
         if change is not None and phase in (None, change.phase):
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -24,7 +24,7 @@
     __slots__ = ()
 
     def compute_service_demand(
-        self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float
+        self, service: ServiceName, engine: Engine, own: DemandReport, vm_count: int, now: float
     ) -> ServiceDemand:
         """Return the demand of all VMs on a service, scaled up for VMs without a report.
 
@@ -32,7 +32,7 @@
         :param vms: number of VMs
         """
         reports = [own, *(by_service.get(service, DemandReport()) for by_service in self.list_values(now))]
-        scale = max(1.0, vms / len(reports))
+        scale = max(1.0, vm_count / len(reports))
         prompt_rate = scale * sum(report.prompt_rate for report in reports)
         wait_rate = scale * sum(report.wait_rate for report in reports)
         return ServiceDemand(prompt_rate, wait_rate, _compute_parameters(engine, reports))
--- a/src/beamhatch/relay/engines/leadership.py
+++ b/src/beamhatch/relay/engines/leadership.py
@@ -75,7 +75,7 @@
             self.revision = revision
             self.first_seen_at = now if revision or may_be_lost else -1e9
 
-    def compute_handover(self, handover_time: float) -> float:
+    def get_earliest_takeover(self, handover_time: float) -> float:
         """Return when another VM may give orders, if none was recorded after this one."""
         return self.first_seen_at + LEASE_TTL_S + handover_time + HANDOVER_MARGIN_S
 
@@ -94,7 +94,7 @@
         """Record a claim of the lease by a call sent at some time."""
         self.token = token
         self._valid_until = sent_at + LEASE_TTL_S
-        self._may_order_from = last_order.compute_handover(self.handover_time)
+        self._may_order_from = last_order.get_earliest_takeover(self.handover_time)
 
     def renew(self, sent_at: float) -> None:
         """Record a renewal by a call sent at some time."""
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -47,7 +47,7 @@
     """The last decision logged for a service."""
 
     decision: tuple[object, ...]
-    received_at: float
+    logged_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +139,7 @@
         """Log the evaluation if its decision changed or was not logged for some time."""
         current = _LoggedDecision((evaluation.prefills, evaluation.decodes, evaluation.phase, evaluation.is_due), now)
         last = self._last_logged.get(service.name)
-        repeats = last is not None and last.decision == current.decision and now - last.received_at < LOG_INTERVAL_S
+        repeats = last is not None and last.decision == current.decision and now - last.logged_at < LOG_INTERVAL_S
         if repeats or not demand.prompt_rate:
             return
         self._last_logged[service.name] = current
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -13,7 +13,7 @@
 from beamhatch.relay.limits.words import LimitState, RequestCount
 from beamhatch.relay.model import Life
 from beamhatch.relay.quarantine.ends import CrashUpdate
-from beamhatch.relay.quarantine.quarantine import ClearUpdate, HoldUpdate
+from beamhatch.relay.quarantine.quarantine import ClearUpdate, StoredQuarantineUpdate
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.usage import HallUsage, RatesByWorkspace
 
@@ -116,7 +116,7 @@
     """Crashes of upstreams, with the runs that were interrupted."""
     cleared: list[ClearUpdate]
     """Requests that completed without a crash."""
-    holds: list[HoldUpdate]
+    holds: list[StoredQuarantineUpdate]
     """Requests whose quarantine is recorded in the store."""
 
 
--- a/src/beamhatch/relay/quarantine/detection.py
+++ b/src/beamhatch/relay/quarantine/detection.py
@@ -63,10 +63,10 @@
         if pending is None:
             open_before = {one for one in self._list_open_connections(upstream.address) if not one.paused}
             pending = self._pending[upstream.id] = _PendingCrash(upstream.address, self._clock.now(), open_before)
-            self._clock.call_later(SETTLE_S, self._decide, upstream.id)
+            self._clock.call_later(SETTLE_S, self._report_if_crashed, upstream.id)
         pending.runs.append(BrokenRun(fingerprint, round(1000 * duration)))
 
-    def _decide(self, upstream: UpstreamId) -> None:
+    def _report_if_crashed(self, upstream: UpstreamId) -> None:
         pending = self._pending.pop(upstream)
         still_open = pending.open_before & self._list_open_connections(pending.address)
         open_count = 1 + len(pending.open_before)
--- a/src/beamhatch/relay/quarantine/persistence.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -9,7 +9,7 @@
 
 from beamhatch.clock import sleep
 from beamhatch.relay.api import StoreLost
-from beamhatch.relay.quarantine.quarantine import HOLD_S
+from beamhatch.relay.quarantine.quarantine import BASE_QUARANTINE_S
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -66,10 +66,10 @@
         quarantine = self.core.quarantine
         delay = MIN_RETRY_DELAY_S
         while not quarantine.is_stored(fingerprint, now := self.core.clock.now()):
-            hold = quarantine.get_hold(fingerprint, now)
+            hold = quarantine.get_entry(fingerprint, now)
             if hold is None:
                 return  # cleared, or the crashes are now attributed to another request
-            lost = await self._store.keep_quarantine(fingerprint, min(HOLD_S, hold.until - now))
+            lost = await self._store.keep_quarantine(fingerprint, min(BASE_QUARANTINE_S, hold.until - now))
             if lost is None:
                 self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
                 self.core.quarantine_talk.record_stored(fingerprint)
@@ -81,9 +81,9 @@
 
         VMs that start later would quarantine the request while the key exists.
         """
-        until = self.core.clock.now() + HOLD_S
+        until = self.core.clock.now() + BASE_QUARANTINE_S
         pause = MIN_RETRY_DELAY_S
-        while self.core.quarantine.get_hold(fingerprint, now := self.core.clock.now()) is None and now < until:
+        while self.core.quarantine.get_entry(fingerprint, now := self.core.clock.now()) is None and now < until:
             lost = await self._store.end_quarantine(fingerprint)
             if lost is None:
                 return
--- a/src/beamhatch/relay/quarantine/quarantine.py
+++ b/src/beamhatch/relay/quarantine/quarantine.py
@@ -21,7 +21,7 @@
 
     from beamhatch.relay.quarantine.attribution import Causes
 
-HOLD_S = 600.0
+BASE_QUARANTINE_S = 600.0
 """Quarantine after the last crash that a request caused, in seconds; also the store's longest lease.
 
 Doubled with each further crash, up to ``RETENTION_S``.
@@ -40,7 +40,7 @@
 MAX_CLEARED = 512
 """Maximum number of clearings kept; these void older updates that still arrive."""
 
-MAX_STORED_HOLDS = 256
+MAX_STORED_QUARANTINES = 256
 """Maximum number of quarantines kept that the store or peers reported."""
 
 
@@ -52,7 +52,7 @@
     """Seconds since the success."""
 
 
-class HoldUpdate(msgspec.Struct, frozen=True, array_like=True):
+class StoredQuarantineUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A request is in quarantine according to the store, whether or not its crashes are known."""
 
     fingerprint: Fingerprint
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class QuarantineEntry:
     """The quarantine of a request."""
 
     until: float
@@ -76,13 +76,13 @@
 class ClearResult:
     """What a success cleared a request of."""
 
-    was_held: bool
+    was_quarantined: bool
     crash_count: int
     """Number of crashes that the request was part of."""
 
 
 @dataclass(frozen=True, slots=True)
-class _StoredHold:
+class _ReportedQuarantine:
     stored_at: float
     until: float
     is_stored: bool = True
@@ -95,19 +95,19 @@
 
     crashes: UpstreamCrashes = field(default_factory=UpstreamCrashes)
     attribution: Attribution = field(default_factory=CoverAttribution)
-    _attributed: dict[Fingerprint, Hold] = field(default_factory=dict)
+    _attributed: dict[Fingerprint, QuarantineEntry] = field(default_factory=dict)
     """Quarantines computed from the known crashes."""
-    _stored: dict[Fingerprint, _StoredHold] = field(default_factory=dict)
+    _stored: dict[Fingerprint, _ReportedQuarantine] = field(default_factory=dict)
     """Quarantines that the store or peers reported."""
     _successes: OrderedDict[Fingerprint, float] = field(default_factory=OrderedDict)
     _cleared: OrderedDict[Fingerprint, float] = field(default_factory=OrderedDict)
 
-    def get_hold(self, fingerprint: Fingerprint, now: float) -> Hold | None:
+    def get_entry(self, fingerprint: Fingerprint, now: float) -> QuarantineEntry | None:
         """Return the quarantine of a request, or None if it may be sent."""
         found = self._attributed.get(fingerprint)
         stored = self._stored.get(fingerprint)
         until = max(0.0 if found is None else found.until, 0.0 if stored is None else stored.until)
-        return Hold(until, 0 if found is None else found.crash_count) if now < until else None
+        return QuarantineEntry(until, 0 if found is None else found.crash_count) if now < until else None
 
     def is_stored(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether the store is known to contain the quarantine of a request."""
@@ -116,7 +116,7 @@
 
     def count(self, now: float) -> int:
         """Return the number of requests in quarantine."""
-        return sum(self.get_hold(one, now) is not None for one in {*self._attributed, *self._stored})
+        return sum(self.get_entry(one, now) is not None for one in {*self._attributed, *self._stored})
 
     # --- crashes ------------------------------------------------------------------------------------------------------
 
@@ -131,16 +131,18 @@
         self.crashes.remove_expired(now)
         before = self._attributed
         causes = self.attribution.find_causes(self.crashes)
-        self._attributed = {found: Hold(self._compute_hold_end(found, count), count) for found, count in causes.items()}
+        self._attributed = {
+            found: QuarantineEntry(self._compute_expiry(found, count), count) for found, count in causes.items()
+        }
         return {
             found: count
             for found, count in causes.items()
             if now < self._attributed[found].until and (found not in before or before[found].crash_count < count)
         }
 
-    def _compute_hold_end(self, fingerprint: Fingerprint, crash_count: int) -> float:
+    def _compute_expiry(self, fingerprint: Fingerprint, crash_count: int) -> float:
         last = max(crash.at for crash in self.crashes if fingerprint in crash.run_durations)
-        return last + min(RETENTION_S, HOLD_S * 2.0 ** min(8, crash_count - MIN_CRASHES))
+        return last + min(RETENTION_S, BASE_QUARANTINE_S * 2.0 ** min(8, crash_count - MIN_CRASHES))
 
     # --- successes ----------------------------------------------------------------------------------------------------
 
@@ -184,7 +186,7 @@
 
     # --- stored quarantines -------------------------------------------------------------------------------------------
 
-    def apply_stored_hold(self, update: HoldUpdate, now: float) -> bool:
+    def apply_stored_update(self, update: StoredQuarantineUpdate, now: float) -> bool:
         """Record that the store contains a request's quarantine; return whether that is new."""
         fingerprint = update.fingerprint
         stored_at = now - max(0.0, update.age)
@@ -194,16 +196,16 @@
         if known is not None and now < known.until:
             self._stored[fingerprint] = replace(known, is_stored=True)
             return False
-        if len(self._stored) >= MAX_STORED_HOLDS:
+        if len(self._stored) >= MAX_STORED_QUARANTINES:
             self._stored = {found: hold for found, hold in self._stored.items() if now < hold.until}
-        if len(self._stored) >= MAX_STORED_HOLDS:
+        if len(self._stored) >= MAX_STORED_QUARANTINES:
             return False
-        self._stored[fingerprint] = _StoredHold(stored_at, now + min(update.remaining, HOLD_S))
+        self._stored[fingerprint] = _ReportedQuarantine(stored_at, now + min(update.remaining, BASE_QUARANTINE_S))
         return True
 
     def mark_missing(self, stored: Collection[Fingerprint], now: float) -> list[Fingerprint]:
         """Return the quarantined requests that a restored store lacks, and mark them as not stored."""
-        held = [one for one in {*self._attributed, *self._stored} if self.get_hold(one, now) is not None]
+        held = [one for one in {*self._attributed, *self._stored} if self.get_entry(one, now) is not None]
         missing = [one for one in held if one not in stored]
         for fingerprint in missing:
             if fingerprint in self._stored:
@@ -212,16 +214,16 @@
 
     def list_cleared_among(self, stored: Collection[Fingerprint], now: float) -> list[Fingerprint]:
         """Return the stored requests that were cleared and are not in quarantine."""
-        return [one for one in stored if one in self._cleared and self.get_hold(one, now) is None]
+        return [one for one in stored if one in self._cleared and self.get_entry(one, now) is None]
 
     def retain_stored(self, stored: Collection[Fingerprint]) -> None:
         """Remove the stored quarantines that the store no longer contains."""
         self._stored = {found: hold for found, hold in self._stored.items() if found in stored}
 
-    def list_stored(self, now: float) -> list[HoldUpdate]:
+    def list_stored(self, now: float) -> list[StoredQuarantineUpdate]:
         """Return the updates on stored quarantines that peers are sent."""
         return [
-            HoldUpdate(found, round(now - hold.stored_at, 1), round(hold.until - now, 1))
+            StoredQuarantineUpdate(found, round(now - hold.stored_at, 1), round(hold.until - now, 1))
             for found, hold in self._stored.items()
             if now < hold.until
         ]
--- a/src/beamhatch/relay/quarantine/talk.py
+++ b/src/beamhatch/relay/quarantine/talk.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.fleet.throttle import Throttle
 from beamhatch.relay.quarantine.detection import MIN_RUN_S, CrashDetector
 from beamhatch.relay.quarantine.ends import SAME_CRASH_WINDOW_S, CrashUpdate
-from beamhatch.relay.quarantine.quarantine import HOLD_S, ClearUpdate, HoldUpdate
+from beamhatch.relay.quarantine.quarantine import BASE_QUARANTINE_S, ClearUpdate, StoredQuarantineUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence, Set
@@ -25,7 +25,7 @@
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.fleet.peer_connection import PeerConnection
     from beamhatch.relay.model import Address, Fingerprint, Upstream
-    from beamhatch.relay.quarantine.quarantine import Hold, Quarantine
+    from beamhatch.relay.quarantine.quarantine import Quarantine, QuarantineEntry
     from beamhatch.relay.upstreams.http_client import Connection
 
 SEND_INTERVAL_S = 0.1
@@ -46,15 +46,15 @@
 MAX_LOGGED_UPSTREAMS = 8
 """Maximum number of upstreams in one log line."""
 
-Item = CrashUpdate | ClearUpdate | HoldUpdate
+Update = CrashUpdate | ClearUpdate | StoredQuarantineUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class _Unsent:
-    item: Item
+    update: Update
     source: PeerConnection | None
     """The connection on which it was received; None for this VM's own."""
-    received_at: float
+    enqueued_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
         """Hall of this VM."""
         self.forwards_updates: Callable[[], bool] = lambda: True
         """Returns whether this VM forwards updates of peers."""
-        self.on_hold: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
+        self.on_quarantined: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
         """Called with a request quarantined by crashes seen here, and whether this VM saw the last one."""
         self.on_clear: Callable[[Fingerprint], None] = lambda fingerprint: None
         """Called with a request that succeeded here and whose quarantine is stored."""
@@ -120,27 +120,27 @@
         result = self.quarantine.record_success(fingerprint, now)
         if result is None:
             return
-        if result.was_held:
+        if result.was_quarantined:
             self._report_clear(fingerprint, "a run here came to a good end")
-        if result.was_held or result.crash_count >= ANNOUNCE_SUCCESS_MIN_CRASHES:
+        if result.was_quarantined or result.crash_count >= ANNOUNCE_SUCCESS_MIN_CRASHES:
             self._enqueue(ClearUpdate(fingerprint, 0.0), None)
         if was_stored:
             self.on_clear(fingerprint)
 
     def record_stored(self, fingerprint: Fingerprint) -> None:
         """Record that the quarantine of a request was stored."""
-        self._apply_hold(HoldUpdate(fingerprint, 0.0, HOLD_S), None)
+        self._apply_stored_update(StoredQuarantineUpdate(fingerprint, 0.0, BASE_QUARANTINE_S), None)
 
     def apply_stored(self, stored: Sequence[Fingerprint]) -> None:
         """Apply the complete list of stored quarantines.
 
-        The store does not return when each was written, so requests cleared within ``HOLD_S`` stay cleared.
+        The store does not return when each was written, so requests cleared within ``BASE_QUARANTINE_S`` stay cleared.
         """
         for fingerprint in stored:
-            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+            self._apply_stored_update(StoredQuarantineUpdate(fingerprint, BASE_QUARANTINE_S, BASE_QUARANTINE_S), None)
         self.quarantine.retain_stored(stored)
 
-    def apply_restored(self, stored: Sequence[Fingerprint], first: bool) -> None:
+    def apply_restored(self, stored: Sequence[Fingerprint], immediately: bool) -> None:
         """Apply the quarantines in a restored store, and write or remove those that differ from the ones in force.
 
         A backup lacks later changes, so a missing key ends no quarantine.
@@ -149,11 +149,11 @@
         """
         now = self._clock.now()
         for fingerprint in self.quarantine.mark_missing(stored, now):
-            self.on_hold(fingerprint, first)
+            self.on_quarantined(fingerprint, immediately)
         for fingerprint in self.quarantine.list_cleared_among(stored, now):
             self.on_clear(fingerprint)
         for fingerprint in stored:
-            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+            self._apply_stored_update(StoredQuarantineUpdate(fingerprint, BASE_QUARANTINE_S, BASE_QUARANTINE_S), None)
 
     def _handle_crash(self, update: CrashUpdate) -> None:
         now = self._clock.now()
@@ -170,7 +170,7 @@
         for cleared in message.cleared:
             self._apply_clear(cleared, connection)
         for hold in message.holds:
-            self._apply_hold(hold, connection)
+            self._apply_stored_update(hold, connection)
         for crash in message.ends:
             self._apply_crash(crash, connection)
 
@@ -196,17 +196,17 @@
 
     def _apply_clear(self, update: ClearUpdate, source: PeerConnection) -> None:
         now = self._clock.now()
-        was_held = self.quarantine.get_hold(update.fingerprint, now) is not None
+        was_held = self.quarantine.get_entry(update.fingerprint, now) is not None
         if self.quarantine.clear(update.fingerprint, now - update.age):
             self._enqueue(update, source)
-        if was_held and self.quarantine.get_hold(update.fingerprint, now) is None:
+        if was_held and self.quarantine.get_entry(update.fingerprint, now) is None:
             self._report_clear(update.fingerprint, f"peer {source.vm}")
 
-    def _apply_hold(self, update: HoldUpdate, source: PeerConnection | None) -> None:
+    def _apply_stored_update(self, update: StoredQuarantineUpdate, source: PeerConnection | None) -> None:
         now = self._clock.now()
-        if self.quarantine.apply_stored_hold(update, now):
-            hold = self.quarantine.get_hold(update.fingerprint, now)
-            self._report_hold(update.fingerprint, hold, "the store" if source is None else f"peer {source.vm}")
+        if self.quarantine.apply_stored_update(update, now):
+            hold = self.quarantine.get_entry(update.fingerprint, now)
+            self._report_quarantine(update.fingerprint, hold, "the store" if source is None else f"peer {source.vm}")
             self._reject_waiting(update.fingerprint)
             self._enqueue(update, source)
 
@@ -216,16 +216,16 @@
         self._attribution_scheduled = False
         now = self._clock.now()
         for fingerprint in self.quarantine.attribute(now):
-            self._report_hold(fingerprint, self.quarantine.get_hold(fingerprint, now), "ends")
+            self._report_quarantine(fingerprint, self.quarantine.get_entry(fingerprint, now), "ends")
             self._reject_waiting(fingerprint)
             last_local_crash = self._last_local_crash.get(fingerprint)
             if last_local_crash is not None:
-                self.on_hold(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
+                self.on_quarantined(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
         self._last_local_crash = {
             found: at for found, at in self._last_local_crash.items() if self.quarantine.crashes.count(found)
         }
 
-    def _report_hold(self, fingerprint: Fingerprint, hold: Hold | None, source: str) -> None:
+    def _report_quarantine(self, fingerprint: Fingerprint, hold: QuarantineEntry | None, source: str) -> None:
         upstreams = [crash.upstream for crash in self.quarantine.crashes if fingerprint in crash.run_durations]
         self._tally.count("quarantines_total", "begun")
         self._journal.write(
@@ -244,8 +244,8 @@
 
     # --- sending ------------------------------------------------------------------------------------------------------
 
-    def _enqueue(self, item: Item, source: PeerConnection | None) -> None:
-        self._unsent.append(_Unsent(item, source, self._clock.now()))
+    def _enqueue(self, update: Update, source: PeerConnection | None) -> None:
+        self._unsent.append(_Unsent(update, source, self._clock.now()))
         self._throttle.request()
 
     def _send_pending(self) -> None:
@@ -254,7 +254,7 @@
         forwards = self.forwards_updates()
         for connection in self.list_connections():
             items = [
-                _add_age(one.item, now - one.received_at)
+                _add_age(one.update, now - one.enqueued_at)
                 for one in unsent
                 if one.source is not connection and (forwards or self._is_sender_for(connection, one.source))
             ]
@@ -269,17 +269,21 @@
         return source is None or (source.hall != self.hall and connection.hall == self.hall)
 
 
-def _add_age(item: Item, seconds: float) -> Item:
+def _add_age(item: Update, seconds: float) -> Update:
     """Return an item with the seconds since it was received added to its age."""
     aged = msgspec.structs.replace(item, age=round(item.age + seconds, 3))
-    return msgspec.structs.replace(aged, remaining=item.remaining - seconds) if isinstance(item, HoldUpdate) else aged
+    return (
+        msgspec.structs.replace(aged, remaining=item.remaining - seconds)
+        if isinstance(item, StoredQuarantineUpdate)
+        else aged
+    )
 
 
-def _make_message(items: list[Item]) -> QuarantineUpdate:
+def _make_message(items: list[Update]) -> QuarantineUpdate:
     return QuarantineUpdate(
         _merge_crashes(item for item in items if isinstance(item, CrashUpdate)),
         [item for item in items if isinstance(item, ClearUpdate)],
-        [item for item in items if isinstance(item, HoldUpdate)],
+        [item for item in items if isinstance(item, StoredQuarantineUpdate)],
     )
 
 
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -163,7 +163,7 @@
     def _plan(self, now: float) -> Step:
         request = self.request
         service = request.service.name
-        hold = self.core.quarantine.get_hold(self.fingerprint, now)
+        hold = self.core.quarantine.get_entry(self.fingerprint, now)
         if hold is not None:  # a run in progress continues: if it succeeds, the request leaves quarantine
             self.core.tally.count("quarantine_refusals_total")
             wait = math.ceil(hold.until - now)
--- a/tests/relay/engines/test_balancing.py
+++ b/tests/relay/engines/test_balancing.py
@@ -27,7 +27,7 @@
 )
 SLOW_PREFILL = replace(PARAMETERS, prefill_rate=8_000.0, local_prefill_rate=3_000.0)
 SMALL_MEMORY = replace(PARAMETERS, kv_tokens=18_000)
-SWITCH = 6.0
+SWITCH_TIME_S = 6.0
 
 
 def make_engines(prefills: int, decodes: int) -> list[Upstream]:
@@ -40,48 +40,48 @@
     ]
 
 
-def change(engines: list[Upstream], pressure: ServiceDemand) -> list[PhaseChange]:
-    return choose_changes(engines, evaluate_changes(engines, pressure, SWITCH), {one.id for one in engines})
+def evaluate_and_choose(engines: list[Upstream], pressure: ServiceDemand) -> list[PhaseChange]:
+    return choose_changes(engines, evaluate_changes(engines, pressure, SWITCH_TIME_S), {one.id for one in engines})
 
 
-def choose(prefills: int, decodes: int, rate: float, figures: CapacityParameters = PARAMETERS) -> Phase | None:
-    changes = change(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
+def choose_phase(prefills: int, decodes: int, rate: float, figures: CapacityParameters = PARAMETERS) -> Phase | None:
+    changes = evaluate_and_choose(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
     return changes[0].phase if changes else None
 
 
 def test_no_change_at_low_demand() -> None:
-    assert choose(2, 1, 500) is None
+    assert choose_phase(2, 1, 500) is None
 
 
 def test_prefill_engine_changes_on_shortage_of_decode_memory() -> None:
-    assert choose(2, 1, 15_000) is Phase.DECODE
-    assert choose(4, 5, 75_000) is Phase.DECODE
+    assert choose_phase(2, 1, 15_000) is Phase.DECODE
+    assert choose_phase(4, 5, 75_000) is Phase.DECODE
 
 
 def test_last_engine_of_a_phase_stays() -> None:
-    assert choose(1, 2, 30_000) is None
-    assert choose(1, 1, 30_000) is None
+    assert choose_phase(1, 2, 30_000) is None
+    assert choose_phase(1, 1, 30_000) is None
 
 
 def test_phase_without_engines_gets_one() -> None:
-    assert choose(0, 4, 30_000) is Phase.PREFILL
-    assert choose(0, 4, 10_000, SLOW_PREFILL) is Phase.PREFILL
-    assert choose(3, 0, 10_000) is Phase.DECODE
+    assert choose_phase(0, 4, 30_000) is Phase.PREFILL
+    assert choose_phase(0, 4, 10_000, SLOW_PREFILL) is Phase.PREFILL
+    assert choose_phase(3, 0, 10_000) is Phase.DECODE
 
 
 def test_no_prefill_engine_is_added_if_decode_engines_suffice() -> None:
-    assert choose(0, 4, 5_000) is None
+    assert choose_phase(0, 4, 5_000) is None
 
 
 def test_decode_engine_changes_if_prompts_queue() -> None:
-    assert choose(1, 8, 30_000, SLOW_PREFILL) is Phase.PREFILL
+    assert choose_phase(1, 8, 30_000, SLOW_PREFILL) is Phase.PREFILL
 
 
 @pytest.mark.parametrize("figures", [PARAMETERS, SLOW_PREFILL, SMALL_MEMORY])
 def test_best_split_stays_at_any_demand(figures: CapacityParameters) -> None:
     best = find_best_split(7, figures)
     for rate in (5_000, 50_000, 500_000):
-        assert choose(best, 7 - best, rate, figures) is None
+        assert choose_phase(best, 7 - best, rate, figures) is None
 
 
 @pytest.mark.parametrize("figures", [PARAMETERS, SLOW_PREFILL, SMALL_MEMORY])
@@ -90,27 +90,27 @@
         for engines in range(2, 12):
             prefills = 1
             for _ in range(12):
-                phase = choose(prefills, engines - prefills, rate, figures)
+                phase = choose_phase(prefills, engines - prefills, rate, figures)
                 if phase is None:
                     break
                 prefills += 1 if phase is Phase.PREFILL else -1
-            assert choose(prefills, engines - prefills, rate, figures) is None
+            assert choose_phase(prefills, engines - prefills, rate, figures) is None
 
 
 def test_gain_accounts_for_time_away() -> None:
     low, high = ServiceDemand(6_000, 0.0, PARAMETERS), ServiceDemand(60_000, 0.0, PARAMETERS)
-    assert predict_gain(Split(2, 3), 1, Phase.DECODE, low, SWITCH) >= predict_gain(
-        Split(2, 3), 1, Phase.DECODE, low, 3 * SWITCH
+    assert predict_gain(Split(2, 3), 1, Phase.DECODE, low, SWITCH_TIME_S) >= predict_gain(
+        Split(2, 3), 1, Phase.DECODE, low, 3 * SWITCH_TIME_S
     )
-    soon = predict_gain(Split(0, 4), 1, Phase.PREFILL, high, SWITCH)
+    soon = predict_gain(Split(0, 4), 1, Phase.PREFILL, high, SWITCH_TIME_S)
     assert soon > 0
-    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, high, 3 * SWITCH) < soon
-    assert predict_gain(Split(1, 3), 1, Phase.PREFILL, high, SWITCH) < 0
+    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, high, 3 * SWITCH_TIME_S) < soon
+    assert predict_gain(Split(1, 3), 1, Phase.PREFILL, high, SWITCH_TIME_S) < 0
 
 
 def test_only_movable_engines_change() -> None:
     engines = make_engines(2, 1)
-    weighed = evaluate_changes(engines, ServiceDemand(26_000, 0.0, PARAMETERS), SWITCH)
+    weighed = evaluate_changes(engines, ServiceDemand(26_000, 0.0, PARAMETERS), SWITCH_TIME_S)
     assert choose_changes(engines, weighed, {engines[1].id}) == [PhaseChange(engines[1], Phase.DECODE)]
     assert choose_changes(engines, weighed, set()) == []
 
@@ -121,7 +121,7 @@
     rounds = 0
     while True:
         engines = [replace(one, phase=phase) for one, phase in zip(make_engines(24, 46), phases, strict=True)]
-        changes = change(engines, pressure)
+        changes = evaluate_and_choose(engines, pressure)
         if not changes:
             break
         rounds += 1
@@ -134,23 +134,25 @@
 
 def test_number_of_simultaneous_changes_is_bounded() -> None:
     engines = make_engines(40, 30)
-    light, heavy = (change(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
+    light, heavy = (evaluate_and_choose(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
     assert len(light) == 10
     assert 1 <= len(heavy) <= 10
     pressure = ServiceDemand(2_400_000, 0.0, PARAMETERS)
-    gain = predict_gain(Split(40, 30), len(heavy), Phase.DECODE, pressure, SWITCH)
-    assert all(gain >= predict_gain(Split(40, 30), count, Phase.DECODE, pressure, SWITCH) for count in range(1, 11))
+    gain = predict_gain(Split(40, 30), len(heavy), Phase.DECODE, pressure, SWITCH_TIME_S)
+    assert all(
+        gain >= predict_gain(Split(40, 30), count, Phase.DECODE, pressure, SWITCH_TIME_S) for count in range(1, 11)
+    )
 
 
 def test_halls_keep_engines_of_both_parts() -> None:
     engines = make_engines(15, 15)
-    changes = change(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
+    changes = evaluate_and_choose(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
     assert len(changes) >= 3
     assert len({one.upstream.hall for one in changes}) == 3
 
 
 def test_no_change_without_demand() -> None:
-    assert change(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
+    assert evaluate_and_choose(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
 
 
 def make_changing(count: int) -> tuple[list[Upstream], set[UpstreamId]]:
@@ -163,7 +165,7 @@
 def test_more_engines_change_while_a_first_one_is_changing() -> None:
     pressure = ServiceDemand(160_000, 0.0, SMALL_MEMORY)
     engines, changing = make_changing(1)
-    weighed = evaluate_changes(engines, pressure, SWITCH, changing)
+    weighed = evaluate_changes(engines, pressure, SWITCH_TIME_S, changing)
     assert weighed.is_due
     assert weighed.phase is Phase.DECODE
     assert weighed.count == 5
@@ -172,15 +174,15 @@
 @pytest.mark.parametrize("count", [6, 7, 9])
 def test_number_of_engines_away_is_bounded(count: int) -> None:
     engines, changing = make_changing(count)
-    assert not evaluate_changes(engines, ServiceDemand(160_000, 0.0, SMALL_MEMORY), SWITCH, changing).is_due
+    assert not evaluate_changes(engines, ServiceDemand(160_000, 0.0, SMALL_MEMORY), SWITCH_TIME_S, changing).is_due
 
 
 def test_phase_without_engines_gets_one_while_others_change() -> None:
     engines = make_engines(0, 6)
-    assert evaluate_changes(engines, ServiceDemand(30_000, 0.0, PARAMETERS), SWITCH, {engines[0].id}).count == 1
+    assert evaluate_changes(engines, ServiceDemand(30_000, 0.0, PARAMETERS), SWITCH_TIME_S, {engines[0].id}).count == 1
 
 
 def test_engines_away_reduce_gain() -> None:
     pressure = ServiceDemand(26_000, 0.0, PARAMETERS)
-    change_alone = predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH)
-    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH, away=Split(0, 2)) < change_alone
+    change_alone = predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH_TIME_S)
+    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH_TIME_S, unavailable=Split(0, 2)) < change_alone
--- a/tests/relay/engines/test_leadership.py
+++ b/tests/relay/engines/test_leadership.py
@@ -10,7 +10,7 @@
 
 from beamhatch.relay.engines.leadership import LEASE_TTL_S, ORDER_MARGIN_S, LastOrder, LeaseState
 
-TURN = 3.0
+HANDOVER_TIME_S = 3.0
 VMS = 3
 
 
@@ -25,7 +25,7 @@
     """Revision of the current claim."""
     holder: int | None = None
     ends_at: float = 0.0
-    renewed_anyway: int | None = None
+    renewed_without_claim: int | None = None
     """VM whose renewals succeed although its claim is gone."""
 
     def claim(self, vm: int, now: float, last_order: int) -> int | None:
@@ -36,8 +36,8 @@
         self.holder, self.ends_at = vm, now + LEASE_TTL_S
         return self.revision
 
-    def keep(self, vm: int, now: float) -> bool:
-        if self.renewed_anyway == vm:
+    def renew(self, vm: int, now: float) -> bool:
+        if self.renewed_without_claim == vm:
             return True
         if self.holder != vm or now >= self.ends_at:
             return False
@@ -46,17 +46,17 @@
 
 
 @dataclass
-class LateAnswer:
+class PendingAnswer:
     """An answer of the store in transit."""
 
     vm: int
     sent_at: float
     token: int | None
-    kept: bool
+    succeeded: bool
 
 
 @dataclass
-class Given:
+class SentOrder:
     """An order that was sent."""
 
     at: float
@@ -73,10 +73,10 @@
         super().__init__()
         self.now = 0.0
         self.store = LeaseStore()
-        self.tenures = [LeaseState(handover_time=TURN) for _ in range(VMS)]
+        self.leases = [LeaseState(handover_time=HANDOVER_TIME_S) for _ in range(VMS)]
         self.seen = [LastOrder() for _ in range(VMS)]
-        self.late: list[LateAnswer] = []
-        self.orders: list[Given] = []
+        self.pending: list[PendingAnswer] = []
+        self.orders: list[SentOrder] = []
 
     @rule(seconds=st.floats(0.01, 5.0))
     def wait(self, seconds: float) -> None:
@@ -94,24 +94,24 @@
         self.now += delay
         token = self.store.claim(vm, self.now, self.seen[vm].revision)
         if token is not None and answered:
-            self.late.append(LateAnswer(vm, sent_at, token, kept=True))
+            self.pending.append(PendingAnswer(vm, sent_at, token, succeeded=True))
 
     @rule(vm=vms, delay=st.floats(0, 1.0), answered=st.booleans())
     def keep(self, vm: int, delay: float, answered: bool) -> None:
         sent_at = self.now
         self.now += delay
-        kept = self.store.keep(vm, self.now)
+        kept = self.store.renew(vm, self.now)
         if answered:
-            self.late.append(LateAnswer(vm, sent_at, None, kept))
+            self.pending.append(PendingAnswer(vm, sent_at, None, kept))
 
     @precondition(lambda self: self.late)
     @rule()
     def hear(self) -> None:
-        answer = self.late.pop(0)
-        tenure = self.tenures[answer.vm]
+        answer = self.pending.pop(0)
+        tenure = self.leases[answer.vm]
         if answer.token is not None:
             tenure.begin(answer.token, answer.sent_at, self.seen[answer.vm])
-        elif answer.kept:
+        elif answer.succeeded:
             tenure.renew(answer.sent_at)
         else:
             tenure.end()
@@ -119,13 +119,13 @@
     @rule(renews=st.booleans())
     def revoke(self, renews: bool) -> None:
         """Take the claim away; the store may renew its lease all the same."""
-        self.store.renewed_anyway = self.store.holder if renews else None
+        self.store.renewed_without_claim = self.store.holder if renews else None
         self.store.holder = None
 
     @rule(vm=vms, delay=st.floats(0, 1.0))
     def order(self, vm: int, delay: float) -> None:
         """Write an order down on condition, and send it if the answer comes soon."""
-        tenure = self.tenures[vm]
+        tenure = self.leases[vm]
         if not tenure.may_order(self.now):
             return
         sent_at = self.now
@@ -136,7 +136,7 @@
         self.now += delay
         if stands and delay < ORDER_MARGIN_S / 2 and tenure.may_order(self.now):
             assert self.now - sent_at < ORDER_MARGIN_S
-            self.orders.append(Given(self.now, vm, tenure.token))
+            self.orders.append(SentOrder(self.now, vm, tenure.token))
 
     @invariant()
     def holders_take_no_turns(self) -> None:
@@ -144,14 +144,14 @@
             assert after.token >= before.token, "a lower token after a higher one"
             assert after.token != before.token or after.vm == before.vm, "two holders with one token"
             if after.vm != before.vm:
-                assert after.at - before.at >= TURN, "two holders within a turn"
+                assert after.at - before.at >= HANDOVER_TIME_S, "two holders within a turn"
 
 
 TestLeadership = LeadershipMachine.TestCase
 
 
 def test_orders_wait_for_handover_and_stop_before_lease_ends() -> None:
-    tenure = LeaseState(handover_time=TURN)
+    tenure = LeaseState(handover_time=HANDOVER_TIME_S)
     last = LastOrder()
     last.record(5, 99.0)
     tenure.begin(7, 100.0, last)
@@ -167,7 +167,7 @@
 
 
 def test_leader_orders_at_once_if_no_order_was_ever_given() -> None:
-    tenure = LeaseState(handover_time=TURN)
+    tenure = LeaseState(handover_time=HANDOVER_TIME_S)
     last = LastOrder()
     last.record(0, 100.0)
     tenure.begin(7, 100.0, last)
@@ -178,17 +178,17 @@
     last = LastOrder()
     last.record(5, 100.0)
     last.record(5, 110.0)
-    assert last.compute_handover(TURN) == 100.0 + LEASE_TTL_S + TURN + 0.5
+    assert last.get_earliest_takeover(HANDOVER_TIME_S) == 100.0 + LEASE_TTL_S + HANDOVER_TIME_S + 0.5
     last.record(8, 120.0)
-    assert last.compute_handover(TURN) == 120.0 + LEASE_TTL_S + TURN + 0.5
+    assert last.get_earliest_takeover(HANDOVER_TIME_S) == 120.0 + LEASE_TTL_S + HANDOVER_TIME_S + 0.5
 
 
 def test_order_lost_in_restore_counts_as_given_when_noticed() -> None:
     """A VM that reads before any order and again after the store lost one sees none both times."""
     last = LastOrder()
     last.record(0, 100.0)
-    assert last.compute_handover(TURN) < 100.0
+    assert last.get_earliest_takeover(HANDOVER_TIME_S) < 100.0
     last.record(0, 200.0, may_be_lost=True)
-    assert last.compute_handover(TURN) >= 200.0 + LEASE_TTL_S + TURN
+    assert last.get_earliest_takeover(HANDOVER_TIME_S) >= 200.0 + LEASE_TTL_S + HANDOVER_TIME_S
     last.record(0, 203.0)
-    assert last.compute_handover(TURN) >= 200.0 + LEASE_TTL_S + TURN
+    assert last.get_earliest_takeover(HANDOVER_TIME_S) >= 200.0 + LEASE_TTL_S + HANDOVER_TIME_S
--- a/tests/relay/engines/test_throughput.py
+++ b/tests/relay/engines/test_throughput.py
@@ -24,7 +24,7 @@
     local_prefill_rate=12_000.0,
 )
 
-figures = st.builds(
+capacity_parameters = st.builds(
     CapacityParameters,
     kv_tokens=st.integers(5_000, 500_000),
     prompt_tokens=st.floats(100, 20_000),
@@ -52,15 +52,15 @@
     assert compute_capacity(5, 0, PARAMETERS) == 0.0
 
 
-@given(figures, st.integers(0, 20), st.integers(0, 20))
-def test_one_more_engine_never_takes_in_less(found: CapacityParameters, prefills: int, decodes: int) -> None:
+@given(capacity_parameters, st.integers(0, 20), st.integers(0, 20))
+def test_additional_engine_never_reduces_capacity(found: CapacityParameters, prefills: int, decodes: int) -> None:
     here = compute_capacity(prefills, decodes, found)
     assert compute_capacity(prefills + 1, decodes, found) >= here * 0.9999
     assert compute_capacity(prefills, decodes + 1, found) >= here * 0.9999
 
 
-@given(figures, st.integers(2, 40))
-def test_no_split_takes_in_clearly_more_than_the_best(found: CapacityParameters, engines: int) -> None:
+@given(capacity_parameters, st.integers(2, 40))
+def test_no_split_has_clearly_higher_capacity_than_best(found: CapacityParameters, engines: int) -> None:
     best = find_best_split(engines, found)
     assert 1 <= best <= engines - 1
     capacity = compute_capacity(best, engines - best, found)
--- a/tests/relay/quarantine/test_attribution.py
+++ b/tests/relay/quarantine/test_attribution.py
@@ -62,7 +62,7 @@
 
 @settings(max_examples=60)
 @given(st.lists(st.sets(st.sampled_from("abcdef")), max_size=12))
-def test_whoever_is_held_explains_enough_ends_that_nobody_else_does(aboard: list[set[str]]) -> None:
+def test_each_cause_has_enough_crashes_not_explained_by_others(aboard: list[set[str]]) -> None:
     ends = [make_crash(number, float(number), **dict.fromkeys(sorted(one), 0.1)) for number, one in enumerate(aboard)]
     causes = CoverAttribution().find_causes(ends)
     assert all(count >= MIN_CRASHES for count in causes.values())
@@ -73,67 +73,67 @@
 # --- simulated crash storm --------------------------------------------------------------------------------------------
 
 ENGINES = 9
-RESTART = 3.0
-STREAM_TIME = 2.2
-STREAM_RATE = 9.0
-CRASH_DELAY = 0.12
-STORM = 16.0
+RESTART_TIME_S = 3.0
+STREAM_TIME_S = 2.2
+STREAMS_PER_S = 9.0
+CRASH_DELAY_S = 0.12
+SIMULATION_TIME_S = 16.0
 TRIES = 4
 """Maximum number of runs of one stream: two engines for each of two tries of its caller."""
 
 
 @dataclass
-class Storm:
+class CrashSimulation:
     """Simulation of nine engines, streams of 2.2 s, and bursts of a request that crashes each engine that runs it."""
 
     seed: int
-    ends: list[UpstreamCrash] = field(default_factory=list)
+    crashes: list[UpstreamCrash] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Run the simulation."""
         self._random = random.Random(self.seed)
-        self._back_at = dict.fromkeys(range(ENGINES), 0.0)
+        self._available_from = dict.fromkeys(range(ENGINES), 0.0)
         self._runs: dict[int, dict[Fingerprint, float]] = {number: {} for number in range(ENGINES)}
         self._tries: dict[Fingerprint, int] = {}
         self._waiting: list[Fingerprint] = []
-        self._due: list[tuple[float, int]] = []
+        self._scheduled_crashes: list[tuple[float, int]] = []
         now = 0.0
         deadly_at = [3.5 * burst + 0.15 * one + self._random.uniform(0, 0.1) for burst in range(5) for one in range(4)]
-        while now < STORM:
+        while now < SIMULATION_TIME_S:
             now += 0.02
-            for number in [number for at, number in self._due if at <= now]:
-                self._end(number, now)
-            self._due = [(at, number) for at, number in self._due if at > now]
-            if self._random.random() < STREAM_RATE * 0.02:
+            for number in [number for at, number in self._scheduled_crashes if at <= now]:
+                self._crash_engine(number, now)
+            self._scheduled_crashes = [(at, number) for at, number in self._scheduled_crashes if at > now]
+            if self._random.random() < STREAMS_PER_S * 0.02:
                 self._waiting.append(Fingerprint(self._random.randbytes(8)))
             while deadly_at and deadly_at[0] <= now:
                 deadly_at.pop(0)
-                chosen = self._begin(CRASHING, now)
+                chosen = self._start_run(CRASHING, now)
                 if chosen is not None:
-                    self._due.append((now + CRASH_DELAY, chosen))
+                    self._scheduled_crashes.append((now + CRASH_DELAY_S, chosen))
             waiting, self._waiting = self._waiting, []
             for one in waiting:
-                if self._begin(one, now) is None:
+                if self._start_run(one, now) is None:
                     self._waiting.append(one)
             for runs in self._runs.values():
-                for done in [name for name, begun in runs.items() if name != CRASHING and now - begun > STREAM_TIME]:
+                for done in [name for name, begun in runs.items() if name != CRASHING and now - begun > STREAM_TIME_S]:
                     del runs[done]
 
-    def _begin(self, fingerprint: Fingerprint, now: float) -> int | None:
-        up = [number for number, at in self._back_at.items() if now >= at]
+    def _start_run(self, fingerprint: Fingerprint, now: float) -> int | None:
+        up = [number for number, at in self._available_from.items() if now >= at]
         if not up:
             return None
         number = self._random.choice(up)
         self._runs[number][fingerprint] = now
         return number
 
-    def _end(self, number: int, now: float) -> None:
-        if now < self._back_at[number]:
+    def _crash_engine(self, number: int, now: float) -> None:
+        if now < self._available_from[number]:
             return
-        self._back_at[number] = now + RESTART * self._random.uniform(0.8, 1.2)
+        self._available_from[number] = now + RESTART_TIME_S * self._random.uniform(0.8, 1.2)
         runs, self._runs[number] = self._runs[number], {}
         ran = {name: now - begun for name, begun in runs.items()}
-        self.ends.append(UpstreamCrash(UpstreamId(f"engine-{number}-{len(self.ends)}"), now, ran))
+        self.crashes.append(UpstreamCrash(UpstreamId(f"engine-{number}-{len(self.crashes)}"), now, ran))
         for name in runs:
             self._tries[name] = self._tries.get(name, 0) + 1
             if name != CRASHING and self._tries[name] < TRIES:
@@ -142,14 +142,14 @@
     def count_co_running(self, attribution: Attribution) -> tuple[int, int]:
         """Return the number of streams attributed at any time, and of those that broke."""
         held: set[Fingerprint] = set()
-        for count in range(1, len(self.ends) + 1):
-            held |= set(attribution.find_causes(self.ends[:count]))
-        return len(held - {CRASHING}), len({name for end in self.ends for name in end.run_durations} - {CRASHING})
+        for count in range(1, len(self.crashes) + 1):
+            held |= set(attribution.find_causes(self.crashes[:count]))
+        return len(held - {CRASHING}), len({name for end in self.crashes for name in end.run_durations} - {CRASHING})
 
 
 def test_in_a_storm_the_deadly_request_is_held_and_next_to_nobody_beside_it() -> None:
-    storms = [Storm(seed) for seed in range(60)]
-    assert all(CRASHING in CoverAttribution().find_causes(storm.ends) for storm in storms)
+    storms = [CrashSimulation(seed) for seed in range(60)]
+    assert all(CRASHING in CoverAttribution().find_causes(storm.crashes) for storm in storms)
     counted = [storm.count_co_running(CountAttribution()) for storm in storms]
     covered = [storm.count_co_running(CoverAttribution()) for storm in storms]
     broken = sum(of for _, of in covered)
--- a/tests/relay/quarantine/test_detection.py
+++ b/tests/relay/quarantine/test_detection.py
@@ -27,14 +27,14 @@
         self.network = Network()
         self.open = {FakeConnection() for _ in range(connections)}
         self.reported: list[CrashUpdate] = []
-        self.detection = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.reported.append)
+        self.detector = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.reported.append)
 
     def break_runs(self, count: int) -> None:
         """Break the connections of some runs one after the other, also more than are open."""
         for number in range(count):
             if self.open:
                 self.open.pop()
-            self.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1 * number)
+            self.detector.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1 * number)
 
 
 def test_runs_that_break_at_once_are_reported_as_one_crash() -> None:
@@ -79,7 +79,7 @@
     harness.open.add(FakeConnection(paused=True))
     for number, one in enumerate(read):
         harness.open.remove(one)
-        harness.detection.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
+        harness.detector.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
     harness.network.advance(1.0)
     assert len(harness.reported) == 1
 
--- a/tests/relay/quarantine/test_quarantine.py
+++ b/tests/relay/quarantine/test_quarantine.py
@@ -17,14 +17,14 @@
     UpstreamCrashes,
 )
 from beamhatch.relay.quarantine.quarantine import (
-    HOLD_S,
-    MAX_STORED_HOLDS,
+    BASE_QUARANTINE_S,
+    MAX_STORED_QUARANTINES,
     MAX_SUCCESSES,
     SUCCESS_GRACE_S,
     ClearResult,
     ClearUpdate,
-    HoldUpdate,
     Quarantine,
+    StoredQuarantineUpdate,
 )
 
 CRASHING = Fingerprint(b"deadly")
@@ -46,19 +46,19 @@
 def test_quarantine_lasts_ten_minutes_after_the_last_crash() -> None:
     quarantine = Quarantine()
     last = crash_upstreams(quarantine)
-    assert quarantine.get_hold(CRASHING, last + HOLD_S - 0.1) is not None
-    assert quarantine.get_hold(CRASHING, last + HOLD_S) is None
-    assert quarantine.get_hold(OTHER, last) is None
+    assert quarantine.get_entry(CRASHING, last + BASE_QUARANTINE_S - 0.1) is not None
+    assert quarantine.get_entry(CRASHING, last + BASE_QUARANTINE_S) is None
+    assert quarantine.get_entry(OTHER, last) is None
 
 
 def test_each_further_crash_doubles_the_quarantine_up_to_retention() -> None:
     quarantine = Quarantine()
     last = crash_upstreams(quarantine)
-    for further, seconds in enumerate((2 * HOLD_S, 4 * HOLD_S, RETENTION_S), 3):
+    for further, seconds in enumerate((2 * BASE_QUARANTINE_S, 4 * BASE_QUARANTINE_S, RETENTION_S), 3):
         last += 1.0
         quarantine.apply_crash(make_update(further, CRASHING), last)
         quarantine.attribute(last)
-        found = quarantine.get_hold(CRASHING, last)
+        found = quarantine.get_entry(CRASHING, last)
         assert found is not None
         assert found.until == last + seconds
 
@@ -66,10 +66,10 @@
 def test_one_more_crash_is_enough_after_quarantine_expired() -> None:
     quarantine = Quarantine()
     last = crash_upstreams(quarantine)
-    later = last + HOLD_S + 5
+    later = last + BASE_QUARANTINE_S + 5
     assert quarantine.apply_crash(make_update(9, CRASHING), later)
     assert quarantine.attribute(later) == {CRASHING: 4}
-    assert quarantine.get_hold(CRASHING, later + HOLD_S) is not None
+    assert quarantine.get_entry(CRASHING, later + BASE_QUARANTINE_S) is not None
 
 
 def test_updates_of_several_vms_are_merged_into_one_crash() -> None:
@@ -84,8 +84,8 @@
 def test_success_clears_request_and_voids_older_updates() -> None:
     quarantine = Quarantine()
     last = crash_upstreams(quarantine)
-    assert quarantine.record_success(CRASHING, last + 1) == ClearResult(was_held=True, crash_count=3)
-    assert quarantine.get_hold(CRASHING, last + 1) is None
+    assert quarantine.record_success(CRASHING, last + 1) == ClearResult(was_quarantined=True, crash_count=3)
+    assert quarantine.get_entry(CRASHING, last + 1) is None
     assert quarantine.apply_crash(make_update(1, CRASHING, age=2.0), last + 2) is None
     assert quarantine.attribute(last + 2) == {}
     assert quarantine.record_success(CRASHING, last + 3) is None
@@ -94,7 +94,7 @@
 def test_earlier_success_is_announced_when_a_crash_names_the_request() -> None:
     quarantine = Quarantine()
     quarantine.apply_crash(make_update(1, OTHER), 10.0)
-    assert quarantine.record_success(OTHER, 11.0) == ClearResult(was_held=False, crash_count=1)
+    assert quarantine.record_success(OTHER, 11.0) == ClearResult(was_quarantined=False, crash_count=1)
     assert quarantine.list_clear_updates(make_update(2, OTHER, CRASHING), 14.0) == [ClearUpdate(OTHER, 3.0)]
     assert quarantine.list_clear_updates(make_update(3, OTHER, age=5.0), 14.0) == []
 
@@ -120,7 +120,7 @@
     last = crash_upstreams(quarantine)
     quarantine.record_success(CRASHING, last + 1)
     crash_upstreams(quarantine, since=last + 2)
-    assert quarantine.get_hold(CRASHING, last + 4) is not None
+    assert quarantine.get_entry(CRASHING, last + 4) is not None
 
 
 def test_success_protects_for_a_minute_and_number_kept_is_bounded() -> None:
@@ -135,20 +135,20 @@
 
 def test_stored_quarantine_ends_with_its_expiry_or_removal() -> None:
     quarantine = Quarantine()
-    assert quarantine.apply_stored_hold(HoldUpdate(CRASHING, 0.0, HOLD_S), 10.0)
-    assert not quarantine.apply_stored_hold(HoldUpdate(CRASHING, 3.0, HOLD_S - 3), 13.0)
-    assert quarantine.get_hold(CRASHING, 10.0 + HOLD_S - 0.1) is not None
-    assert quarantine.get_hold(CRASHING, 10.0 + HOLD_S) is None
+    assert quarantine.apply_stored_update(StoredQuarantineUpdate(CRASHING, 0.0, BASE_QUARANTINE_S), 10.0)
+    assert not quarantine.apply_stored_update(StoredQuarantineUpdate(CRASHING, 3.0, BASE_QUARANTINE_S - 3), 13.0)
+    assert quarantine.get_entry(CRASHING, 10.0 + BASE_QUARANTINE_S - 0.1) is not None
+    assert quarantine.get_entry(CRASHING, 10.0 + BASE_QUARANTINE_S) is None
     quarantine.retain_stored([])
-    assert quarantine.get_hold(CRASHING, 11.0) is None
+    assert quarantine.get_entry(CRASHING, 11.0) is None
 
 
 def test_stored_quarantine_older_than_clearing_is_ignored() -> None:
     quarantine = Quarantine()
-    quarantine.apply_stored_hold(HoldUpdate(CRASHING, 0.0, HOLD_S), 10.0)
-    assert quarantine.record_success(CRASHING, 20.0) == ClearResult(was_held=True, crash_count=0)
-    assert not quarantine.apply_stored_hold(HoldUpdate(CRASHING, 15.0, 500.0), 21.0)
-    assert quarantine.get_hold(CRASHING, 21.0) is None
+    quarantine.apply_stored_update(StoredQuarantineUpdate(CRASHING, 0.0, BASE_QUARANTINE_S), 10.0)
+    assert quarantine.record_success(CRASHING, 20.0) == ClearResult(was_quarantined=True, crash_count=0)
+    assert not quarantine.apply_stored_update(StoredQuarantineUpdate(CRASHING, 15.0, 500.0), 21.0)
+    assert quarantine.get_entry(CRASHING, 21.0) is None
 
 
 def test_all_collections_are_bounded() -> None:
@@ -156,10 +156,10 @@
     for number in range(3 * MAX_CRASHES):
         runs = [BrokenRun(Fingerprint(random.randbytes(8)), 100) for _ in range(2 * MAX_RUNS)]
         quarantine.apply_crash(CrashUpdate(f"engine-{number}", 0.0, runs), float(number))
-        quarantine.apply_stored_hold(HoldUpdate(Fingerprint(random.randbytes(8)), 0.0, 100_000.0), 10.0)
+        quarantine.apply_stored_update(StoredQuarantineUpdate(Fingerprint(random.randbytes(8)), 0.0, 100_000.0), 10.0)
     assert len(quarantine.crashes) == MAX_CRASHES
     assert max(len(end.run_durations) for end in quarantine.crashes) == MAX_RUNS
-    assert len(quarantine.list_stored(10.0)) <= MAX_STORED_HOLDS
+    assert len(quarantine.list_stored(10.0)) <= MAX_STORED_QUARANTINES
 
 
 def test_crashes_expire() -> None:
@@ -171,7 +171,7 @@
 
 
 @given(st.permutations([(number, name) for number in range(4) for name in (CRASHING, OTHER)]))
-def test_in_whatever_order_the_parts_come_the_same_is_held(parts: list[tuple[int, Fingerprint]]) -> None:
+def test_quarantine_does_not_depend_on_order_of_updates(parts: list[tuple[int, Fingerprint]]) -> None:
     quarantine = Quarantine()
     for step, (number, name) in enumerate(parts):
         now = 20.0 + 0.01 * step
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -120,7 +120,7 @@
 
 
 def _sends_deadly() -> None:
-    Quarantine.get_hold = lambda self, fingerprint, now: None  # type: ignore[method-assign]
+    Quarantine.get_entry = lambda self, fingerprint, now: None  # type: ignore[method-assign]
 
 
 UPSTREAM_FAULTS = [FaultKind.UPSTREAM_FAULT]
