--- a/src/beamhatch/relay/engines/balancing.py
+++ b/src/beamhatch/relay/engines/balancing.py
@@ -1,7 +1,7 @@
 """Decide when engines change between prefill and decode.
 
-An engine serves nothing while it changes. A change is rated by the prompt tokens served within ``HORIZON_S`` beyond
-those of the current split, less those not served while the engine is away.
+An engine serves no requests while it changes. The gain of a change is the number of additional prompt tokens served
+within ``HORIZON_S``, minus those not served during the change.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 """Time for which a new split is assumed to last, in seconds."""
 
 DEMAND_FACTOR = 3.0
-"""Factor by which the demand may rise within the horizon."""
+"""Factor by which the demand may rise within ``HORIZON_S``."""
 
 MIN_GAIN_SHARE = 0.01
-"""Minimum gain of a change, as a share of the expected prompt tokens."""
+"""Minimum gain of a change, as a share of the prompt tokens expected within ``HORIZON_S``."""
 
 MAX_CHANGING_SHARE = 0.15
 """Maximum share of a service's engines that change at a time."""
@@ -33,7 +33,7 @@
 REVERSAL_DELAY_S = 9.0
 """Minimum time between two changes in opposite directions, in seconds.
 
-The demand must first reflect the earlier change.
+The demand reports must first reflect the earlier change.
 """
 
 
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeEvaluation:
-    """The best change of a split, and what it gains."""
+    """The best change of a split, and its gain."""
 
     prefills: int
     decodes: int
@@ -82,9 +82,9 @@
     count: int = 0
     """Number of engines to change; 0 if the split is already the best."""
     gain: float = 0.0
-    """Additional prompt tokens served within the horizon."""
+    """Additional prompt tokens served within ``HORIZON_S``."""
     min_gain: float = 0.0
-    """Minimum gain for which the change is made."""
+    """Minimum gain for the change to be made."""
 
     @property
     def is_due(self) -> bool:
@@ -102,14 +102,16 @@
     :param changing: the engines that are changing
     """
     split = _count_split(engines)
-    away = _count_split([one for one in engines if one.id in changing])
+    unavailable = _count_split([one for one in engines if one.id in changing])
     if not demand.prompt_rate or len(engines) < 2:
         # Engines are listed one by one at startup, so a phase may not have been listed yet.
         return ChangeEvaluation(split.prefills, split.decodes, Phase.DECODE)
     best_prefills = find_best_split(len(engines), demand.parameters)
     phase = Phase.DECODE if best_prefills < split.prefills else Phase.PREFILL
     max_count = min(abs(split.prefills - best_prefills), _count_available_changes(split, len(changing)))
-    gains = {count: predict_gain(split, count, phase, demand, switch_time, away) for count in range(1, max_count + 1)}
+    gains = {
+        count: predict_gain(split, count, phase, demand, switch_time, unavailable) for count in range(1, max_count + 1)
+    }
     best = max(gains, key=lambda count: gains[count], default=0)
     min_gain = MIN_GAIN_SHARE * HORIZON_S * demand.expected_rate
     return ChangeEvaluation(split.prefills, split.decodes, phase, best, gains.get(best, 0.0), min_gain)
@@ -146,7 +148,7 @@
 def predict_gain(
     split: Split, count: int, phase: Phase, demand: ServiceDemand, switch_time: float, unavailable: Split = NO_ENGINES
 ) -> float:
-    """Return the additional prompt tokens served within the horizon if some engines change.
+    """Return the additional prompt tokens served within ``HORIZON_S`` if ``count`` engines change to ``phase``.
 
     :param split: the current engines; those that are changing count for their new phase
     :param away: the engines of the split that are changing
@@ -157,27 +159,29 @@
     prefills, decodes = split.prefills, split.decodes
     before = compute_capacity(prefills, decodes, parameters)
     after = compute_capacity(prefills + to_prefill - to_decode, decodes + to_decode - to_prefill, parameters)
-    present_prefills, present_decodes = prefills - unavailable.prefills, decodes - unavailable.decodes
-    present = compute_capacity(present_prefills, present_decodes, parameters)
-    meanwhile = compute_capacity(present_prefills - to_decode, present_decodes - to_prefill, parameters)
-    away_time = min(HORIZON_S, switch_time + parameters.residence_s)
-    lost = min(demand.prompt_rate, present) - min(demand.prompt_rate, meanwhile)
+    available_prefills, available_decodes = prefills - unavailable.prefills, decodes - unavailable.decodes
+    available = compute_capacity(available_prefills, available_decodes, parameters)
+    capacity_during_change = compute_capacity(
+        available_prefills - to_decode, available_decodes - to_prefill, parameters
+    )
+    unavailable_s = min(HORIZON_S, switch_time + parameters.residence_s)
+    lost = min(demand.prompt_rate, available) - min(demand.prompt_rate, capacity_during_change)
     gained = min(demand.expected_rate, after) - min(demand.expected_rate, before)
-    return (HORIZON_S - away_time) * gained - away_time * lost
+    return (HORIZON_S - unavailable_s) * gained - unavailable_s * lost
 
 
 def _choose_engines(
     engines: Sequence[Upstream], others: Sequence[Upstream], movable: Collection[UpstreamId], count: int, phase: Phase
 ) -> list[PhaseChange]:
-    """Return changes of engines, from halls with the most of their phase relative to the other first."""
-    own_phase = Counter(one.hall for one in engines)
-    other_phase = Counter(one.hall for one in others)
+    """Choose engines to change, preferring halls with the largest surplus of the old phase over the new one."""
+    old_phase = Counter(one.hall for one in engines)
+    new_phase = Counter(one.hall for one in others)
     candidates = [one for one in engines if one.id in movable]
     changes: list[PhaseChange] = []
     while candidates and len(changes) < count:
-        chosen = min(candidates, key=lambda one: (other_phase[one.hall] - own_phase[one.hall], one.id))
+        chosen = min(candidates, key=lambda one: (new_phase[one.hall] - old_phase[one.hall], one.id))
         candidates.remove(chosen)
-        own_phase[chosen.hall] -= 1
-        other_phase[chosen.hall] += 1
+        old_phase[chosen.hall] -= 1
+        new_phase[chosen.hall] += 1
         changes.append(PhaseChange(chosen, phase))
     return changes
--- a/src/beamhatch/relay/engines/changing.py
+++ b/src/beamhatch/relay/engines/changing.py
@@ -1,7 +1,8 @@
 """Engines that were ordered to change their phase and have not finished.
 
-Such an engine rejects new requests, so all VMs exclude it until its entry shows the new phase. Changes are gossiped. An
-order without an answer is unconfirmed: its engine is used until it rejects a request.
+A changing engine rejects new requests, so all VMs exclude it until its entry in the listing of upstreams shows the new
+phase. VMs gossip the changes. A change whose order was not answered is unconfirmed: the engine is used until it rejects
+a request.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
     from beamhatch.relay.model import Upstream
 
 MAX_CHANGE_S = 20.0
-"""Maximum duration of a change; an engine is used again after it in any case."""
+"""Maximum duration of a change, in seconds; after it, the engine is used again in any case."""
 
 MIN_REMAINING_S = 0.5
-"""Updates with less time remaining than this are ignored."""
+"""Updates with fewer seconds remaining than this are ignored."""
 
 
 class PhaseChangeUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """An engine that was ordered to change its phase, as sent to peers."""
+    """A pending phase change, as sent to peers."""
 
     phase: Phase
     """The new phase."""
@@ -68,13 +69,13 @@
         return True
 
     def record_listed_phase(self, upstream: UpstreamId, phase: Phase | None) -> None:
-        """Record the phase in an engine's entry, or None if the entry was removed, and end a finished change."""
+        """Record the listed phase of an engine, or None if it is no longer listed; either may end its change."""
         change = self._by_upstream.get(upstream)
         if change is not None and phase in (None, change.phase):
             del self._by_upstream[upstream]
 
     def list_updates(self, now: float) -> dict[str, PhaseChangeUpdate]:
-        """Return the updates that peers are sent, by engine."""
+        """Return the pending changes as updates for peers, by engine."""
         return {
             str(upstream): PhaseChangeUpdate(change.phase, round(change.until - now, 2), change.confirmed)
             for upstream, change in self._by_upstream.items()
--- a/src/beamhatch/relay/engines/demand.py
+++ b/src/beamhatch/relay/engines/demand.py
@@ -1,7 +1,9 @@
-"""Estimate the demand of one VM's streams: prompt rate, waits for decode memory, and residence in it.
+"""Estimate the demand of one VM's streams.
 
-The mean residence includes running streams, each with the mean of the durations known to exceed its age, as ended
-streams alone are biased to short ones. Until streams have ended, it is predicted from expected tokens and token rate.
+The demand consists of the prompt rate, the rate of waits for decode memory, and the residence: the time for which a
+stream holds decode memory. The mean residence includes running streams, as ended streams alone would bias it towards
+short ones. A running stream counts with the mean duration of the ended streams that lasted longer than its age. Until
+streams have ended, the residence is predicted from the expected tokens and the token rate.
 """
 
 from __future__ import annotations
@@ -15,10 +17,10 @@
     from collections.abc import Sequence
 
 RATE_WINDOW_S = 4.0
-"""Window of the rates, in seconds."""
+"""Window of the prompt and wait rates, in seconds."""
 
 MIN_RATE_WINDOW_S = 2.0
-"""Minimum window of the prompt rate of a VM that has just started, in seconds."""
+"""Minimum window of the prompt rate soon after the first prompt, in seconds."""
 
 DECAY_TIME_S = 20.0
 """Time constant of the exponential decay of token sums, in seconds."""
@@ -27,25 +29,25 @@
 """Minimum weight of a new prompt in the running means."""
 
 PRIOR_TOKEN_TIME_S = 0.005
-"""Assumed seconds per token before any were recorded."""
+"""Assumed seconds per token before any token was recorded."""
 
 PRIOR_TOKEN_COUNT = 200.0
-"""Weight of ``PRIOR_TOKEN_TIME_S``, in tokens."""
+"""Weight of ``PRIOR_TOKEN_TIME_S`` in the mean, in tokens."""
 
 PRIOR_FIRST_EVENT_S = 0.3
-"""Assumed seconds from the reservation of decode memory to the first event."""
+"""Assumed seconds from the reservation of decode memory to a stream's first event."""
 
 FIRST_EVENT_WEIGHT = 0.1
 """Weight of a new first-event time in the running mean."""
 
 PRIOR_PROMPT_TOKENS = 3000.0
-"""Assumed tokens of a prompt; replaced by the first one."""
+"""Assumed tokens of a prompt before the first request was recorded."""
 
 PRIOR_ANSWER_TOKENS = 600.0
-"""Assumed tokens of an answer; replaced by the first expectation."""
+"""Assumed tokens of an answer before the first request was recorded."""
 
 PRIOR_STREAM_COUNT = 3
-"""Weight of the predicted residence, in ended streams."""
+"""Weight of the predicted residence in the mean, as a number of ended streams."""
 
 MAX_ENDED_STREAMS = 24
 """Maximum number of ended streams kept."""
@@ -71,8 +73,9 @@
     """Seconds for which the last ended streams held decode memory."""
     _mean_first_event_s: float = PRIOR_FIRST_EVENT_S
     _tokens: float = 0.0
+    """Exponentially decayed sum of the recorded tokens."""
     _token_seconds: float = 0.0
-    """Decayed sums over the events of streams after the first of each."""
+    """Exponentially decayed sum of the seconds that these tokens took."""
     _decayed_at: float = 0.0
 
     def record_prompt(self, tokens: int, expected_answer: float, now: float) -> None:
@@ -86,9 +89,9 @@
         self.mean_answer_tokens += weight * (expected_answer - self.mean_answer_tokens)
 
     def discard_last_prompt(self, tokens: int) -> None:
-        """Remove the last prompt from the rate if it has this number of tokens, as the request was refused.
+        """Remove the last prompt from the rate, if it has this number of tokens, after its request was refused.
 
-        Prompts refused for lack of decode memory would otherwise cause changes to prefill engines.
+        Prompts refused for lack of decode memory would otherwise cause engines to change to prefill.
         """
         if self._prompts and self._prompts[-1][1] == tokens:
             self._prompts.pop()
@@ -108,14 +111,14 @@
         self._token_seconds += seconds
 
     def end_stream(self, started_at: float, now: float) -> None:
-        """Record that a stream that started at some time released its decode memory."""
+        """Record that the stream started at ``started_at`` released its decode memory."""
         self._stream_starts.remove(started_at)
         self._ended_durations.append(now - started_at)
 
     def estimate_residence(self, now: float) -> float:
-        """Return the mean seconds for which a stream holds decode memory."""
+        """Return the mean number of seconds for which a stream holds decode memory."""
         known = [*self._ended_durations, *[self._predict_residence()] * PRIOR_STREAM_COUNT]
-        running = [_predict_duration(now - began, known) for began in self._stream_starts]
+        running = [_predict_duration(now - started_at, known) for started_at in self._stream_starts]
         return (sum(known) + sum(running)) / (len(known) + len(running))
 
     def _predict_residence(self) -> float:
@@ -128,18 +131,18 @@
         self._waits.append(now)
 
     def compute_prompt_rate(self, now: float) -> float:
-        """Return the prompt tokens per second within the window."""
+        """Return the prompt tokens per second in the window, ``RATE_WINDOW_S`` or shorter after the first prompt."""
         while self._prompts and self._prompts[0][0] < now - RATE_WINDOW_S:
             self._prompts.popleft()
         return sum(tokens for _, tokens in self._prompts) / self._get_window(now)
 
     def _get_window(self, now: float) -> float:
-        """Return the window of the prompt rate in seconds, shorter while this VM has just started."""
-        served = RATE_WINDOW_S if self._first_prompt_at is None else now - self._first_prompt_at
-        return min(RATE_WINDOW_S, max(MIN_RATE_WINDOW_S, served))
+        """Return the window of the prompt rate in seconds, which is shorter soon after the first prompt."""
+        elapsed = RATE_WINDOW_S if self._first_prompt_at is None else now - self._first_prompt_at
+        return min(RATE_WINDOW_S, max(MIN_RATE_WINDOW_S, elapsed))
 
     def compute_wait_rate(self, now: float) -> float:
-        """Return the requests per second that found decode memory full within the window."""
+        """Return the requests per second that found decode memory full in the last ``RATE_WINDOW_S``."""
         while self._waits and self._waits[0] < now - RATE_WINDOW_S:
             self._waits.popleft()
         return len(self._waits) / RATE_WINDOW_S
@@ -153,9 +156,9 @@
 
 
 def _predict_duration(age: float, durations: Sequence[float]) -> float:
-    """Return the mean total duration of streams that have run for some time.
+    """Return the expected total duration of a stream that has run for ``age`` seconds.
 
-    :param durations: the seconds that other streams took
+    :param durations: the durations of other streams, in seconds
     """
     longer = [seconds for seconds in durations if seconds > age]
     return sum(longer) / len(longer) if longer else age
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -1,4 +1,4 @@
-"""Demand of all VMs on the engines, from the reports that VMs send each other."""
+"""Demand of all VMs on the engines, computed from the demand reports that VMs send each other."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
     def compute_service_demand(
         self, service: ServiceName, engine: Engine, own: DemandReport, vm_count: int, now: float
     ) -> ServiceDemand:
-        """Return the demand of all VMs on a service, scaled up for VMs without a report.
+        """Return the demand of all VMs on a service, extrapolated to VMs without a report.
 
         :param own: this VM's own report
-        :param vms: number of VMs
+        :param vms: number of VMs, including this one
         """
         reports = [own, *(by_service.get(service, DemandReport()) for by_service in self.list_values(now))]
         scale = max(1.0, vm_count / len(reports))
@@ -39,7 +39,7 @@
 
 
 def _compute_parameters(engine: Engine, reports: Sequence[DemandReport]) -> CapacityParameters:
-    """Return the capacity parameters: means weighted by prompt rate, and medians of the prefill rates."""
+    """Return means of the reported parameters, weighted by prompt rate, and medians of the prefill rates."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
     if not total:
--- a/src/beamhatch/relay/engines/leadership.py
+++ b/src/beamhatch/relay/engines/leadership.py
@@ -1,9 +1,10 @@
 """Leader election: the VM that holds a lease in the store may give orders.
 
-The lease is counted from before each renewal was sent, on the monotonic clock. The store may drop a claim early and
-still renew its lease, so each order is recorded in the store on condition that the claim stands, and sent at once or
-not at all. A claim fails if an order was recorded that the claimant has not seen; a new leader waits for a lease and
-the handover time after the last one. Orders carry the claim's revision as a fencing token.
+The lease runs from the time just before each renewal is sent, on the monotonic clock. The store may delete a claim
+early and still renew its lease, so an order is first recorded in the store, provided that the claim still exists, and
+is discarded if it cannot be sent immediately. A claim fails if the claimant has not seen the last recorded order. A new
+leader waits for the lease duration and the handover time after that order. Orders carry the claim's revision as a
+fencing token.
 """
 
 from __future__ import annotations
@@ -28,22 +29,22 @@
 """Duration of a leader's lease, in seconds."""
 
 RENEW_INTERVAL_S = 0.8
-"""Interval of renewals, in seconds; short enough for one to be lost."""
+"""Interval of renewals, in seconds; short enough that the lease survives one lost renewal."""
 
 RENEW_TIMEOUT_S = 0.7
 """Timeout of a renewal, in seconds."""
 
 POLL_INTERVAL_S = 6.0
-"""Interval in which VMs that are no candidates read the leadership, multiplied by their rank."""
+"""Interval at which VMs that are not candidates read the leadership state, in seconds; multiplied by their rank."""
 
 FIRST_POLL_DELAY_S = 1.0, 1.6
-"""Range of the delay from start to the first read, in seconds; ranks are known by then."""
+"""Range of the delay from start to the first read of the leadership state, in seconds; ranks are known by then."""
 
 WATCH_TIMEOUT_S = 20.0
-"""Timeout of a watch of the lease, in seconds; below the platform's limit of 30."""
+"""Timeout of a watch of the lease, in seconds; below the platform's limit of 30 s."""
 
 RETRY_DELAY_S = 1.0
-"""Delay after a call that the store did not answer, in seconds."""
+"""Delay after a failed call to the store, in seconds."""
 
 CANDIDATE_STAGGER_S = 0.15
 """Delay of a candidate per rank, in seconds, so that lower ranks claim first."""
@@ -52,7 +53,7 @@
 """Minimum time left on the lease for an order, in seconds."""
 
 HANDOVER_MARGIN_S = 0.5
-"""Additional time that a new leader waits, for clock drift and orders in transit, in seconds."""
+"""Additional time that a new leader waits, to allow for clock drift and orders in transit, in seconds."""
 
 CANDIDATE_COUNT = 3
 """Number of VMs that watch the lease; others poll it at an interval that grows with their rank."""
@@ -64,25 +65,25 @@
 
     revision: int = -1
     first_seen_at: float = -1e9
-    """Time when this VM first saw it, on the monotonic clock; it was given no later."""
+    """Time when this VM first saw it, on the monotonic clock; it was recorded no later."""
 
     def record(self, revision: int, now: float, *, may_be_lost: bool = False) -> None:
         """Record the revision of the last order, 0 if the store has none.
 
-        :param may_be_lost: whether the store may have lost an order in a restore; it then counts as given now
+        :param may_be_lost: whether a restore of the store may have lost an order, which is then assumed to be given now
         """
         if may_be_lost or revision != self.revision:
             self.revision = revision
             self.first_seen_at = now if revision or may_be_lost else -1e9
 
     def get_earliest_takeover(self, handover_time: float) -> float:
-        """Return when another VM may give orders, if none was recorded after this one."""
+        """Return the earliest time at which another VM may give orders, if none was recorded after this one."""
         return self.first_seen_at + LEASE_TTL_S + handover_time + HANDOVER_MARGIN_S
 
 
 @dataclass(slots=True)
 class LeaseState:
-    """The lease of this VM, as far as it knows."""
+    """Lease of this VM, according to the answers of the store."""
 
     handover_time: float = 3.0
     """Minimum time between orders of two leaders, in seconds."""
@@ -91,13 +92,13 @@
     _may_order_from: float = 1e18
 
     def begin(self, token: int, sent_at: float, last_order: LastOrder) -> None:
-        """Record a claim of the lease by a call sent at some time."""
+        """Record that the lease was claimed by a call sent at ``sent_at``."""
         self.token = token
         self._valid_until = sent_at + LEASE_TTL_S
         self._may_order_from = last_order.get_earliest_takeover(self.handover_time)
 
     def renew(self, sent_at: float) -> None:
-        """Record a renewal by a call sent at some time."""
+        """Record that the lease was renewed by a call sent at ``sent_at``."""
         self._valid_until = max(self._valid_until, sent_at + LEASE_TTL_S)
 
     def end(self) -> None:
@@ -126,13 +127,13 @@
         self._get_rank = get_rank
         self._last_order = LastOrder()
         self.on_last_order: Callable[[str], None] = lambda _: None
-        """Called once after start with the last order that any VM recorded."""
+        """Called once after start with the last order recorded by any VM."""
         self.on_store_recovered: Callable[[], None] = lambda: None
         """Called when the store answers again."""
         self.on_quarantines: Callable[[Sequence[Fingerprint]], None] = lambda _: None
-        """Called with the requests in stored quarantine, each time they are read."""
-        self.on_quarantines_restored: Callable[[Sequence[Fingerprint], bool], None] = lambda kept, first: None
-        """Called instead after a restore, also with whether this VM has rank 0."""
+        """Called with the requests whose quarantine is stored, each time they are read."""
+        self.on_quarantines_restored: Callable[[Sequence[Fingerprint], bool], None] = lambda stored, has_rank_zero: None
+        """Called instead of ``on_quarantines`` if the store was restored, also with whether this VM has rank 0."""
         self._store_lost = False
         self._running: defer.Deferred[None] | None = None
 
@@ -142,14 +143,14 @@
         self._running.addErrback(self._handle_exit)
 
     def stop(self) -> None:
-        """Stop; the lease is left to expire."""
+        """Stop the election; the lease is left to expire."""
         running, self._running = self._running, None
         self.lease.end()
         if running is not None:
             running.cancel()
 
     async def record_order(self, order: str) -> bool:
-        """Record an order if the claim still stands; return whether it may be sent now."""
+        """Record an order in the store if the claim still exists; return whether the order may be sent now."""
         claim = self.claim
         sent_at = self.core.clock.now()
         if claim is None or not self.lease.may_order(sent_at):
@@ -184,11 +185,11 @@
                 self.on_last_order(state.order)
             if not state.taken and await self._claim_and_renew(state):
                 await sleep(self.core.clock, RETRY_DELAY_S * random.uniform(0.7, 1.3))
-                continue  # read instead of watch: the store may be unavailable, and a watch may block for long
+                continue  # read, not watch: the store may be unavailable, and a watch may block for long
             await self._await_change(state)
 
     async def _await_change(self, state: LeadershipNews) -> None:
-        """Wait until the leadership should be read again."""
+        """Wait until the leadership state must be read again."""
         rank = self._get_rank()
         if rank >= CANDIDATE_COUNT:
             await self._sleep_by_rank()
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -1,4 +1,4 @@
-"""Order engines to change their phase, from the VM that is the leader."""
+"""Order engines to change their phase, if this VM is the leader."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
     from beamhatch.relay.model import Service, ServiceName
 
 EVALUATION_INTERVAL_S = 0.5
-"""Interval of evaluations, in seconds; equal to that of demand reports."""
+"""Interval of evaluations, in seconds; equal to the interval of demand reports."""
 
 LOG_INTERVAL_S = 5.0
-"""Minimum interval of log lines on an unchanged decision, in seconds."""
+"""Minimum interval between log entries of an unchanged decision, in seconds."""
 
 ORDER_TIMEOUT_S = 0.8
 """Timeout of an order, in seconds."""
 
 RESUMED_ORDER_TTL_S = 10.0
-"""Time for which an order from before the start of this VM counts as pending, in seconds."""
+"""Time for which an order recorded before the start of this VM counts as pending, in seconds."""
 
 STATUS_ACCEPTED = 202
-"""Status of an engine that starts to change its phase."""
+"""HTTP status with which an engine accepts an order."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,12 +81,12 @@
         self.core.clock.call_later(EVALUATION_INTERVAL_S, self._evaluate_periodically)
 
     def _handle_evacuation(self) -> None:
-        """Evaluate the remaining engines at once, before the load of an evacuated hall reaches them."""
-        self._last_ordered.clear()  # the last order applied to another set of engines
+        """Evaluate at once, before the remaining engines take over the load of the evacuated hall."""
+        self._last_ordered.clear()  # the last order was for another set of engines
         self._evaluate_all()
 
     def _resume_order(self, order: str) -> None:
-        """Record an order from before the start of this VM, whose engines may still be changing."""
+        """Record an order given before the start of this VM, whose engines may still be changing."""
         resumed = parse_orders(order)
         if order and not resumed:
             self.core.journal.write("LEADER", "last order unreadable", order=order[:200])
@@ -114,7 +114,7 @@
         ]
         leaving = self.core.listing.count_left(service.name)
         if leaving > self._leaving_counts.get(service.name, 0):
-            self._last_ordered.pop(service.name, None)  # the last order applied to another set of engines
+            self._last_ordered.pop(service.name, None)  # the last order was for another set of engines
         self._leaving_counts[service.name] = leaving
         demand = self._compute_demand(service)
         assert service.engine is not None
@@ -129,18 +129,18 @@
             defer.ensureDeferred(self._order_all(changes, demand)).addErrback(self._log_failure)
 
     def _is_early_reversal(self, service: Service, phase: Phase, now: float) -> bool:
-        """Return whether a change would reverse a recent one before its effect shows."""
+        """Return whether a change would reverse one ordered less than ``REVERSAL_DELAY_S`` ago."""
         last = self._last_ordered.get(service.name)
         return last is not None and last.phase is not phase and now < last.at + REVERSAL_DELAY_S
 
     def _log_evaluation(
         self, service: Service, demand: ServiceDemand, evaluation: ChangeEvaluation, now: float
     ) -> None:
-        """Log the evaluation if its decision changed or was not logged for some time."""
+        """Log the evaluation if its decision changed or was not logged for ``LOG_INTERVAL_S``."""
         current = _LoggedDecision((evaluation.prefills, evaluation.decodes, evaluation.phase, evaluation.is_due), now)
         last = self._last_logged.get(service.name)
-        repeats = last is not None and last.decision == current.decision and now - last.logged_at < LOG_INTERVAL_S
-        if repeats or not demand.prompt_rate:
+        is_repeated = last is not None and last.decision == current.decision and now - last.logged_at < LOG_INTERVAL_S
+        if is_repeated or not demand.prompt_rate:
             return
         self._last_logged[service.name] = current
         self.core.journal.write(
@@ -157,7 +157,7 @@
         )
 
     def _list_movable(self, service: Service, now: float) -> set[UpstreamId]:
-        """Return the engines that answer and are not changing."""
+        """Return the usable engines that are responsive and not changing."""
         return {
             one.id
             for one in self.core.list_usable(service.name)
@@ -213,12 +213,12 @@
 
 
 def format_orders(changes: Sequence[PhaseChange]) -> str:
-    """Return orders as recorded in the store."""
+    """Return orders in the format in which they are recorded in the store."""
     return "\n".join(f"{change.upstream.id} {change.phase.value}" for change in changes)
 
 
 def parse_orders(text: str) -> list[tuple[UpstreamId, Phase]]:
-    """Return the engines and phases of recorded orders, none if they are malformed."""
+    """Return the engines and phases of recorded orders, or an empty list if they are malformed."""
     pairs = [line.partition(" ") for line in text.splitlines()]
     try:
         return [(UpstreamId(name), Phase(phase)) for name, _, phase in pairs]
--- a/src/beamhatch/relay/engines/throughput.py
+++ b/src/beamhatch/relay/engines/throughput.py
@@ -1,7 +1,7 @@
 """Compute the prompt tokens per second that a number of prefill and decode engines can sustain.
 
-A stream holds decode memory from its reservation to its end. Prompts beyond the capacity of the prefill engines are
-processed by decode engines, whose streams stall meanwhile and hold their memory for longer.
+A stream holds decode memory from its reservation to the end of the stream. Prompts beyond the capacity of the prefill
+engines are processed by decode engines, whose streams are interrupted for that time and hold their memory for longer.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from beamhatch.relay.choosing.pace import DECODE_RATE_FACTOR, DEFAULT_TOKENS_PER_S
 
 MAX_PREFILL_UTILIZATION = 0.9
-"""Maximum share of a prefill engine's time to plan with; above it prompts queue for long."""
+"""Maximum share of its time that a prefill engine is planned to be busy; above it, prompts queue for long."""
 
 BISECTION_STEPS = 18
-"""Steps of the bisection for the capacity."""
+"""Number of bisection steps to compute the capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityParameters:
-    """Capacity of a service's engines, and the needs of its streams."""
+    """Capacity of a service's engines, and the resources that its streams need."""
 
     kv_tokens: int
     """KV memory of one engine, in tokens."""
@@ -36,12 +36,12 @@
 
     @property
     def kv_seconds_per_prompt_token(self) -> float:
-        """Return the KV memory held per prompt token, in token-seconds, including that of the answer."""
+        """Return the KV memory held per prompt token, including the memory for the answer, in token-seconds."""
         return self.residence_s * (1 + self.answer_tokens / max(1.0, self.prompt_tokens))
 
 
 def compute_capacity(prefills: int, decodes: int, parameters: CapacityParameters) -> float:
-    """Return the prompt tokens per second that engines can sustain, 0 without a decode engine."""
+    """Return the prompt tokens per second that the engines can sustain, or 0 without a decode engine."""
     if decodes < 1:
         return 0.0
     low, high = 0.0, decodes * parameters.kv_tokens / parameters.kv_seconds_per_prompt_token
@@ -57,9 +57,9 @@
 
 
 def find_best_split(engines: int, parameters: CapacityParameters) -> int:
-    """Return the number of prefill engines with the highest capacity, leaving at least one engine per phase.
+    """Return the number of prefill engines that gives the highest capacity, with at least one engine per phase.
 
-    The capacity rises with the number of prefill engines up to the best one and falls after it.
+    The search relies on the capacity rising up to the best number of prefill engines and falling after it.
     """
     low, high = 1, engines - 1
     while low < high:
--- a/src/beamhatch/relay/quarantine/attribution.py
+++ b/src/beamhatch/relay/quarantine/attribution.py
@@ -1,7 +1,7 @@
 """Attribute crashes of upstreams to the requests that caused them.
 
-Every request that runs on an upstream breaks when it crashes. The cause is told apart from co-running requests by the
-other crashes that each was part of.
+When an upstream crashes, all requests that run on it fail. The request that caused the crash is distinguished from the
+co-running ones by the other crashes that each of them was part of.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 MIN_CRASHES = 3
 """Minimum number of crashes for a request to be taken as their cause.
 
-Two would also quarantine a stream that ran beside a crash-inducing request twice.
+With a minimum of two, a stream that ran beside a crash-inducing request twice would be quarantined, too.
 """
 
 MIN_UNEXPLAINED_CRASHES = 2
-"""Minimum number of these crashes that no other request explains.
+"""Minimum number of these crashes that are not explained by a request selected before.
 
-Two crash-inducing requests may run on the same upstream when it crashes.
+Lower than ``MIN_CRASHES``, as two crash-inducing requests may run on the same upstream when it crashes.
 """
 
 SAME_CAUSE_WINDOW_S = 0.05
-"""Crashes that start within this time of each other have one cause, such as a power loss.
+"""Crashes within this time of the first one, in seconds, count as one.
 
-A request that crashes upstreams one after the other needs longer to be processed in between.
+They have a common cause such as a power loss. A retried request takes longer than this to crash the next upstream.
 """
 
 Causes = dict["Fingerprint", int]
@@ -39,53 +39,55 @@
 
 
 class Attribution(ABC):
-    """Finds the requests that caused a sequence of crashes."""
+    """Algorithm that finds the requests that caused a sequence of crashes."""
 
     @abstractmethod
     def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
-        """Return the requests that explain enough of the crashes, which must be ordered by time."""
+        """Return the requests that caused the crashes, which must be ordered by time."""
 
 
 class CountAttribution(Attribution):
-    """Attribution to every request that was part of enough crashes, regardless of co-running requests."""
+    """Attribution to every request that was part of enough crashes, whether or not another request explains them."""
 
     def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
         """Return all requests that were part of at least ``MIN_CRASHES`` crashes."""
         groups, _ = _group_crashes(crashes)
-        return {found: len(moments) for found, moments in groups.items() if len(moments) >= MIN_CRASHES}
+        return {fingerprint: len(indices) for fingerprint, indices in groups.items() if len(indices) >= MIN_CRASHES}
 
 
 class CoverAttribution(Attribution):
     """Attribution by a greedy set cover of the crashes.
 
-    Selects the request that explains the most crashes, then the one that explains the most of those left. A crash that
-    is explained counts against no other request.
+    Selects the request that was part of the most crashes, then the one that was part of the most remaining crashes, and
+    so on. A crash of a selected request no longer counts in the selection of others.
     """
 
     def find_causes(self, crashes: Iterable[UpstreamCrash]) -> Causes:
         """Return the requests that the greedy cover selects."""
         groups, total_durations = _group_crashes(crashes)
-        unexplained = {found: set(moments) for found, moments in groups.items() if len(moments) >= MIN_CRASHES}
+        unexplained = {one: set(indices) for one, indices in groups.items() if len(indices) >= MIN_CRASHES}
         causes: Causes = {}
         while unexplained:
             # On a tie, prefer the shortest mean run: a crash-inducing request has short runs.
             best = min(
                 unexplained,
-                key=lambda found: (-len(unexplained[found]), total_durations[found] / len(groups[found]), found),
+                key=lambda one: (-len(unexplained[one]), total_durations[one] / len(groups[one]), one),
             )
             explained = unexplained.pop(best)
             causes[best] = len(groups[best])
-            remaining = {found: moments - explained for found, moments in unexplained.items()}
-            unexplained = {found: rest for found, rest in remaining.items() if len(rest) >= MIN_UNEXPLAINED_CRASHES}
+            remaining = {one: indices - explained for one, indices in unexplained.items()}
+            unexplained = {
+                one: indices for one, indices in remaining.items() if len(indices) >= MIN_UNEXPLAINED_CRASHES
+            }
         return causes
 
 
 def _group_crashes(
     crashes: Iterable[UpstreamCrash],
 ) -> tuple[Mapping[Fingerprint, set[int]], Mapping[Fingerprint, float]]:
-    """Return the crash groups that each request was part of, and the total seconds that it ran.
+    """Return the indices of the crash groups that each request was part of, and the total seconds that it ran in them.
 
-    Crashes within ``SAME_CAUSE_WINDOW_S`` form one group, identified by its index.
+    A group consists of a crash and those within ``SAME_CAUSE_WINDOW_S`` after it.
     """
     groups: defaultdict[Fingerprint, set[int]] = defaultdict(set)
     total_durations: defaultdict[Fingerprint, float] = defaultdict(float)
--- a/src/beamhatch/relay/quarantine/detection.py
+++ b/src/beamhatch/relay/quarantine/detection.py
@@ -15,19 +15,19 @@
     from beamhatch.relay.upstreams.http_client import Connection
 
 SETTLE_S = 0.02
-"""Time to wait after the first broken run for the other connections to the upstream to close."""
+"""Time to wait after the first broken run for other connections to the upstream to close, in seconds."""
 
 MIN_CLOSED_SHARE = 0.9
 """Minimum share of the connections open at the first broken run that must be closed for a crash.
 
-Connections that are not read from and those opened since are not counted. A fault or limit on the network path closes
-fewer of them; the margin allows for closes that this VM has not processed yet.
+Paused connections and those opened later are not counted. A network failure closes a smaller share. The minimum is
+below 1 as this VM may not have processed all closed connections yet.
 """
 
 MIN_RUN_S = 0.01
-"""Minimum run time after which an unanswered request may have been started by the upstream.
+"""Minimum duration of a run without a response for it to be counted, in seconds.
 
-Before, the upstream may have closed or refused its connection without reading the request.
+If the run was shorter, the upstream may have closed the connection without reading the request.
 """
 
 
@@ -36,12 +36,12 @@
     address: Address
     since: float
     open_before: Set[Connection]
-    """Connections that were open and read from when the first run broke, without that run's own."""
+    """Connections that were open and not paused when the first run broke, without that run's own."""
     runs: list[BrokenRun] = field(default_factory=list)
 
 
 class CrashDetector:
-    """Detector of crashes, by the share of an upstream's connections that close at once."""
+    """Detector of crashes, based on the share of an upstream's connections that close together."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         self._pending: dict[UpstreamId, _PendingCrash] = {}
 
     def record_broken_run(self, upstream: Upstream, fingerprint: Fingerprint, duration: float) -> None:
-        """Record a run whose connection closed after it was, or may have been, started.
+        """Record a run whose connection closed before the response was complete.
 
-        :param duration: seconds that it had run
+        :param duration: seconds from the start of the run to the close
         """
         pending = self._pending.get(upstream.id)
         if pending is None:
--- a/src/beamhatch/relay/quarantine/ends.py
+++ b/src/beamhatch/relay/quarantine/ends.py
@@ -1,7 +1,7 @@
 """Known crashes of upstreams, each with the requests whose runs broke there.
 
-Each VM announces the runs of its own that broke; all VMs merge these. A run is removed only when the same request
-succeeds later, or with its crash.
+Each VM announces its own broken runs, and all VMs merge them. A run is removed when the same request succeeds later, or
+when its crash is removed.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
     from collections.abc import Iterator
 
 SAME_CRASH_WINDOW_S = 1.0
-"""Updates on an upstream whose crash times differ by less than this belong to one crash."""
+"""Updates on an upstream whose crash times differ by less than this, in seconds, belong to one crash."""
 
 RETENTION_S = 3600.0
-"""Time for which a crash is kept; also the longest quarantine."""
+"""Time for which a crash is kept, in seconds; also the maximum duration of a quarantine."""
 
 MAX_CRASHES = 256
-"""Maximum number of crashes kept, the newest first."""
+"""Maximum number of crashes kept; the oldest are dropped first."""
 
 MAX_RUNS = 64
 """Maximum number of runs kept per crash."""
 
 MAX_ANNOUNCED_RUNS = 8
-"""Maximum number of runs that a VM announces of one crash, the shortest first."""
+"""Maximum number of runs that a VM announces per crash; the shortest are chosen."""
 
 
 class BrokenRun(msgspec.Struct, frozen=True, array_like=True):
@@ -37,11 +37,11 @@
 
     fingerprint: Fingerprint
     duration_ms: int
-    """Time that it had run, in milliseconds."""
+    """Milliseconds from the start of the run to the crash."""
 
 
 class CrashUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a VM announces of the crash of an upstream."""
+    """Announcement of a crash of an upstream, with runs that broke."""
 
     upstream: str
     age: float
@@ -57,7 +57,7 @@
     at: float
     """Time of the crash on this VM's monotonic clock."""
     run_durations: dict[Fingerprint, float] = field(default_factory=dict)
-    """Seconds that each request had run there."""
+    """Seconds for which each request had run."""
 
     def to_update(self, now: float) -> CrashUpdate:
         """Return the update that peers are sent."""
@@ -82,7 +82,7 @@
         return len(self._crashes)
 
     def apply_update(self, update: CrashUpdate, now: float) -> CrashUpdate | None:
-        """Merge what a VM announced; return the part that was not known, or None."""
+        """Merge an update; return the part that was not known, or None."""
         at = now - max(0.0, update.age)
         if update.age > RETENTION_S:
             return None
@@ -95,7 +95,7 @@
         return CrashUpdate(update.upstream, update.age, added) if added else None
 
     def forget(self, fingerprint: Fingerprint, until: float) -> bool:
-        """Remove a request from all crashes up to a time; return whether it was part of any."""
+        """Remove a request from all crashes up to ``until``; return whether it was part of any."""
         found = False
         for crash in self._crashes:
             if crash.at <= until and crash.run_durations.pop(fingerprint, None) is not None:
--- a/src/beamhatch/relay/quarantine/persistence.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -1,4 +1,4 @@
-"""Write quarantines to the store, so that they outlast a restart of all VMs."""
+"""Write quarantines to the store, so that they remain in force after a restart of all VMs."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from beamhatch.relay.model import Fingerprint
 
 STANDBY_DELAY_S = 1.0, 2.0
-"""Range of the delay of VMs that did not see the last crash; the VM that did writes first."""
+"""Range of the delay of a write, in seconds, by a VM that did not detect the last crash; one that did writes first."""
 
 MIN_RETRY_DELAY_S = 0.5
-"""Initial delay before a failed call to the store is retried; doubled with each retry."""
+"""Initial delay before a failed call to the store is retried, in seconds; doubled with each retry."""
 
 MAX_RETRY_DELAY_S = 8.0
-"""Maximum delay between two retries."""
+"""Maximum delay between two retries, in seconds."""
 
 
 class QuarantinePersistence:
@@ -40,7 +40,7 @@
     def add(self, fingerprint: Fingerprint, immediately: bool) -> None:
         """Schedule a write of a request's quarantine, unless one is scheduled already.
 
-        :param immediately: write without delay, as this VM saw the last crash
+        :param immediately: write without delay, as this VM detected the last crash
         """
         if fingerprint in self._writing:
             return
@@ -66,33 +66,33 @@
         quarantine = self.core.quarantine
         delay = MIN_RETRY_DELAY_S
         while not quarantine.is_stored(fingerprint, now := self.core.clock.now()):
-            hold = quarantine.get_entry(fingerprint, now)
-            if hold is None:
+            entry = quarantine.get_entry(fingerprint, now)
+            if entry is None:
                 return  # cleared, or the crashes are now attributed to another request
-            lost = await self._store.keep_quarantine(fingerprint, min(BASE_QUARANTINE_S, hold.until - now))
-            if lost is None:
+            failure = await self._store.keep_quarantine(fingerprint, min(BASE_QUARANTINE_S, entry.until - now))
+            if failure is None:
                 self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
                 self.core.quarantine_talk.record_stored(fingerprint)
                 return
-            delay = await self._wait_before_retry(fingerprint, lost, delay)
+            delay = await self._wait_before_retry(fingerprint, failure, delay)
 
     async def _remove(self, fingerprint: Fingerprint) -> None:
-        """Remove the key, with retries until its lease has expired.
+        """Delete the stored quarantine, retrying until it has expired or the request is quarantined again.
 
-        VMs that start later would quarantine the request while the key exists.
+        While it is stored, VMs that start would quarantine the request.
         """
         until = self.core.clock.now() + BASE_QUARANTINE_S
-        pause = MIN_RETRY_DELAY_S
+        delay = MIN_RETRY_DELAY_S
         while self.core.quarantine.get_entry(fingerprint, now := self.core.clock.now()) is None and now < until:
-            lost = await self._store.end_quarantine(fingerprint)
-            if lost is None:
+            failure = await self._store.end_quarantine(fingerprint)
+            if failure is None:
                 return
-            pause = await self._wait_before_retry(fingerprint, lost, pause)
+            delay = await self._wait_before_retry(fingerprint, failure, delay)
 
-    async def _wait_before_retry(self, fingerprint: Fingerprint, lost: StoreLost, delay: float) -> float:
-        """Wait before the next try; return the delay of the one after it."""
+    async def _wait_before_retry(self, fingerprint: Fingerprint, failure: StoreLost, delay: float) -> float:
+        """Report a failed call and wait before the next attempt; return the delay to use after that one."""
         self.core.tally.count("store_failures_total", "quarantine")
-        self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=lost.detail)
+        self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=failure.detail)
         await sleep(self.core.clock, delay * random.uniform(0.7, 1.3))
         return min(MAX_RETRY_DELAY_S, 2 * delay)
 
--- a/src/beamhatch/relay/quarantine/quarantine.py
+++ b/src/beamhatch/relay/quarantine/quarantine.py
@@ -1,7 +1,7 @@
-"""Which requests are in quarantine, and until when.
+"""Quarantine of requests that crash upstreams.
 
-Quarantines are computed again from the known crashes with each change, so VMs that know the same crashes quarantine the
-same requests, and one that only co-ran is released once more is known.
+Quarantines are recomputed from the known crashes on each change, so VMs that know the same crashes quarantine the same
+requests. A request that only ran at the same time is released when later crashes show another cause.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
     from beamhatch.relay.quarantine.attribution import Causes
 
 BASE_QUARANTINE_S = 600.0
-"""Quarantine after the last crash that a request caused, in seconds; also the store's longest lease.
+"""Base duration of a quarantine from the last crash of the request, in seconds; also the longest lease in the store.
 
-Doubled with each further crash, up to ``RETENTION_S``.
+Doubled for each crash beyond ``MIN_CRASHES``, up to ``RETENTION_S``.
 """
 
 SUCCESS_GRACE_S = 60.0
 """Time after a success in which a broken run does not count against the request, in seconds.
 
-It protects requests that many callers make, which run on whatever upstream crashes. It is short since a new version of
-an upstream may crash by a request that the last one served.
+A request that many callers send runs on most upstreams that crash, without being the cause. The time is short because a
+request that succeeded on one version of an upstream may crash the next version.
 """
 
 MAX_SUCCESSES = 1024
-"""Maximum number of successes kept, the latest first."""
+"""Maximum number of successes kept; the oldest are dropped first."""
 
 MAX_CLEARED = 512
-"""Maximum number of clearings kept; these void older updates that still arrive."""
+"""Maximum number of clear times kept; updates older than the clear time of their request are ignored."""
 
 MAX_STORED_QUARANTINES = 256
-"""Maximum number of quarantines kept that the store or peers reported."""
+"""Maximum number of quarantines kept that were reported by the store or by peers."""
 
 
 class ClearUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A request succeeded: crashes before that do not count against it."""
+    """Announcement that a request succeeded, so its earlier crashes are ignored."""
 
     fingerprint: Fingerprint
     age: float
@@ -53,11 +53,11 @@
 
 
 class StoredQuarantineUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A request is in quarantine according to the store, whether or not its crashes are known."""
+    """Announcement that the store contains a quarantine, whose crashes may be unknown to the receiver."""
 
     fingerprint: Fingerprint
     age: float
-    """Upper bound on the seconds since it was written to the store."""
+    """Maximum number of seconds since it was stored."""
     remaining: float
     """Seconds until it expires."""
 
@@ -69,12 +69,12 @@
     until: float
     """Time of expiry on the monotonic clock."""
     crash_count: int
-    """Number of crashes attributed to the request; 0 if none are known here."""
+    """Number of crashes attributed to the request; 0 if the quarantine is only known from the store or peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClearResult:
-    """What a success cleared a request of."""
+    """Quarantine and crashes of a request that were removed by its success."""
 
     was_quarantined: bool
     crash_count: int
@@ -104,10 +104,10 @@
 
     def get_entry(self, fingerprint: Fingerprint, now: float) -> QuarantineEntry | None:
         """Return the quarantine of a request, or None if it may be sent."""
-        found = self._attributed.get(fingerprint)
+        attributed = self._attributed.get(fingerprint)
         stored = self._stored.get(fingerprint)
-        until = max(0.0 if found is None else found.until, 0.0 if stored is None else stored.until)
-        return QuarantineEntry(until, 0 if found is None else found.crash_count) if now < until else None
+        until = max(0.0 if attributed is None else attributed.until, 0.0 if stored is None else stored.until)
+        return QuarantineEntry(until, 0 if attributed is None else attributed.crash_count) if now < until else None
 
     def is_stored(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether the store is known to contain the quarantine of a request."""
@@ -127,17 +127,17 @@
         return self.crashes.apply_update(CrashUpdate(update.upstream, update.age, runs), now) if runs else None
 
     def attribute(self, now: float) -> Causes:
-        """Compute the quarantines again; return the requests that are new or have more crashes than before."""
+        """Recompute the quarantines; return the requests that are new or have more crashes than before."""
         self.crashes.remove_expired(now)
         before = self._attributed
         causes = self.attribution.find_causes(self.crashes)
         self._attributed = {
-            found: QuarantineEntry(self._compute_expiry(found, count), count) for found, count in causes.items()
+            one: QuarantineEntry(self._compute_expiry(one, count), count) for one, count in causes.items()
         }
         return {
-            found: count
-            for found, count in causes.items()
-            if now < self._attributed[found].until and (found not in before or before[found].crash_count < count)
+            one: count
+            for one, count in causes.items()
+            if now < self._attributed[one].until and (one not in before or before[one].crash_count < count)
         }
 
     def _compute_expiry(self, fingerprint: Fingerprint, crash_count: int) -> float:
@@ -147,17 +147,17 @@
     # --- successes ----------------------------------------------------------------------------------------------------
 
     def record_success(self, fingerprint: Fingerprint, now: float) -> ClearResult | None:
-        """Record a success; return what it clears the request of, or None if nothing was held against it."""
+        """Record a success; return what was removed, or None if the request had neither quarantine nor crashes."""
         _put_newest(self._successes, fingerprint, now, MAX_SUCCESSES)
-        was_held = fingerprint in self._attributed or fingerprint in self._stored
+        was_quarantined = fingerprint in self._attributed or fingerprint in self._stored
         crash_count = self.crashes.count(fingerprint) if len(self.crashes) else 0
-        if not was_held and not crash_count:
+        if not was_quarantined and not crash_count:
             return None
         self.clear(fingerprint, now)
-        return ClearResult(was_held, crash_count)
+        return ClearResult(was_quarantined, crash_count)
 
     def list_clear_updates(self, update: CrashUpdate, now: float) -> list[ClearUpdate]:
-        """Return updates on the requests of a crash that succeeded before it."""
+        """Return clear updates for the requests in a crash update that succeeded before the crash."""
         at = now - update.age
         cleared = []
         for run in update.runs:
@@ -171,7 +171,7 @@
         return now - self._successes.get(fingerprint, float("-inf")) < SUCCESS_GRACE_S
 
     def clear(self, fingerprint: Fingerprint, at: float) -> bool:
-        """Remove crashes and stored quarantine of a request up to a time; return whether there were any."""
+        """Remove the crashes and stored quarantine of a request up to ``at``; return whether there were any."""
         if self._cleared.get(fingerprint, float("-inf")) >= at:
             return False
         _put_newest(self._cleared, fingerprint, at, MAX_CLEARED)
@@ -187,7 +187,7 @@
     # --- stored quarantines -------------------------------------------------------------------------------------------
 
     def apply_stored_update(self, update: StoredQuarantineUpdate, now: float) -> bool:
-        """Record that the store contains a request's quarantine; return whether that is new."""
+        """Record that the store contains a request's quarantine; return whether that is new to this VM."""
         fingerprint = update.fingerprint
         stored_at = now - max(0.0, update.age)
         known = self._stored.get(fingerprint)
@@ -197,16 +197,16 @@
             self._stored[fingerprint] = replace(known, is_stored=True)
             return False
         if len(self._stored) >= MAX_STORED_QUARANTINES:
-            self._stored = {found: hold for found, hold in self._stored.items() if now < hold.until}
+            self._stored = {one: entry for one, entry in self._stored.items() if now < entry.until}
         if len(self._stored) >= MAX_STORED_QUARANTINES:
             return False
         self._stored[fingerprint] = _ReportedQuarantine(stored_at, now + min(update.remaining, BASE_QUARANTINE_S))
         return True
 
     def mark_missing(self, stored: Collection[Fingerprint], now: float) -> list[Fingerprint]:
-        """Return the quarantined requests that a restored store lacks, and mark them as not stored."""
-        held = [one for one in {*self._attributed, *self._stored} if self.get_entry(one, now) is not None]
-        missing = [one for one in held if one not in stored]
+        """Return the quarantined requests that are missing from a restored store, and mark them as not stored."""
+        quarantined = [one for one in {*self._attributed, *self._stored} if self.get_entry(one, now) is not None]
+        missing = [one for one in quarantined if one not in stored]
         for fingerprint in missing:
             if fingerprint in self._stored:
                 self._stored[fingerprint] = replace(self._stored[fingerprint], is_stored=False)
@@ -218,14 +218,14 @@
 
     def retain_stored(self, stored: Collection[Fingerprint]) -> None:
         """Remove the stored quarantines that the store no longer contains."""
-        self._stored = {found: hold for found, hold in self._stored.items() if found in stored}
+        self._stored = {one: entry for one, entry in self._stored.items() if one in stored}
 
     def list_stored(self, now: float) -> list[StoredQuarantineUpdate]:
-        """Return the updates on stored quarantines that peers are sent."""
+        """Return the stored quarantines as updates for peers."""
         return [
-            StoredQuarantineUpdate(found, round(now - hold.stored_at, 1), round(hold.until - now, 1))
-            for found, hold in self._stored.items()
-            if now < hold.until
+            StoredQuarantineUpdate(one, round(now - entry.stored_at, 1), round(entry.until - now, 1))
+            for one, entry in self._stored.items()
+            if now < entry.until
         ]
 
 
--- a/src/beamhatch/relay/quarantine/talk.py
+++ b/src/beamhatch/relay/quarantine/talk.py
@@ -1,7 +1,7 @@
 """Gossip between VMs on crashes of upstreams and quarantines.
 
-Each VM sends its peers the crashes that it saw; these forward what is new to them. A peer that connects is sent
-everything.
+Each VM sends its peers the crashes that it detected, and they forward what is new to them. A newly connected peer is
+sent the newest crashes and the stored quarantines.
 """
 
 from __future__ import annotations
@@ -32,16 +32,17 @@
 """Minimum interval between two messages to each peer, in seconds."""
 
 ATTRIBUTION_DELAY_S = 0.3
-"""Delay between the first update on a crash and its attribution, for updates of other VMs to arrive."""
+"""Delay from the first update on a crash to its attribution, in seconds, for updates of other VMs to arrive."""
 
 ANNOUNCE_SUCCESS_MIN_CRASHES = 2
 """Minimum number of crashes of a request for its success to be announced at once.
 
-Below it, a success is announced only when a later crash names the request, which saves messages on co-running streams.
+With fewer crashes, the success is announced only if the request is part of a later crash. This avoids messages for
+streams that happened to run during a crash.
 """
 
 MAX_ANNOUNCED_CRASHES = 64
-"""Maximum number of crashes that a newly connected peer is sent, the newest."""
+"""Maximum number of crashes sent to a newly connected peer; the newest are chosen."""
 
 MAX_LOGGED_UPSTREAMS = 8
 """Maximum number of upstreams in one log line."""
@@ -53,7 +54,7 @@
 class _Unsent:
     update: Update
     source: PeerConnection | None
-    """The connection on which it was received; None for this VM's own."""
+    """The connection on which it was received; None for an update of this VM."""
     enqueued_at: float
 
 
@@ -68,11 +69,11 @@
     list_open_connections: Callable[[Address], Set[Connection]]
     """Returns the open connections to an upstream."""
     reject_waiting: Callable[[Fingerprint], None]
-    """Rejects all callers that wait with a quarantined request."""
+    """Rejects all waiting calls of a quarantined request."""
 
 
 class QuarantineGossip:
-    """Gossip on the quarantine of one VM."""
+    """Exchange of crashes, successes and stored quarantines with peers, applied to this VM's ``Quarantine``."""
 
     def __init__(self, dependencies: QuarantineGossipDependencies) -> None:
         self._clock = dependencies.clock
@@ -86,15 +87,15 @@
         """Hall of this VM."""
         self.forwards_updates: Callable[[], bool] = lambda: True
         """Returns whether this VM forwards updates of peers."""
-        self.on_quarantined: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
-        """Called with a request quarantined by crashes seen here, and whether this VM saw the last one."""
+        self.on_quarantined: Callable[[Fingerprint, bool], None] = lambda fingerprint, immediately: None
+        """Called with a quarantined request to be stored, and whether this VM should store it without delay."""
         self.on_clear: Callable[[Fingerprint], None] = lambda fingerprint: None
-        """Called with a request that succeeded here and whose quarantine is stored."""
+        """Called with a cleared request whose quarantine must be removed from the store."""
         self._detector = CrashDetector(dependencies.clock, dependencies.list_open_connections, self._handle_crash)
         self._throttle = Throttle(dependencies.clock, SEND_INTERVAL_S, self._send_pending)
         self._unsent: list[_Unsent] = []
         self._last_local_crash: dict[Fingerprint, float] = {}
-        """Time at which a run of each request last broke here by a crash."""
+        """Time of the last crash detected by this VM that each request was part of, on the monotonic clock."""
         self._attribution_scheduled = False
 
     # --- local events -------------------------------------------------------------------------------------------------
@@ -134,18 +135,19 @@
     def apply_stored(self, stored: Sequence[Fingerprint]) -> None:
         """Apply the complete list of stored quarantines.
 
-        The store does not return when each was written, so requests cleared within ``BASE_QUARANTINE_S`` stay cleared.
+        The store does not return write times, so each quarantine is assumed to be ``BASE_QUARANTINE_S`` old, and a
+        request cleared within that time stays cleared.
         """
         for fingerprint in stored:
             self._apply_stored_update(StoredQuarantineUpdate(fingerprint, BASE_QUARANTINE_S, BASE_QUARANTINE_S), None)
         self.quarantine.retain_stored(stored)
 
     def apply_restored(self, stored: Sequence[Fingerprint], immediately: bool) -> None:
-        """Apply the quarantines in a restored store, and write or remove those that differ from the ones in force.
+        """Apply the quarantines of a store restored from a backup, and update the store with changes known to this VM.
 
-        A backup lacks later changes, so a missing key ends no quarantine.
+        A quarantine missing from the store stays in force, as it may be newer than the backup.
 
-        :param first: whether this VM writes without delay
+        :param immediately: whether this VM writes to the store without delay
         """
         now = self._clock.now()
         for fingerprint in self.quarantine.mark_missing(stored, now):
@@ -169,8 +171,8 @@
         """Apply a message of a peer."""
         for cleared in message.cleared:
             self._apply_clear(cleared, connection)
-        for hold in message.holds:
-            self._apply_stored_update(hold, connection)
+        for stored in message.holds:
+            self._apply_stored_update(stored, connection)
         for crash in message.ends:
             self._apply_crash(crash, connection)
 
@@ -178,9 +180,9 @@
         """Send a newly connected peer the known crashes and stored quarantines."""
         now = self._clock.now()
         crashes = [crash.to_update(now) for crash in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
-        holds = self.quarantine.list_stored(now)
-        if crashes or holds:
-            connection.send(QuarantineUpdate(crashes, [], holds))
+        stored = self.quarantine.list_stored(now)
+        if crashes or stored:
+            connection.send(QuarantineUpdate(crashes, [], stored))
 
     def _apply_crash(self, update: CrashUpdate, source: PeerConnection | None) -> None:
         now = self._clock.now()
@@ -196,17 +198,17 @@
 
     def _apply_clear(self, update: ClearUpdate, source: PeerConnection) -> None:
         now = self._clock.now()
-        was_held = self.quarantine.get_entry(update.fingerprint, now) is not None
+        was_quarantined = self.quarantine.get_entry(update.fingerprint, now) is not None
         if self.quarantine.clear(update.fingerprint, now - update.age):
             self._enqueue(update, source)
-        if was_held and self.quarantine.get_entry(update.fingerprint, now) is None:
+        if was_quarantined and self.quarantine.get_entry(update.fingerprint, now) is None:
             self._report_clear(update.fingerprint, f"peer {source.vm}")
 
     def _apply_stored_update(self, update: StoredQuarantineUpdate, source: PeerConnection | None) -> None:
         now = self._clock.now()
         if self.quarantine.apply_stored_update(update, now):
-            hold = self.quarantine.get_entry(update.fingerprint, now)
-            self._report_quarantine(update.fingerprint, hold, "the store" if source is None else f"peer {source.vm}")
+            entry = self.quarantine.get_entry(update.fingerprint, now)
+            self._report_quarantine(update.fingerprint, entry, "the store" if source is None else f"peer {source.vm}")
             self._reject_waiting(update.fingerprint)
             self._enqueue(update, source)
 
@@ -222,19 +224,19 @@
             if last_local_crash is not None:
                 self.on_quarantined(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
         self._last_local_crash = {
-            found: at for found, at in self._last_local_crash.items() if self.quarantine.crashes.count(found)
+            one: at for one, at in self._last_local_crash.items() if self.quarantine.crashes.count(one)
         }
 
-    def _report_quarantine(self, fingerprint: Fingerprint, hold: QuarantineEntry | None, source: str) -> None:
+    def _report_quarantine(self, fingerprint: Fingerprint, entry: QuarantineEntry | None, source: str) -> None:
         upstreams = [crash.upstream for crash in self.quarantine.crashes if fingerprint in crash.run_durations]
         self._tally.count("quarantines_total", "begun")
         self._journal.write(
             "QUARANTINE",
             "begun",
             fingerprint=fingerprint.hex(),
-            ends=0 if hold is None else hold.crash_count,
+            ends=0 if entry is None else entry.crash_count,
             upstreams=upstreams[-MAX_LOGGED_UPSTREAMS:],
-            seconds=0 if hold is None else round(hold.until - self._clock.now(), 1),
+            seconds=0 if entry is None else round(entry.until - self._clock.now(), 1),
             source=source,
         )
 
@@ -253,37 +255,37 @@
         now = self._clock.now()
         forwards = self.forwards_updates()
         for connection in self.list_connections():
-            items = [
+            updates = [
                 _add_age(one.update, now - one.enqueued_at)
                 for one in unsent
                 if one.source is not connection and (forwards or self._is_sender_for(connection, one.source))
             ]
-            if items:
-                connection.send(_make_message(items))
+            if updates:
+                connection.send(_make_message(updates))
 
     def _is_sender_for(self, connection: PeerConnection, source: PeerConnection | None) -> bool:
         """Return whether this VM must send an update even if it does not forward.
 
-        It sends its own updates, and those from other halls to peers in its own hall.
+        These are its own updates, and those from other halls for peers in its hall.
         """
         return source is None or (source.hall != self.hall and connection.hall == self.hall)
 
 
-def _add_age(item: Update, seconds: float) -> Update:
-    """Return an item with the seconds since it was received added to its age."""
-    aged = msgspec.structs.replace(item, age=round(item.age + seconds, 3))
+def _add_age(update: Update, seconds: float) -> Update:
+    """Return an update with the seconds that it was queued added to its age."""
+    aged = msgspec.structs.replace(update, age=round(update.age + seconds, 3))
     return (
-        msgspec.structs.replace(aged, remaining=item.remaining - seconds)
-        if isinstance(item, StoredQuarantineUpdate)
+        msgspec.structs.replace(aged, remaining=update.remaining - seconds)
+        if isinstance(update, StoredQuarantineUpdate)
         else aged
     )
 
 
-def _make_message(items: list[Update]) -> QuarantineUpdate:
+def _make_message(updates: list[Update]) -> QuarantineUpdate:
     return QuarantineUpdate(
-        _merge_crashes(item for item in items if isinstance(item, CrashUpdate)),
-        [item for item in items if isinstance(item, ClearUpdate)],
-        [item for item in items if isinstance(item, StoredQuarantineUpdate)],
+        _merge_crashes(update for update in updates if isinstance(update, CrashUpdate)),
+        [update for update in updates if isinstance(update, ClearUpdate)],
+        [update for update in updates if isinstance(update, StoredQuarantineUpdate)],
     )
 
 
--- a/src/beamhatch/task/administration.py
+++ b/src/beamhatch/task/administration.py
@@ -205,7 +205,7 @@
         return Reply(200, {"result": "accepted", "change": change, "sequence": found.sequence})
 
     async def put_documents(self, value: Any, asker: Asker) -> Reply:
-        """Change documents: ``documents`` to put, ``remove`` names, ``base`` hashes, ``reason`` and ``evaluate_and_choose`` id."""
+        """Change documents: ``documents`` to put, ``remove`` names, ``base`` hashes, ``reason`` and ``change`` id."""
         if not isinstance(value, dict) or not isinstance(value.get("documents", []), list):
             return Reply(400, {"error": "send an object with a list of documents"})
         documents: list[Document] = []
--- a/tests/relay/engines/test_balancing.py
+++ b/tests/relay/engines/test_balancing.py
@@ -40,12 +40,12 @@
     ]
 
 
-def evaluate_and_choose(engines: list[Upstream], pressure: ServiceDemand) -> list[PhaseChange]:
+def change(engines: list[Upstream], pressure: ServiceDemand) -> list[PhaseChange]:
     return choose_changes(engines, evaluate_changes(engines, pressure, SWITCH_TIME_S), {one.id for one in engines})
 
 
 def choose_phase(prefills: int, decodes: int, rate: float, figures: CapacityParameters = PARAMETERS) -> Phase | None:
-    changes = evaluate_and_choose(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
+    changes = change(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
     return changes[0].phase if changes else None
 
 
@@ -121,7 +121,7 @@
     rounds = 0
     while True:
         engines = [replace(one, phase=phase) for one, phase in zip(make_engines(24, 46), phases, strict=True)]
-        changes = evaluate_and_choose(engines, pressure)
+        changes = change(engines, pressure)
         if not changes:
             break
         rounds += 1
@@ -134,7 +134,7 @@
 
 def test_number_of_simultaneous_changes_is_bounded() -> None:
     engines = make_engines(40, 30)
-    light, heavy = (evaluate_and_choose(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
+    light, heavy = (change(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
     assert len(light) == 10
     assert 1 <= len(heavy) <= 10
     pressure = ServiceDemand(2_400_000, 0.0, PARAMETERS)
@@ -146,13 +146,13 @@
 
 def test_halls_keep_engines_of_both_parts() -> None:
     engines = make_engines(15, 15)
-    changes = evaluate_and_choose(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
+    changes = change(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
     assert len(changes) >= 3
     assert len({one.upstream.hall for one in changes}) == 3
 
 
 def test_no_change_without_demand() -> None:
-    assert evaluate_and_choose(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
+    assert change(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
 
 
 def make_changing(count: int) -> tuple[list[Upstream], set[UpstreamId]]:
