--- a/tests/relay/engines/test_leadership.py
+++ b/tests/relay/engines/test_leadership.py
@@ -83,7 +83,7 @@
         self.now += seconds
 
     @rule(vm=vms, delay=st.floats(0, 1.0))
-    def look(self, vm: int, delay: float) -> None:
+    def read_last_order(self, vm: int, delay: float) -> None:
         revision = self.store.last_order
         self.now += delay
         self.seen[vm].record(revision, self.now)
@@ -97,24 +97,24 @@
             self.pending.append(PendingAnswer(vm, sent_at, token, succeeded=True))
 
     @rule(vm=vms, delay=st.floats(0, 1.0), answered=st.booleans())
-    def keep(self, vm: int, delay: float, answered: bool) -> None:
+    def renew(self, vm: int, delay: float, answered: bool) -> None:
         sent_at = self.now
         self.now += delay
-        kept = self.store.renew(vm, self.now)
+        renewed = self.store.renew(vm, self.now)
         if answered:
-            self.pending.append(PendingAnswer(vm, sent_at, None, kept))
+            self.pending.append(PendingAnswer(vm, sent_at, None, renewed))
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.pending)
     @rule()
-    def hear(self) -> None:
+    def receive_answer(self) -> None:
         answer = self.pending.pop(0)
-        tenure = self.leases[answer.vm]
+        lease = self.leases[answer.vm]
         if answer.token is not None:
-            tenure.begin(answer.token, answer.sent_at, self.seen[answer.vm])
+            lease.begin(answer.token, answer.sent_at, self.seen[answer.vm])
         elif answer.succeeded:
-            tenure.renew(answer.sent_at)
+            lease.renew(answer.sent_at)
         else:
-            tenure.end()
+            lease.end()
 
     @rule(renews=st.booleans())
     def revoke(self, renews: bool) -> None:
@@ -125,21 +125,21 @@
     @rule(vm=vms, delay=st.floats(0, 1.0))
     def order(self, vm: int, delay: float) -> None:
         """Write an order down on condition, and send it if the answer comes soon."""
-        tenure = self.leases[vm]
-        if not tenure.may_order(self.now):
+        lease = self.leases[vm]
+        if not lease.may_order(self.now):
             return
         sent_at = self.now
-        stands = self.store.holder == vm and self.store.token == tenure.token
-        if stands:
+        claim_exists = self.store.holder == vm and self.store.token == lease.token
+        if claim_exists:
             self.store.revision += 1
             self.store.last_order = self.store.revision
         self.now += delay
-        if stands and delay < ORDER_MARGIN_S / 2 and tenure.may_order(self.now):
+        if claim_exists and delay < ORDER_MARGIN_S / 2 and lease.may_order(self.now):
             assert self.now - sent_at < ORDER_MARGIN_S
-            self.orders.append(SentOrder(self.now, vm, tenure.token))
+            self.orders.append(SentOrder(self.now, vm, lease.token))
 
     @invariant()
-    def holders_take_no_turns(self) -> None:
+    def leaders_do_not_alternate_within_handover_time(self) -> None:
         for before, after in itertools.pairwise(self.orders):
             assert after.token >= before.token, "a lower token after a higher one"
             assert after.token != before.token or after.vm == before.vm, "two holders with one token"
--- a/tests/relay/engines/test_throughput.py
+++ b/tests/relay/engines/test_throughput.py
@@ -53,15 +53,15 @@
 
 
 @given(capacity_parameters, st.integers(0, 20), st.integers(0, 20))
-def test_additional_engine_never_reduces_capacity(found: CapacityParameters, prefills: int, decodes: int) -> None:
-    here = compute_capacity(prefills, decodes, found)
-    assert compute_capacity(prefills + 1, decodes, found) >= here * 0.9999
-    assert compute_capacity(prefills, decodes + 1, found) >= here * 0.9999
+def test_additional_engine_never_reduces_capacity(parameters: CapacityParameters, prefills: int, decodes: int) -> None:
+    capacity = compute_capacity(prefills, decodes, parameters)
+    assert compute_capacity(prefills + 1, decodes, parameters) >= capacity * 0.9999
+    assert compute_capacity(prefills, decodes + 1, parameters) >= capacity * 0.9999
 
 
 @given(capacity_parameters, st.integers(2, 40))
-def test_no_split_has_clearly_higher_capacity_than_best(found: CapacityParameters, engines: int) -> None:
-    best = find_best_split(engines, found)
+def test_no_split_has_clearly_higher_capacity_than_best(parameters: CapacityParameters, engines: int) -> None:
+    best = find_best_split(engines, parameters)
     assert 1 <= best <= engines - 1
-    capacity = compute_capacity(best, engines - best, found)
-    assert all(compute_capacity(count, engines - count, found) <= capacity * 1.001 for count in range(1, engines))
+    capacity = compute_capacity(best, engines - best, parameters)
+    assert all(compute_capacity(count, engines - count, parameters) <= capacity * 1.001 for count in range(1, engines))
--- a/tests/relay/quarantine/test_attribution.py
+++ b/tests/relay/quarantine/test_attribution.py
@@ -62,12 +62,15 @@
 
 @settings(max_examples=60)
 @given(st.lists(st.sets(st.sampled_from("abcdef")), max_size=12))
-def test_each_cause_has_enough_crashes_not_explained_by_others(aboard: list[set[str]]) -> None:
-    ends = [make_crash(number, float(number), **dict.fromkeys(sorted(one), 0.1)) for number, one in enumerate(aboard)]
-    causes = CoverAttribution().find_causes(ends)
+def test_each_cause_has_enough_crashes_not_explained_by_others(requests_by_crash: list[set[str]]) -> None:
+    crashes = [
+        make_crash(number, float(number), **dict.fromkeys(sorted(one), 0.1))
+        for number, one in enumerate(requests_by_crash)
+    ]
+    causes = CoverAttribution().find_causes(crashes)
     assert all(count >= MIN_CRASHES for count in causes.values())
-    assert MIN_UNEXPLAINED_CRASHES * len(causes) <= len(ends)
-    assert set(causes) <= set(CountAttribution().find_causes(ends))
+    assert MIN_UNEXPLAINED_CRASHES * len(causes) <= len(crashes)
+    assert set(causes) <= set(CountAttribution().find_causes(crashes))
 
 
 # --- simulated crash storm --------------------------------------------------------------------------------------------
--- a/tests/relay/quarantine/test_quarantine.py
+++ b/tests/relay/quarantine/test_quarantine.py
@@ -171,9 +171,9 @@
 
 
 @given(st.permutations([(number, name) for number in range(4) for name in (CRASHING, OTHER)]))
-def test_quarantine_does_not_depend_on_order_of_updates(parts: list[tuple[int, Fingerprint]]) -> None:
+def test_quarantine_does_not_depend_on_order_of_updates(updates: list[tuple[int, Fingerprint]]) -> None:
     quarantine = Quarantine()
-    for step, (number, name) in enumerate(parts):
+    for step, (number, name) in enumerate(updates):
         now = 20.0 + 0.01 * step
         if name is CRASHING or number < 2:
             quarantine.apply_crash(make_update(number, name, age=now - 10.0 - number), now)
