--- a/tests/relay/engines/test_balancing.py
+++ b/tests/relay/engines/test_balancing.py
@@ -40,12 +40,12 @@
     ]
 
 
-def change(engines: list[Upstream], pressure: ServiceDemand) -> list[PhaseChange]:
-    return choose_changes(engines, evaluate_changes(engines, pressure, SWITCH_TIME_S), {one.id for one in engines})
+def evaluate_and_choose(engines: list[Upstream], demand: ServiceDemand) -> list[PhaseChange]:
+    return choose_changes(engines, evaluate_changes(engines, demand, SWITCH_TIME_S), {one.id for one in engines})
 
 
-def choose_phase(prefills: int, decodes: int, rate: float, figures: CapacityParameters = PARAMETERS) -> Phase | None:
-    changes = change(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, figures))
+def choose_phase(prefills: int, decodes: int, rate: float, parameters: CapacityParameters = PARAMETERS) -> Phase | None:
+    changes = evaluate_and_choose(make_engines(prefills, decodes), ServiceDemand(rate, 0.0, parameters))
     return changes[0].phase if changes else None
 
 
@@ -97,62 +97,62 @@
             assert choose_phase(prefills, engines - prefills, rate, figures) is None
 
 
-def test_gain_accounts_for_time_away() -> None:
+def test_gain_accounts_for_duration_of_change() -> None:
     low, high = ServiceDemand(6_000, 0.0, PARAMETERS), ServiceDemand(60_000, 0.0, PARAMETERS)
     assert predict_gain(Split(2, 3), 1, Phase.DECODE, low, SWITCH_TIME_S) >= predict_gain(
         Split(2, 3), 1, Phase.DECODE, low, 3 * SWITCH_TIME_S
     )
-    soon = predict_gain(Split(0, 4), 1, Phase.PREFILL, high, SWITCH_TIME_S)
-    assert soon > 0
-    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, high, 3 * SWITCH_TIME_S) < soon
+    gain_of_fast_switch = predict_gain(Split(0, 4), 1, Phase.PREFILL, high, SWITCH_TIME_S)
+    assert gain_of_fast_switch > 0
+    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, high, 3 * SWITCH_TIME_S) < gain_of_fast_switch
     assert predict_gain(Split(1, 3), 1, Phase.PREFILL, high, SWITCH_TIME_S) < 0
 
 
 def test_only_movable_engines_change() -> None:
     engines = make_engines(2, 1)
-    weighed = evaluate_changes(engines, ServiceDemand(26_000, 0.0, PARAMETERS), SWITCH_TIME_S)
-    assert choose_changes(engines, weighed, {engines[1].id}) == [PhaseChange(engines[1], Phase.DECODE)]
-    assert choose_changes(engines, weighed, set()) == []
+    evaluation = evaluate_changes(engines, ServiceDemand(26_000, 0.0, PARAMETERS), SWITCH_TIME_S)
+    assert choose_changes(engines, evaluation, {engines[1].id}) == [PhaseChange(engines[1], Phase.DECODE)]
+    assert choose_changes(engines, evaluation, set()) == []
 
 
 def test_large_service_reaches_its_best_split_in_few_steps() -> None:
-    pressure = ServiceDemand(400_000, 0.0, PARAMETERS)
+    demand = ServiceDemand(400_000, 0.0, PARAMETERS)
     phases = [one.phase for one in make_engines(24, 46)]
     rounds = 0
     while True:
         engines = [replace(one, phase=phase) for one, phase in zip(make_engines(24, 46), phases, strict=True)]
-        changes = change(engines, pressure)
+        changes = evaluate_and_choose(engines, demand)
         if not changes:
             break
         rounds += 1
         for one in changes:
             phases[int(one.upstream.id[1:])] = one.phase
-    wanted = find_best_split(70, PARAMETERS)
+    best_prefills = find_best_split(70, PARAMETERS)
     assert rounds <= 3
-    assert abs(phases.count(Phase.PREFILL) - wanted) <= 3
+    assert abs(phases.count(Phase.PREFILL) - best_prefills) <= 3
 
 
 def test_number_of_simultaneous_changes_is_bounded() -> None:
     engines = make_engines(40, 30)
-    light, heavy = (change(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
+    light, heavy = (evaluate_and_choose(engines, ServiceDemand(rate, 0.0, PARAMETERS)) for rate in (300_000, 2_400_000))
     assert len(light) == 10
     assert 1 <= len(heavy) <= 10
-    pressure = ServiceDemand(2_400_000, 0.0, PARAMETERS)
-    gain = predict_gain(Split(40, 30), len(heavy), Phase.DECODE, pressure, SWITCH_TIME_S)
+    demand = ServiceDemand(2_400_000, 0.0, PARAMETERS)
+    gain = predict_gain(Split(40, 30), len(heavy), Phase.DECODE, demand, SWITCH_TIME_S)
     assert all(
-        gain >= predict_gain(Split(40, 30), count, Phase.DECODE, pressure, SWITCH_TIME_S) for count in range(1, 11)
+        gain >= predict_gain(Split(40, 30), count, Phase.DECODE, demand, SWITCH_TIME_S) for count in range(1, 11)
     )
 
 
-def test_halls_keep_engines_of_both_parts() -> None:
+def test_changes_are_spread_over_halls() -> None:
     engines = make_engines(15, 15)
-    changes = change(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
+    changes = evaluate_and_choose(engines, ServiceDemand(200_000, 0.0, PARAMETERS))
     assert len(changes) >= 3
     assert len({one.upstream.hall for one in changes}) == 3
 
 
 def test_no_change_without_demand() -> None:
-    assert change(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
+    assert evaluate_and_choose(make_engines(0, 3), ServiceDemand(0.0, 0.0, PARAMETERS)) == []
 
 
 def make_changing(count: int) -> tuple[list[Upstream], set[UpstreamId]]:
@@ -163,16 +163,16 @@
 
 
 def test_more_engines_change_while_a_first_one_is_changing() -> None:
-    pressure = ServiceDemand(160_000, 0.0, SMALL_MEMORY)
+    demand = ServiceDemand(160_000, 0.0, SMALL_MEMORY)
     engines, changing = make_changing(1)
-    weighed = evaluate_changes(engines, pressure, SWITCH_TIME_S, changing)
-    assert weighed.is_due
-    assert weighed.phase is Phase.DECODE
-    assert weighed.count == 5
+    evaluation = evaluate_changes(engines, demand, SWITCH_TIME_S, changing)
+    assert evaluation.is_due
+    assert evaluation.phase is Phase.DECODE
+    assert evaluation.count == 5
 
 
 @pytest.mark.parametrize("count", [6, 7, 9])
-def test_number_of_engines_away_is_bounded(count: int) -> None:
+def test_no_change_while_many_engines_are_changing(count: int) -> None:
     engines, changing = make_changing(count)
     assert not evaluate_changes(engines, ServiceDemand(160_000, 0.0, SMALL_MEMORY), SWITCH_TIME_S, changing).is_due
 
@@ -182,7 +182,10 @@
     assert evaluate_changes(engines, ServiceDemand(30_000, 0.0, PARAMETERS), SWITCH_TIME_S, {engines[0].id}).count == 1
 
 
-def test_engines_away_reduce_gain() -> None:
-    pressure = ServiceDemand(26_000, 0.0, PARAMETERS)
-    change_alone = predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH_TIME_S)
-    assert predict_gain(Split(0, 4), 1, Phase.PREFILL, pressure, SWITCH_TIME_S, unavailable=Split(0, 2)) < change_alone
+def test_changing_engines_reduce_gain() -> None:
+    demand = ServiceDemand(26_000, 0.0, PARAMETERS)
+    gain_without_others_changing = predict_gain(Split(0, 4), 1, Phase.PREFILL, demand, SWITCH_TIME_S)
+    assert (
+        predict_gain(Split(0, 4), 1, Phase.PREFILL, demand, SWITCH_TIME_S, unavailable=Split(0, 2))
+        < gain_without_others_changing
+    )
--- a/tests/relay/engines/test_demand_estimation.py
+++ b/tests/relay/engines/test_demand_estimation.py
@@ -14,8 +14,8 @@
     for start in range(12):
         if start % 2:
             demand.end_stream(100.0 + start, 113.0)
-    # Six streams ended after a mean of 7 s and six run on, each of which counts with the mean of the longer ones.
-    # With the prior of 3 s, which has the weight of three streams, the mean is still above 7 s.
+    # Six streams ended after a mean of 7 s. Six are still running, and each counts with the mean of the durations
+    # longer than its age. The mean stays above 7 s despite the prior of 3.3 s, which has the weight of three streams.
     assert 7.0 < demand.estimate_residence(113.0) < 10.0
 
 
@@ -78,11 +78,11 @@
     assert demand.compute_prompt_rate(120.0) == 0.0
 
 
-def test_window_of_a_new_vm_is_its_time_in_service() -> None:
+def test_rate_window_of_new_vm_starts_at_first_prompt() -> None:
     demand = DemandEstimator()
     for step in range(12):
         demand.record_prompt(1000, 500, 100.0 + 0.2 * step)
     assert demand.compute_prompt_rate(102.4) == pytest.approx(5000.0)
-    alone = DemandEstimator()
-    alone.record_prompt(1000, 500, 100.0)
-    assert alone.compute_prompt_rate(100.1) == 500.0
+    single_prompt = DemandEstimator()
+    single_prompt.record_prompt(1000, 500, 100.0)
+    assert single_prompt.compute_prompt_rate(100.1) == 500.0
--- a/tests/relay/engines/test_leadership.py
+++ b/tests/relay/engines/test_leadership.py
@@ -26,7 +26,7 @@
     holder: int | None = None
     ends_at: float = 0.0
     renewed_without_claim: int | None = None
-    """VM whose renewals succeed although its claim is gone."""
+    """VM whose renewals succeed although its claim was deleted."""
 
     def claim(self, vm: int, now: float, last_order: int) -> int | None:
         if (self.holder is not None and now < self.ends_at) or last_order != self.last_order:
@@ -47,7 +47,7 @@
 
 @dataclass
 class PendingAnswer:
-    """An answer of the store in transit."""
+    """An answer of the store that has not been received."""
 
     vm: int
     sent_at: float
@@ -118,13 +118,13 @@
 
     @rule(renews=st.booleans())
     def revoke(self, renews: bool) -> None:
-        """Take the claim away; the store may renew its lease all the same."""
+        """Delete the current claim; if ``renews``, renewals of its lease still succeed."""
         self.store.renewed_without_claim = self.store.holder if renews else None
         self.store.holder = None
 
     @rule(vm=vms, delay=st.floats(0, 1.0))
     def order(self, vm: int, delay: float) -> None:
-        """Write an order down on condition, and send it if the answer comes soon."""
+        """Record an order if the claim still exists, and send it if the store answers in time."""
         lease = self.leases[vm]
         if not lease.may_order(self.now):
             return
@@ -141,37 +141,37 @@
     @invariant()
     def leaders_do_not_alternate_within_handover_time(self) -> None:
         for before, after in itertools.pairwise(self.orders):
-            assert after.token >= before.token, "a lower token after a higher one"
-            assert after.token != before.token or after.vm == before.vm, "two holders with one token"
+            assert after.token >= before.token, "token decreased between orders"
+            assert after.token != before.token or after.vm == before.vm, "two VMs used the same token"
             if after.vm != before.vm:
-                assert after.at - before.at >= HANDOVER_TIME_S, "two holders within a turn"
+                assert after.at - before.at >= HANDOVER_TIME_S, "two VMs gave orders within the handover time"
 
 
 TestLeadership = LeadershipMachine.TestCase
 
 
 def test_orders_wait_for_handover_and_stop_before_lease_ends() -> None:
-    tenure = LeaseState(handover_time=HANDOVER_TIME_S)
+    lease = LeaseState(handover_time=HANDOVER_TIME_S)
     last = LastOrder()
     last.record(5, 99.0)
-    tenure.begin(7, 100.0, last)
-    assert not tenure.may_order(101.9)
+    lease.begin(7, 100.0, last)
+    assert not lease.may_order(101.9)
     for second in range(101, 120):
-        tenure.renew(float(second))
-    assert not tenure.may_order(105.4)
-    assert tenure.may_order(105.6)
-    assert tenure.may_order(120.9)
-    assert not tenure.may_order(121.1)
-    assert tenure.holds(121.5)
-    assert not tenure.holds(122.1)
+        lease.renew(float(second))
+    assert not lease.may_order(105.4)
+    assert lease.may_order(105.6)
+    assert lease.may_order(120.9)
+    assert not lease.may_order(121.1)
+    assert lease.holds(121.5)
+    assert not lease.holds(122.1)
 
 
 def test_leader_orders_at_once_if_no_order_was_ever_given() -> None:
-    tenure = LeaseState(handover_time=HANDOVER_TIME_S)
+    lease = LeaseState(handover_time=HANDOVER_TIME_S)
     last = LastOrder()
     last.record(0, 100.0)
-    tenure.begin(7, 100.0, last)
-    assert tenure.may_order(100.1)
+    lease.begin(7, 100.0, last)
+    assert lease.may_order(100.1)
 
 
 def test_age_of_order_counts_from_when_it_was_first_seen() -> None:
@@ -184,7 +184,7 @@
 
 
 def test_order_lost_in_restore_counts_as_given_when_noticed() -> None:
-    """A VM that reads before any order and again after the store lost one sees none both times."""
+    """A VM that reads before the first order and again after the store lost that order sees no order both times."""
     last = LastOrder()
     last.record(0, 100.0)
     assert last.get_earliest_takeover(HANDOVER_TIME_S) < 100.0
--- a/tests/relay/engines/test_throughput.py
+++ b/tests/relay/engines/test_throughput.py
@@ -1,4 +1,4 @@
-"""Capacity of a number of engines."""
+"""Capacity of prefill and decode engines."""
 
 from __future__ import annotations
 
--- a/tests/relay/quarantine/test_detection.py
+++ b/tests/relay/quarantine/test_detection.py
@@ -14,7 +14,7 @@
 
 
 class FakeConnection(Connection):
-    """Connection of which only the open and paused state matters."""
+    """Connection without I/O, open while it is in ``DetectorHarness.open``."""
 
     def __init__(self, *, paused: bool = False) -> None:
         self.paused = paused
@@ -30,7 +30,7 @@
         self.detector = CrashDetector(PausedClock(self.network), lambda _: frozenset(self.open), self.reported.append)
 
     def break_runs(self, count: int) -> None:
-        """Break the connections of some runs one after the other, also more than are open."""
+        """Record ``count`` broken runs, closing one open connection for each while there are any."""
         for number in range(count):
             if self.open:
                 self.open.pop()
@@ -75,9 +75,9 @@
 
 def test_paused_connection_does_not_hide_crash() -> None:
     harness = DetectorHarness(2)
-    read = list(harness.open)
+    active = list(harness.open)
     harness.open.add(FakeConnection(paused=True))
-    for number, one in enumerate(read):
+    for number, one in enumerate(active):
         harness.open.remove(one)
         harness.detector.record_broken_run(ENGINE, Fingerprint(bytes([number])), 0.1)
     harness.network.advance(1.0)
--- a/tests/relay/quarantine/test_quarantine.py
+++ b/tests/relay/quarantine/test_quarantine.py
@@ -31,12 +31,12 @@
 OTHER = Fingerprint(b"other")
 
 
-def make_update(number: int, *names: Fingerprint, age: float = 0.0) -> CrashUpdate:
-    return CrashUpdate(f"engine-{number}", age, [BrokenRun(name, 100) for name in names])
+def make_update(number: int, *fingerprints: Fingerprint, age: float = 0.0) -> CrashUpdate:
+    return CrashUpdate(f"engine-{number}", age, [BrokenRun(one, 100) for one in fingerprints])
 
 
 def crash_upstreams(quarantine: Quarantine, *, count: int = 3, since: float = 10.0) -> float:
-    """Have a request crash some upstreams; return the time of the last crash."""
+    """Record ``count`` crashes by one request, a second apart; return the time of the last."""
     for number in range(count):
         quarantine.apply_crash(make_update(number, CRASHING), since + number)
     quarantine.attribute(since + count - 1)
@@ -58,9 +58,9 @@
         last += 1.0
         quarantine.apply_crash(make_update(further, CRASHING), last)
         quarantine.attribute(last)
-        found = quarantine.get_entry(CRASHING, last)
-        assert found is not None
-        assert found.until == last + seconds
+        entry = quarantine.get_entry(CRASHING, last)
+        assert entry is not None
+        assert entry.until == last + seconds
 
 
 def test_one_more_crash_is_enough_after_quarantine_expired() -> None:
@@ -77,11 +77,11 @@
     for age in (0.0, 0.2, 0.5):
         quarantine.apply_crash(make_update(1, CRASHING, age=age), 10.0 + age)
     assert len(quarantine.crashes) == 1
-    assert quarantine.apply_crash(make_update(1, CRASHING), 14.0) is not None  # it restarted and crashed again
+    assert quarantine.apply_crash(make_update(1, CRASHING), 14.0) is not None  # crashed again after a restart
     assert len(quarantine.crashes) == 2
 
 
-def test_success_clears_request_and_voids_older_updates() -> None:
+def test_success_clears_request_and_older_updates_are_ignored() -> None:
     quarantine = Quarantine()
     last = crash_upstreams(quarantine)
     assert quarantine.record_success(CRASHING, last + 1) == ClearResult(was_quarantined=True, crash_count=3)
@@ -100,7 +100,7 @@
 
 
 def test_crashes_separated_by_successes_do_not_add_up() -> None:
-    """One VM knows of the successes, the other one only of the crashes and of the updates it receives."""
+    """Only one of the two VMs records the successes; the other receives its clear updates."""
     informed, other = Quarantine(), Quarantine()
     for number in range(6):
         now = 10.0 + 5 * number
@@ -158,16 +158,16 @@
         quarantine.apply_crash(CrashUpdate(f"engine-{number}", 0.0, runs), float(number))
         quarantine.apply_stored_update(StoredQuarantineUpdate(Fingerprint(random.randbytes(8)), 0.0, 100_000.0), 10.0)
     assert len(quarantine.crashes) == MAX_CRASHES
-    assert max(len(end.run_durations) for end in quarantine.crashes) == MAX_RUNS
+    assert max(len(crash.run_durations) for crash in quarantine.crashes) == MAX_RUNS
     assert len(quarantine.list_stored(10.0)) <= MAX_STORED_QUARANTINES
 
 
 def test_crashes_expire() -> None:
-    ends = UpstreamCrashes()
-    ends.apply_update(make_update(1, CRASHING), 10.0)
-    ends.remove_expired(10.0 + RETENTION_S + 1)
-    assert not len(ends)
-    assert ends.apply_update(make_update(1, CRASHING, age=RETENTION_S + 1), 10_000.0) is None
+    crashes = UpstreamCrashes()
+    crashes.apply_update(make_update(1, CRASHING), 10.0)
+    crashes.remove_expired(10.0 + RETENTION_S + 1)
+    assert not len(crashes)
+    assert crashes.apply_update(make_update(1, CRASHING, age=RETENTION_S + 1), 10_000.0) is None
 
 
 @given(st.permutations([(number, name) for number in range(4) for name in (CRASHING, OTHER)]))
