--- a/src/beamhatch/relay/engines/balancing.py
+++ b/src/beamhatch/relay/engines/balancing.py
@@ -151,7 +151,7 @@
     """Return the additional prompt tokens served within ``HORIZON_S`` if ``count`` engines change to ``phase``.
 
     :param split: the current engines; those that are changing count for their new phase
-    :param away: the engines of the split that are changing
+    :param unavailable: the engines of the split that are changing
     """
     parameters = demand.parameters
     to_decode = count if phase is Phase.DECODE else 0
--- a/src/beamhatch/relay/engines/demand.py
+++ b/src/beamhatch/relay/engines/demand.py
@@ -105,7 +105,7 @@
         self._mean_first_event_s += FIRST_EVENT_WEIGHT * (seconds - self._mean_first_event_s)
 
     def record_tokens(self, tokens: int, seconds: float, now: float) -> None:
-        """Record tokens that a stream generated, and the seconds these took."""
+        """Record tokens that a stream generated after its first event, and the seconds that these took."""
         self._decay(now)
         self._tokens += tokens
         self._token_seconds += seconds
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -29,7 +29,7 @@
         """Return the demand of all VMs on a service, extrapolated to VMs without a report.
 
         :param own: this VM's own report
-        :param vms: number of VMs, including this one
+        :param vm_count: number of VMs, including this one
         """
         reports = [own, *(by_service.get(service, DemandReport()) for by_service in self.list_values(now))]
         scale = max(1.0, vm_count / len(reports))
--- a/src/beamhatch/relay/quarantine/persistence.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -19,7 +19,7 @@
     from beamhatch.relay.model import Fingerprint
 
 STANDBY_DELAY_S = 1.0, 2.0
-"""Range of the delay of a write, in seconds, by a VM that did not detect the last crash; one that did writes first."""
+"""Range of the delay, in seconds, of writes that are not immediate, so that the immediate ones come first."""
 
 MIN_RETRY_DELAY_S = 0.5
 """Initial delay before a failed call to the store is retried, in seconds; doubled with each retry."""
@@ -40,7 +40,7 @@
     def add(self, fingerprint: Fingerprint, immediately: bool) -> None:
         """Schedule a write of a request's quarantine, unless one is scheduled already.
 
-        :param immediately: write without delay, as this VM detected the last crash
+        :param immediately: write without the delay of ``STANDBY_DELAY_S``
         """
         if fingerprint in self._writing:
             return
