--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -1,4 +1,4 @@
-"""Demand of all VMs on the engines, from the reports that VMs send each other."""
+"""Demand of all VMs on the engines, computed from the demand reports that VMs send each other."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
     __slots__ = ()
 
     def compute_service_demand(
-        self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float
+        self, service: ServiceName, engine: Engine, own: DemandReport, vm_count: int, now: float
     ) -> ServiceDemand:
-        """Return the demand of all VMs on a service, scaled up for VMs without a report.
+        """Return the demand of all VMs on a service, extrapolated to VMs without a report.
 
         :param own: this VM's own report
-        :param vms: number of VMs
+        :param vm_count: number of VMs, including this one
         """
         reports = [own, *(by_service.get(service, DemandReport()) for by_service in self.list_values(now))]
-        scale = max(1.0, vms / len(reports))
+        scale = max(1.0, vm_count / len(reports))
         prompt_rate = scale * sum(report.prompt_rate for report in reports)
         wait_rate = scale * sum(report.wait_rate for report in reports)
         return ServiceDemand(prompt_rate, wait_rate, _compute_parameters(engine, reports))
 
 
 def _compute_parameters(engine: Engine, reports: Sequence[DemandReport]) -> CapacityParameters:
-    """Return the capacity parameters: means weighted by prompt rate, and medians of the prefill rates."""
+    """Return means of the reported parameters, weighted by prompt rate, and medians of the prefill rates."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
     if not total:
--- a/src/beamhatch/relay/quarantine/talk.py
+++ b/src/beamhatch/relay/quarantine/talk.py
@@ -1,7 +1,7 @@
 """Gossip between VMs on crashes of upstreams and quarantines.
 
-Each VM sends its peers the crashes that it saw; these forward what is new to them. A peer that connects is sent
-everything.
+Each VM sends its peers the crashes that it detected, and they forward what is new to them. A newly connected peer is
+sent the newest crashes and the stored quarantines.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from beamhatch.relay.fleet.throttle import Throttle
 from beamhatch.relay.quarantine.detection import MIN_RUN_S, CrashDetector
 from beamhatch.relay.quarantine.ends import SAME_CRASH_WINDOW_S, CrashUpdate
-from beamhatch.relay.quarantine.quarantine import HOLD_S, ClearUpdate, HoldUpdate
+from beamhatch.relay.quarantine.quarantine import BASE_QUARANTINE_S, ClearUpdate, StoredQuarantineUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence, Set
@@ -25,36 +25,37 @@
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.fleet.peer_connection import PeerConnection
     from beamhatch.relay.model import Address, Fingerprint, Upstream
-    from beamhatch.relay.quarantine.quarantine import Hold, Quarantine
+    from beamhatch.relay.quarantine.quarantine import Quarantine, QuarantineEntry
     from beamhatch.relay.upstreams.http_client import Connection
 
 SEND_INTERVAL_S = 0.1
 """Minimum interval between two messages to each peer, in seconds."""
 
 ATTRIBUTION_DELAY_S = 0.3
-"""Delay between the first update on a crash and its attribution, for updates of other VMs to arrive."""
+"""Delay from the first update on a crash to its attribution, in seconds, for updates of other VMs to arrive."""
 
 ANNOUNCE_SUCCESS_MIN_CRASHES = 2
 """Minimum number of crashes of a request for its success to be announced at once.
 
-Below it, a success is announced only when a later crash names the request, which saves messages on co-running streams.
+With fewer crashes, the success is announced only if the request is part of a later crash. This avoids messages for
+streams that happened to run during a crash.
 """
 
 MAX_ANNOUNCED_CRASHES = 64
-"""Maximum number of crashes that a newly connected peer is sent, the newest."""
+"""Maximum number of crashes sent to a newly connected peer; the newest are chosen."""
 
 MAX_LOGGED_UPSTREAMS = 8
 """Maximum number of upstreams in one log line."""
 
-Item = CrashUpdate | ClearUpdate | HoldUpdate
+Update = CrashUpdate | ClearUpdate | StoredQuarantineUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class _Unsent:
-    item: Item
+    update: Update
     source: PeerConnection | None
-    """The connection on which it was received; None for this VM's own."""
-    received_at: float
+    """The connection on which it was received; None for an update of this VM."""
+    enqueued_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,11 +69,11 @@
     list_open_connections: Callable[[Address], Set[Connection]]
     """Returns the open connections to an upstream."""
     reject_waiting: Callable[[Fingerprint], None]
-    """Rejects all callers that wait with a quarantined request."""
+    """Rejects all waiting calls of a quarantined request."""
 
 
 class QuarantineGossip:
-    """Gossip on the quarantine of one VM."""
+    """Exchange of crashes, successes and stored quarantines with peers, applied to this VM's ``Quarantine``."""
 
     def __init__(self, dependencies: QuarantineGossipDependencies) -> None:
         self._clock = dependencies.clock
@@ -86,15 +87,15 @@
         """Hall of this VM."""
         self.forwards_updates: Callable[[], bool] = lambda: True
         """Returns whether this VM forwards updates of peers."""
-        self.on_hold: Callable[[Fingerprint, bool], None] = lambda fingerprint, first: None
-        """Called with a request quarantined by crashes seen here, and whether this VM saw the last one."""
+        self.on_quarantined: Callable[[Fingerprint, bool], None] = lambda fingerprint, immediately: None
+        """Called with a quarantined request to be stored, and whether this VM should store it without delay."""
         self.on_clear: Callable[[Fingerprint], None] = lambda fingerprint: None
-        """Called with a request that succeeded here and whose quarantine is stored."""
+        """Called with a cleared request whose quarantine must be removed from the store."""
         self._detector = CrashDetector(dependencies.clock, dependencies.list_open_connections, self._handle_crash)
         self._throttle = Throttle(dependencies.clock, SEND_INTERVAL_S, self._send_pending)
         self._unsent: list[_Unsent] = []
         self._last_local_crash: dict[Fingerprint, float] = {}
-        """Time at which a run of each request last broke here by a crash."""
+        """Time of the last crash detected by this VM that each request was part of, on the monotonic clock."""
         self._attribution_scheduled = False
 
     # --- local events -------------------------------------------------------------------------------------------------
@@ -120,40 +121,41 @@
         result = self.quarantine.record_success(fingerprint, now)
         if result is None:
             return
-        if result.was_held:
+        if result.was_quarantined:
             self._report_clear(fingerprint, "a run here came to a good end")
-        if result.was_held or result.crash_count >= ANNOUNCE_SUCCESS_MIN_CRASHES:
+        if result.was_quarantined or result.crash_count >= ANNOUNCE_SUCCESS_MIN_CRASHES:
             self._enqueue(ClearUpdate(fingerprint, 0.0), None)
         if was_stored:
             self.on_clear(fingerprint)
 
     def record_stored(self, fingerprint: Fingerprint) -> None:
         """Record that the quarantine of a request was stored."""
-        self._apply_hold(HoldUpdate(fingerprint, 0.0, HOLD_S), None)
+        self._apply_stored_update(StoredQuarantineUpdate(fingerprint, 0.0, BASE_QUARANTINE_S), None)
 
     def apply_stored(self, stored: Sequence[Fingerprint]) -> None:
         """Apply the complete list of stored quarantines.
 
-        The store does not return when each was written, so requests cleared within ``HOLD_S`` stay cleared.
+        The store does not return write times, so each quarantine is assumed to be ``BASE_QUARANTINE_S`` old, and a
+        request cleared within that time stays cleared.
         """
         for fingerprint in stored:
-            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+            self._apply_stored_update(StoredQuarantineUpdate(fingerprint, BASE_QUARANTINE_S, BASE_QUARANTINE_S), None)
         self.quarantine.retain_stored(stored)
 
-    def apply_restored(self, stored: Sequence[Fingerprint], first: bool) -> None:
-        """Apply the quarantines in a restored store, and write or remove those that differ from the ones in force.
+    def apply_restored(self, stored: Sequence[Fingerprint], immediately: bool) -> None:
+        """Apply the quarantines of a store restored from a backup, and update the store with changes known to this VM.
 
-        A backup lacks later changes, so a missing key ends no quarantine.
+        A quarantine missing from the store stays in force, as it may be newer than the backup.
 
-        :param first: whether this VM writes without delay
+        :param immediately: whether this VM writes to the store without delay
         """
         now = self._clock.now()
         for fingerprint in self.quarantine.mark_missing(stored, now):
-            self.on_hold(fingerprint, first)
+            self.on_quarantined(fingerprint, immediately)
         for fingerprint in self.quarantine.list_cleared_among(stored, now):
             self.on_clear(fingerprint)
         for fingerprint in stored:
-            self._apply_hold(HoldUpdate(fingerprint, HOLD_S, HOLD_S), None)
+            self._apply_stored_update(StoredQuarantineUpdate(fingerprint, BASE_QUARANTINE_S, BASE_QUARANTINE_S), None)
 
     def _handle_crash(self, update: CrashUpdate) -> None:
         now = self._clock.now()
@@ -169,8 +171,8 @@
         """Apply a message of a peer."""
         for cleared in message.cleared:
             self._apply_clear(cleared, connection)
-        for hold in message.holds:
-            self._apply_hold(hold, connection)
+        for stored in message.holds:
+            self._apply_stored_update(stored, connection)
         for crash in message.ends:
             self._apply_crash(crash, connection)
 
@@ -178,9 +180,9 @@
         """Send a newly connected peer the known crashes and stored quarantines."""
         now = self._clock.now()
         crashes = [crash.to_update(now) for crash in list(self.quarantine.crashes)[-MAX_ANNOUNCED_CRASHES:]]
-        holds = self.quarantine.list_stored(now)
-        if crashes or holds:
-            connection.send(QuarantineUpdate(crashes, [], holds))
+        stored = self.quarantine.list_stored(now)
+        if crashes or stored:
+            connection.send(QuarantineUpdate(crashes, [], stored))
 
     def _apply_crash(self, update: CrashUpdate, source: PeerConnection | None) -> None:
         now = self._clock.now()
@@ -196,17 +198,17 @@
 
     def _apply_clear(self, update: ClearUpdate, source: PeerConnection) -> None:
         now = self._clock.now()
-        was_held = self.quarantine.get_hold(update.fingerprint, now) is not None
+        was_quarantined = self.quarantine.get_entry(update.fingerprint, now) is not None
         if self.quarantine.clear(update.fingerprint, now - update.age):
             self._enqueue(update, source)
-        if was_held and self.quarantine.get_hold(update.fingerprint, now) is None:
+        if was_quarantined and self.quarantine.get_entry(update.fingerprint, now) is None:
             self._report_clear(update.fingerprint, f"peer {source.vm}")
 
-    def _apply_hold(self, update: HoldUpdate, source: PeerConnection | None) -> None:
+    def _apply_stored_update(self, update: StoredQuarantineUpdate, source: PeerConnection | None) -> None:
         now = self._clock.now()
-        if self.quarantine.apply_stored_hold(update, now):
-            hold = self.quarantine.get_hold(update.fingerprint, now)
-            self._report_hold(update.fingerprint, hold, "the store" if source is None else f"peer {source.vm}")
+        if self.quarantine.apply_stored_update(update, now):
+            entry = self.quarantine.get_entry(update.fingerprint, now)
+            self._report_quarantine(update.fingerprint, entry, "the store" if source is None else f"peer {source.vm}")
             self._reject_waiting(update.fingerprint)
             self._enqueue(update, source)
 
@@ -216,25 +218,25 @@
         self._attribution_scheduled = False
         now = self._clock.now()
         for fingerprint in self.quarantine.attribute(now):
-            self._report_hold(fingerprint, self.quarantine.get_hold(fingerprint, now), "ends")
+            self._report_quarantine(fingerprint, self.quarantine.get_entry(fingerprint, now), "ends")
             self._reject_waiting(fingerprint)
             last_local_crash = self._last_local_crash.get(fingerprint)
             if last_local_crash is not None:
-                self.on_hold(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
+                self.on_quarantined(fingerprint, now - last_local_crash < 2 * ATTRIBUTION_DELAY_S)
         self._last_local_crash = {
-            found: at for found, at in self._last_local_crash.items() if self.quarantine.crashes.count(found)
+            one: at for one, at in self._last_local_crash.items() if self.quarantine.crashes.count(one)
         }
 
-    def _report_hold(self, fingerprint: Fingerprint, hold: Hold | None, source: str) -> None:
+    def _report_quarantine(self, fingerprint: Fingerprint, entry: QuarantineEntry | None, source: str) -> None:
         upstreams = [crash.upstream for crash in self.quarantine.crashes if fingerprint in crash.run_durations]
         self._tally.count("quarantines_total", "begun")
         self._journal.write(
             "QUARANTINE",
             "begun",
             fingerprint=fingerprint.hex(),
-            ends=0 if hold is None else hold.crash_count,
+            ends=0 if entry is None else entry.crash_count,
             upstreams=upstreams[-MAX_LOGGED_UPSTREAMS:],
-            seconds=0 if hold is None else round(hold.until - self._clock.now(), 1),
+            seconds=0 if entry is None else round(entry.until - self._clock.now(), 1),
             source=source,
         )
 
@@ -244,8 +246,8 @@
 
     # --- sending ------------------------------------------------------------------------------------------------------
 
-    def _enqueue(self, item: Item, source: PeerConnection | None) -> None:
-        self._unsent.append(_Unsent(item, source, self._clock.now()))
+    def _enqueue(self, update: Update, source: PeerConnection | None) -> None:
+        self._unsent.append(_Unsent(update, source, self._clock.now()))
         self._throttle.request()
 
     def _send_pending(self) -> None:
@@ -253,33 +255,37 @@
         now = self._clock.now()
         forwards = self.forwards_updates()
         for connection in self.list_connections():
-            items = [
-                _add_age(one.item, now - one.received_at)
+            updates = [
+                _add_age(one.update, now - one.enqueued_at)
                 for one in unsent
                 if one.source is not connection and (forwards or self._is_sender_for(connection, one.source))
             ]
-            if items:
-                connection.send(_make_message(items))
+            if updates:
+                connection.send(_make_message(updates))
 
     def _is_sender_for(self, connection: PeerConnection, source: PeerConnection | None) -> bool:
         """Return whether this VM must send an update even if it does not forward.
 
-        It sends its own updates, and those from other halls to peers in its own hall.
+        These are its own updates, and those from other halls for peers in its hall.
         """
         return source is None or (source.hall != self.hall and connection.hall == self.hall)
 
 
-def _add_age(item: Item, seconds: float) -> Item:
-    """Return an item with the seconds since it was received added to its age."""
-    aged = msgspec.structs.replace(item, age=round(item.age + seconds, 3))
-    return msgspec.structs.replace(aged, remaining=item.remaining - seconds) if isinstance(item, HoldUpdate) else aged
+def _add_age(update: Update, seconds: float) -> Update:
+    """Return an update with the seconds that it was queued added to its age."""
+    aged = msgspec.structs.replace(update, age=round(update.age + seconds, 3))
+    return (
+        msgspec.structs.replace(aged, remaining=update.remaining - seconds)
+        if isinstance(update, StoredQuarantineUpdate)
+        else aged
+    )
 
 
-def _make_message(items: list[Item]) -> QuarantineUpdate:
+def _make_message(updates: list[Update]) -> QuarantineUpdate:
     return QuarantineUpdate(
-        _merge_crashes(item for item in items if isinstance(item, CrashUpdate)),
-        [item for item in items if isinstance(item, ClearUpdate)],
-        [item for item in items if isinstance(item, HoldUpdate)],
+        _merge_crashes(update for update in updates if isinstance(update, CrashUpdate)),
+        [update for update in updates if isinstance(update, ClearUpdate)],
+        [update for update in updates if isinstance(update, StoredQuarantineUpdate)],
     )
 
 
