--- a/benchmarks/own_words.py
+++ b/benchmarks/own_words.py
@@ -39,7 +39,7 @@
     daemons = list(platform.vms.values())
     hearer = daemons[len(daemons) // 2].core.announcements
     heard_at = platform.clock.now()
-    hearer.take_departure(life, "its answer")
+    hearer.apply_departure(life, "its answer")
     hearer.on_departure()
     platform.network.run_until(lambda: all(vm.core.listing.departures.has(life) for vm in daemons), 20.0)
     knows_at = platform.clock.now()
--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -11,7 +11,7 @@
 from beamhatch.relay.choosing.standing import Load
 from beamhatch.relay.model import Handle, Phase, PromptPart, RequestFacts, Reservation, Stage, Upstream
 from beamhatch.relay.upstreams.http_client import Call
-from beamhatch.relay.upstreams.retry_after import read_retry_after
+from beamhatch.relay.upstreams.retry_after import parse_retry_after
 from beamhatch.relay.workspaces.workspace import KeyDigest, digest_key
 
 REQUEST_ID = "request-id"
@@ -136,7 +136,7 @@
             encoded=found.get("content-encoding", "identity").lower() != "identity",
             load=_read_load(found.get("server-load")),
             leaving=found.get(LEAVING, "").strip() == SAYS_SO,
-            rest=read_retry_after(found.get("retry-after"), found.get("date")) if status in TURNED_AWAY else None,
+            rest=parse_retry_after(found.get("retry-after"), found.get("date")) if status in TURNED_AWAY else None,
             limit=_read_limit(found.get(LIMIT)),
         )
 
--- a/src/beamhatch/platform/standin/base.py
+++ b/src/beamhatch/platform/standin/base.py
@@ -60,4 +60,4 @@
 
 def answer_json(responder: Responder, status: int, value: object, *headers: tuple[str, str]) -> None:
     """Send a JSON answer."""
-    responder.send_whole(status, [("Content-Type", "application/json"), *headers], json.dumps(value).encode())
+    responder.send_response(status, [("Content-Type", "application/json"), *headers], json.dumps(value).encode())
--- a/src/beamhatch/platform/standin/store.py
+++ b/src/beamhatch/platform/standin/store.py
@@ -252,7 +252,7 @@
     def __init__(self) -> None:
         self.begun = False
 
-    def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    def send_response(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         """Send nothing."""
 
     def abort(self) -> None:
--- a/src/beamhatch/platform/standin/upstream.py
+++ b/src/beamhatch/platform/standin/upstream.py
@@ -99,7 +99,7 @@
         self.ended = False
         upstream.runs.add(self)
 
-    def lose_caller(self) -> None:
+    def handle_caller_lost(self) -> None:
         """Stop the work."""
         if not self.ended:
             self.upstream.ledger.stopped[self.request] += 1
@@ -108,7 +108,7 @@
     def pause(self) -> None:
         """Go on: the transport holds what is written."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Go on."""
 
     def later(self, seconds: float, function: Any) -> None:
@@ -267,14 +267,14 @@
         status = {UpstreamFault.ERROR: 500, UpstreamFault.UNPROVED: 503}.get(self.fault, 200)
         body = text + run.request.encode()
         if self.fault is UpstreamFault.CUT:
-            responder.begin(200, self.sign(run.request))
+            responder.send_head(200, self.sign(run.request))
             responder.write(body[:4])
             responder.abort()
             return
         if self.fault is UpstreamFault.FOREIGN:
             self.fault = UpstreamFault.NONE
-            responder.interject(200, [("Request-Id", "another"), ("Response-Signature", "x")], b"not yours")
-        responder.send_whole(status, self.sign(run.request), body)
+            responder.send_unsolicited(200, [("Request-Id", "another"), ("Response-Signature", "x")], b"not yours")
+        responder.send_response(status, self.sign(run.request), body)
 
 
 class StandInEngine(StandInUpstream):
@@ -427,7 +427,7 @@
         if incoming.target in self.ledger.deadly:
             run = self.begin(request)
             if self.answers_before_crash:
-                responder.begin(200, [("Content-Type", "text/event-stream"), *self.sign(request)])
+                responder.send_head(200, [("Content-Type", "text/event-stream"), *self.sign(request)])
             run.later(self.crash_delay, lambda: self.crash_by(request, incoming.target))
             return run
         return self._stream(request, prompt, output, int(headers.get("last-event-id", 0)), first, responder)
@@ -473,7 +473,7 @@
                 return
             number += 1
             if number == after + 1:
-                responder.begin(200, [("Content-Type", "text/event-stream"), *self.sign(request)])
+                responder.send_head(200, [("Content-Type", "text/event-stream"), *self.sign(request)])
             if self.fault is UpstreamFault.SKIP and number == after + 3:
                 number += 1
             if self.cut_after is not None and number > self.cut_after:
--- a/src/beamhatch/relay/callers/own_answer.py
+++ b/src/beamhatch/relay/callers/error_response.py
@@ -17,4 +17,4 @@
     headers = [("Content-Type", "application/json")]
     if retry_after is not None:
         headers.append(("Retry-After", f"{retry_after:g}"))
-    responder.send_whole(status, headers, json.dumps({"error": detail}).encode())
+    responder.send_response(status, headers, json.dumps({"error": detail}).encode())
--- a/src/beamhatch/relay/callers/headers.py
+++ b/src/beamhatch/relay/callers/headers.py
@@ -24,7 +24,7 @@
     }
 )
 FRAMING = frozenset({"content-length"})
-DEFAULT_IDLE = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 """Seconds for which an upstream that does not tell is thought to keep an idle connection."""
 
 
@@ -35,33 +35,33 @@
 
 def strip_hop_by_hop(headers: Headers, *, keep: frozenset[str] = frozenset()) -> Headers:
     """Return the headers that are passed on; ``keep`` are names that ``Connection`` can't take away."""
-    named = {
+    connection_options = {
         word.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
         for word in value.split(",")
         if word.strip()
     }
-    dropped = HOP_BY_HOP | FRAMING | (named - keep)
+    dropped = HOP_BY_HOP | FRAMING | (connection_options - keep)
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
-def find_header(headers: Headers, wanted: str) -> str | None:
+def get_header(headers: Headers, name: str) -> str | None:
     """Return the first value of a header, by its name in lower case."""
-    return next((value for name, value in headers if name.lower() == wanted), None)
+    return next((value for key, value in headers if key.lower() == name), None)
 
 
 def wants_close(headers: Headers) -> bool:
     """Tell whether the connection ends behind this message."""
-    value = find_header(headers, "connection")
+    value = get_header(headers, "connection")
     return value is not None and "close" in {word.strip().lower() for word in value.split(",")}
 
 
-def read_idle_limit(headers: Headers) -> float:
+def parse_keep_alive_timeout(headers: Headers) -> float:
     """Return the seconds for which the other side keeps the connection open when idle."""
-    value = find_header(headers, "keep-alive")
+    value = get_header(headers, "keep-alive")
     for word in (value or "").split(","):
         name, _, number = word.partition("=")
         if name.strip().lower() == "timeout" and number.strip().isdigit():
             return float(number)
-    return DEFAULT_IDLE
+    return DEFAULT_KEEP_ALIVE_S
--- a/src/beamhatch/relay/callers/http_server.py
+++ b/src/beamhatch/relay/callers/http_server.py
@@ -10,7 +10,7 @@
 import h11
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 
-from beamhatch.relay.callers.headers import decode_headers, find_header
+from beamhatch.relay.callers.headers import decode_headers, get_header
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,19 +21,19 @@
     from beamhatch.relay.api import Headers
     from beamhatch.relay.model import CallerLimits
 
-MOST_PIPELINED = 64 * 1024
+MAX_PIPELINED_BYTES = 64 * 1024
 """Bytes of further requests that wait behind one under way."""
 
-LINGER = 1.0
+LINGER_S = 1.0
 """Seconds for which an unread body is read on behind an error, so that the caller gets the answer and no reset."""
 
-SMALLEST_HEAD = 4096
+MIN_HEAD_BYTES = 4096
 """Bytes of a head that are read whatever the operators' bound is, so that it can be answered."""
 
-MOST_HELD = 32 * 1024 * 1024
+MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024
 """Bytes of bodies that all callers together may have here; the smallest VMs have 128 MB in all."""
 
-FULL_RETRY = 1.0
+BODY_LIMIT_RETRY_AFTER_S = 1.0
 """Seconds after which a caller may come back whose body did not fit."""
 
 
@@ -45,7 +45,7 @@
     target: str
     headers: Headers
     body: bytes
-    arrived: float
+    arrived_at: float
     """Monotonic seconds at which its head had come."""
 
     @property
@@ -56,7 +56,7 @@
     @property
     def host(self) -> str:
         """Return the host that is asked for, in lower case and without a port."""
-        value = (find_header(self.headers, "host") or "").strip().lower()
+        value = (get_header(self.headers, "host") or "").strip().lower()
         name, _, port = value.rpartition(":")
         return name if name and port.isdigit() else value
 
@@ -65,7 +65,7 @@
     """Whoever serves one request."""
 
     @abstractmethod
-    def lose_caller(self) -> None:
+    def handle_caller_lost(self) -> None:
         """Note that the caller closed its connection."""
 
     @abstractmethod
@@ -73,7 +73,7 @@
         """Note that the caller reads too slowly."""
 
     @abstractmethod
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Note that the caller reads again."""
 
 
@@ -82,21 +82,21 @@
 
     def __init__(self, connection: CallerConnection) -> None:
         self._connection: CallerConnection | None = connection
-        self.begun = False
+        self.started = False
 
-    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_response(self, status: int, headers: Headers, body: bytes) -> None:
         """Send an answer and its end."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
-        self.begun = True
+        self.started = True
         connection.write_head(status, [*headers, ("Content-Length", str(len(body)))])
         connection.write_end(body)
 
-    def begin(self, status: int, headers: Headers) -> None:
+    def send_head(self, status: int, headers: Headers) -> None:
         """Send the head of an answer whose length is not known."""
         if self._connection is not None:
-            self.begun = True
+            self.started = True
             self._connection.start_stream()
             self._connection.write_head(status, headers)
 
@@ -105,10 +105,10 @@
         if self._connection is not None and data:
             self._connection.write_data(data)
 
-    def interject(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_unsolicited(self, status: int, headers: Headers, body: bytes) -> None:
         """Send an answer to another request first, as a faulty server does; for stand-ins."""
         if self._connection is not None:
-            self._connection.write_foreign(status, headers, body)
+            self._connection.write_unsolicited(status, headers, body)
 
     def end(self) -> None:
         """Say that the answer is whole."""
@@ -128,27 +128,27 @@
 
     def __init__(self, server: CallerServer) -> None:
         self._server = server
-        self._limits = server.find_limits()
+        self._limits = server.get_limits()
         self._state = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=max(SMALLEST_HEAD, self._limits.header_bytes)
+            h11.SERVER, max_incomplete_event_size=max(MIN_HEAD_BYTES, self._limits.header_bytes)
         )
         self._head: h11.Request | None = None
         self._head_at = 0.0
         self._body: list[bytes] = []
         self._received = 0
-        self._held = 0
+        self._held_bytes = 0
         """Bytes of the body that count towards what all callers have here."""
         self._handler: RequestHandler | None = None
         self._serving = False
         self._closing = False
         self._discarding = False
         self._streaming = False
-        self._head_awaited = False
+        self._head_started = False
         """True once a part of a head has come."""
         self._timer: Any = None
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether no request is under way or on its way in."""
         return not self._serving and self._head is None and not self._state.trailing_data[0]
 
@@ -156,16 +156,16 @@
         """Start to wait for a request."""
         self.transport.setTcpNoDelay(True)
         self._server.connections.add(self)
-        self._wait(self._limits.idle_timeout)
+        self._restart_timer(self._limits.idle_timeout)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
         """Tell whoever serves the caller that it is gone."""
         self._server.connections.discard(self)
         self._stop_timer()
-        self._let_go()
+        self._release_body()
         handler, self._handler = self._handler, None
         if handler is not None:
-            handler.lose_caller()
+            handler.handle_caller_lost()
 
     def dataReceived(self, data: bytes) -> None:
         """Take in bytes of a request."""
@@ -175,7 +175,7 @@
             self._state.receive_data(data)
             self._read()
         except h11.RemoteProtocolError as problem:
-            self._refuse(problem.error_status_hint, str(problem))
+            self._reject(problem.error_status_hint, str(problem))
 
     # --- reading -----------------------------------------------------------------------------------------------------
 
@@ -183,61 +183,61 @@
         while not self._serving and not self._discarding:
             event = self._state.next_event()
             if event is h11.NEED_DATA:
-                self._note_partial()
+                self._start_head_timer()
                 return
             if event is h11.PAUSED:
                 return
             if isinstance(event, h11.ConnectionClosed):
                 self.transport.loseConnection()
                 return
-            self._take_event(event)
-        if self._serving and len(self._state.trailing_data[0]) > MOST_PIPELINED:
+            self._handle_event(event)
+        if self._serving and len(self._state.trailing_data[0]) > MAX_PIPELINED_BYTES:
             self.transport.pauseProducing()
 
-    def _take_event(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         if isinstance(event, h11.Request):
-            self._take_head(event)
+            self._handle_head(event)
         elif isinstance(event, h11.Data):
-            self._take_body(bytes(event.data))
+            self._handle_body(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._submit()
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _handle_head(self, head: h11.Request) -> None:
         if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > self._limits.header_bytes:
-            self._refuse(431, f"the head has more than {self._limits.header_bytes} bytes")
+            self._reject(431, f"the head has more than {self._limits.header_bytes} bytes")
             return
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            self._refuse(400, "both a length and chunks")
+            self._reject(400, "both a length and chunks")
             return
         length = next((int(value) for name, value in head.headers if name == b"content-length"), 0)
         if length > self._limits.body_bytes:
-            self._refuse(413, f"the body has more than {self._limits.body_bytes} bytes")
+            self._reject(413, f"the body has more than {self._limits.body_bytes} bytes")
             return
         self._head = head
-        self._head_awaited = False
+        self._head_started = False
         self._head_at = self._server.clock.now()
-        self._wait(self._limits.header_timeout)
+        self._restart_timer(self._limits.header_timeout)
         if self._state.they_are_waiting_for_100_continue:
             self.transport.write(self._state.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
 
-    def _take_body(self, data: bytes) -> None:
+    def _handle_body(self, data: bytes) -> None:
         self._received += len(data)
         if self._received > self._limits.body_bytes:
-            self._refuse(413, f"the body has more than {self._limits.body_bytes} bytes")
+            self._reject(413, f"the body has more than {self._limits.body_bytes} bytes")
             return
-        if self._server.held_bytes + len(data) > MOST_HELD:
-            self._refuse(503, "too many bytes of bodies are held", FULL_RETRY)
+        if self._server.held_bytes + len(data) > MAX_TOTAL_BODY_BYTES:
+            self._reject(503, "too many bytes of bodies are held", BODY_LIMIT_RETRY_AFTER_S)
             return
-        self._held += len(data)
+        self._held_bytes += len(data)
         self._server.held_bytes += len(data)
         self._body.append(data)
-        self._wait(self._limits.header_timeout)
+        self._restart_timer(self._limits.header_timeout)
 
-    def _note_partial(self) -> None:
-        if self._head is None and not self._head_awaited and self._state.trailing_data[0]:
-            self._head_awaited = True
-            self._wait(self._limits.header_timeout)
+    def _start_head_timer(self) -> None:
+        if self._head is None and not self._head_started and self._state.trailing_data[0]:
+            self._head_started = True
+            self._restart_timer(self._limits.header_timeout)
 
     def _submit(self) -> None:
         head = self._head
@@ -275,7 +275,7 @@
         """Write a part of the body."""
         self.transport.write(self._state.send(h11.Data(data=data)) or b"")
 
-    def write_foreign(self, status: int, headers: Headers, body: bytes) -> None:
+    def write_unsolicited(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a whole answer without regard to what was asked; for stand-ins."""
         lines = [f"HTTP/1.1 {status} Interjected", *(f"{name}: {value}" for name, value in headers)]
         lines.append(f"Content-Length: {len(body)}")
@@ -288,18 +288,18 @@
         self.transport.write(self._state.send(h11.EndOfMessage()) or b"")
         self._handler = None
         self._serving = False
-        self._let_go()
+        self._release_body()
         if self._streaming:
             self._streaming = False
             self.transport.unregisterProducer()
         if self._state.our_state is not h11.DONE or self._state.their_state is not h11.DONE or self._closing:
-            self._close_gently()
+            self._close_gracefully()
             return
         self._state.start_next_cycle()
-        self._limits = self._server.find_limits()
-        self._wait(self._limits.idle_timeout)
+        self._limits = self._server.get_limits()
+        self._restart_timer(self._limits.idle_timeout)
         self.transport.resumeProducing()
-        self._server.clock.call_later(0, self._read_on)
+        self._server.clock.call_later(0, self._resume_reading)
 
     def abort(self) -> None:
         """Reset the connection."""
@@ -308,7 +308,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection if no request is on it; a request that crosses the close was not read."""
-        if self.idle:
+        if self.is_idle:
             self.transport.loseConnection()
 
     # --- the caller reads slowly -------------------------------------------------------------------------------------
@@ -321,34 +321,34 @@
     def resumeProducing(self) -> None:
         """Pass on that the caller reads again."""
         if self._handler is not None:
-            self._handler.go_on()
+            self._handler.resume()
 
     def stopProducing(self) -> None:
         """Note nothing; the loss of the connection is told otherwise."""
 
     # --- errors and timers -------------------------------------------------------------------------------------------
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if not self.transport.connected:
             return
         try:
             self._read()
         except h11.RemoteProtocolError as problem:
-            self._refuse(problem.error_status_hint, str(problem))
+            self._reject(problem.error_status_hint, str(problem))
 
-    def _let_go(self) -> None:
+    def _release_body(self) -> None:
         """Count the body no longer: the request has ended."""
-        self._server.held_bytes -= self._held
-        self._held = 0
+        self._server.held_bytes -= self._held_bytes
+        self._held_bytes = 0
 
-    def _refuse(self, status: int, detail: str, retry_after: float | None = None) -> None:
+    def _reject(self, status: int, detail: str, retry_after: float | None = None) -> None:
         """Answer a request that can't be read, and close."""
         if self._serving or self._discarding:
             self.transport.abortConnection()
             return
         self._head, self._body = None, []
-        self._let_go()
-        self._server.note_refused(status, detail)
+        self._release_body()
+        self._server.record_rejection(status, detail)
         body = json.dumps({"error": detail}).encode()
         if self._state.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._closing = True
@@ -358,25 +358,25 @@
             self.write_head(status, headers)
             self.write_data(body)
             self.transport.write(self._state.send(h11.EndOfMessage()) or b"")
-        self._close_gently()
+        self._close_gracefully()
 
-    def _close_gently(self) -> None:
+    def _close_gracefully(self) -> None:
         """Close when the caller has had time to read the answer."""
         if self._state.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED):
             self._stop_timer()
             self.transport.loseConnection()
             return
         self._discarding = True
-        self._wait(LINGER)
+        self._restart_timer(LINGER_S)
 
-    def _wait(self, seconds: float) -> None:
+    def _restart_timer(self, seconds: float) -> None:
         self._stop_timer()
-        self._timer = self._server.clock.call_later(seconds, self._run_out)
+        self._timer = self._server.clock.call_later(seconds, self._handle_timeout)
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
-        if self._head is not None or self._head_awaited:
-            self._refuse(408, "the request came too slowly")
+        if self._head is not None or self._head_started:
+            self._reject(408, "the request came too slowly")
         else:
             self.transport.loseConnection()
 
@@ -395,13 +395,13 @@
         self,
         clock: Clock,
         serve: Callable[[IncomingRequest, Responder], RequestHandler | None],
-        find_limits: Callable[[], CallerLimits],
-        note_refused: Callable[[int, str], None],
+        get_limits: Callable[[], CallerLimits],
+        record_rejection: Callable[[int, str], None],
     ) -> None:
         self.clock = clock
         self.serve = serve
-        self.find_limits = find_limits
-        self.note_refused = note_refused
+        self.get_limits = get_limits
+        self.record_rejection = record_rejection
         self.closing = False
         """True during a planned stop: each answer says that its connection ends."""
         self.connections: set[CallerConnection] = set()
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -98,12 +98,12 @@
         return now < self.find_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
-        return now < max(self.listing.latest_cold, self.evacuations.latest_return + cold.start_time)
+        return now < max(self.listing.latest_cold_until, self.evacuations.latest_return + cold.start_time)
 
     def find_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
         """Return until when an upstream is taken as cold, in monotonic seconds."""
         returned = self.evacuations.find_return(upstream.hall)
-        return max(self.listing.find_cold_until(upstream.id), returned + cold.start_time)
+        return max(self.listing.get_cold_until(upstream.id), returned + cold.start_time)
 
     def find_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send to a cold upstream, at the latest when that is warm."""
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from beamhatch.relay.api import BadRequest
-from beamhatch.relay.callers.own_answer import send_error
+from beamhatch.relay.callers.error_response import send_error
 from beamhatch.relay.choosing.cold_watch import ColdWatch
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
 from beamhatch.relay.choosing.lack import Lack, find_lack
@@ -176,12 +176,12 @@
     def __post_init__(self) -> None:
         """Put together what stands between requests and upstreams."""
         self.announcements = Announcements(self.clock, self.journal, self.tally, self.dialect, self.listing)
-        self.announcements.on_news = self._note_announcement
+        self.announcements.on_restriction = self._note_announcement
         self.eligibility = Eligibility(
             self.listing,
             self.places,
             Evacuations(self.places),
-            rests=self.announcements.rests,
+            rests=self.announcements.backoffs,
             limits=self.announcements.limits,
         )
         self.announcements.limits.count_vms = lambda: self.vms
@@ -204,7 +204,7 @@
     @property
     def revision(self) -> int:
         """Return the revision of the newest entry of the listing, 0 where there is no whole listing."""
-        return self.listing.newest if self.listing.complete else 0
+        return self.listing.newest_revision if self.listing.complete else 0
 
     @property
     def ready(self) -> bool:
@@ -251,12 +251,12 @@
         """
         now = self.clock.now()
         listing = self.listing
-        entries = news.entries if news.settled else listing.pass_over_gone(news.entries)
-        before = {entry.id: listing.find_last(entry.id) for entry in entries}
+        entries = news.entries if news.settled else listing.exclude_gone(news.entries)
+        before = {entry.id: listing.get_last_listed(entry.id) for entry in entries}
         if whole:
-            changed = listing.take_whole(entries, news.at, now)
+            changed = listing.apply_snapshot(entries, news.at, now)
         else:
-            changed = [entry for entry in entries if listing.take(entry, now)]
+            changed = [entry for entry in entries if listing.apply(entry, now)]
         for entry in changed:
             self.journal.write("LISTING", _describe(entry), upstream=entry.id, revision=entry.revision, source=source)
             self.changes.end(entry.id, None if entry.upstream is None else entry.upstream.phase)
@@ -265,9 +265,9 @@
                 self._note_restart(entry.upstream, last)
         self._note_cold([entry for entry in changed if entry.upstream is not None and entry.upstream.cold_left], source)
         if changed:
-            listing.forget_old(now)
+            listing.drop_expired(now)
             self.standings.keep_only(listing.list_ids())
-            self.announcements.forget_old(listing.list_ids())
+            self.announcements.drop_unlisted(listing.list_ids())
             self.on_change()
 
     def _note_restart(self, upstream: Upstream, before: Upstream) -> None:
@@ -278,7 +278,7 @@
 
     def is_over(self, upstream: Upstream) -> bool:
         """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
-        newest = self.listing.find_last(upstream.id)
+        newest = self.listing.get_last_listed(upstream.id)
         return newest is not None and not newest.is_same_life(upstream)
 
     def list_usable(self, service: ServiceName, regions: Regions = None, *, owed: bool = False) -> list[Upstream]:
@@ -309,7 +309,7 @@
 
     def _look_for_warm(self) -> None:
         self._cold_look = None
-        warm = self.cold_watch.end(self.listing.find_cold_until, self.clock.now())
+        warm = self.cold_watch.end(self.listing.get_cold_until, self.clock.now())
         if warm:
             self.journal.write("COLD", "warm", count=len(warm), upstreams=warm[:MOST_NAMED])
         self._look_soon()
@@ -433,7 +433,7 @@
 
     def take_change(self, upstream: UpstreamId, news: ChangeNews, source: str) -> None:
         """Take in that an engine was ordered to play another part."""
-        found = self.listing.find(upstream)
+        found = self.listing.get(upstream)
         if found is None or found.phase is news.phase:
             return
         if self.changes.take(upstream, news, self.clock.now()):
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
+from beamhatch.relay.callers.error_response import send_error
 from beamhatch.relay.callers.http_server import CallerServer
-from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.chooser import LeastCost
 from beamhatch.relay.choosing.cold import ColdBound, CountingGate, KnownVms
 from beamhatch.relay.choosing.pace import EnginePaces
@@ -28,7 +28,7 @@
 from beamhatch.relay.places import Places
 from beamhatch.relay.quarantine.keeping import QuarantineKeeping
 from beamhatch.relay.upstreams.http_client import HttpClient
-from beamhatch.relay.upstreams.listing import DRAIN_TIME, GONE_GRACE_SHARE, Listing
+from beamhatch.relay.upstreams.listing import DEFAULT_DRAIN_S, GONE_GRACE_SHARE, Listing
 from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
 from beamhatch.relay.workspaces.usage import UsageNews
 from beamhatch.relay.workspaces.usage_talk import UsageTalk
@@ -90,7 +90,7 @@
     """Times the rate that a cold upstream bears which may reach it in one second."""
     cold_slack: float = 0.0
     """Requests on top of that."""
-    drain_time: float = DRAIN_TIME
+    drain_time: float = DEFAULT_DRAIN_S
     """Seconds behind the end of its entry in which an upstream may still be sent requests."""
     strength: float = 0.0
     """Mbit/s of the VM's link: of the VMs of a hall, the stronger ones watch the store for the others."""
@@ -133,7 +133,7 @@
             without=settings.without,
             work=work,
             terms=Terms(settings.budget),
-            listing=Listing(gone_grace=GONE_GRACE_SHARE * settings.drain_time),
+            listing=Listing(gone_grace_s=GONE_GRACE_SHARE * settings.drain_time),
             started=clock.now(),
             places=settings.places,
         )
@@ -179,12 +179,12 @@
         tally.gauges["configuration_version"] = lambda: float(self.core.version)
         tally.gauges["known_vms"] = lambda: float(self.core.vms)
         tally.gauges["held_requests"] = lambda: float(self.core.quarantine.count(clock.now()))
-        tally.gauges["leaving_by_own_word"] = lambda: float(len(self.core.announcements.list_untold()))
-        tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.rests.count(clock.now()))
+        tally.gauges["leaving_by_own_word"] = lambda: float(len(self.core.announcements.list_unstored()))
+        tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.backoffs.count(clock.now()))
         tally.gauges["limit_share"] = lambda: self.core.announcements.limits.find_share()
         tally.gauges["limited_upstreams"] = lambda: float(self.core.announcements.limits.count())
         tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_watch.cold))
-        tally.gauges["connections_opened"] = lambda: float(client.opened)
+        tally.gauges["connections_opened"] = lambda: float(client.opened_count)
         tally.gauges["log_lines_left_out"] = lambda: float(journal.left_out)
 
     def start(self) -> None:
@@ -314,7 +314,7 @@
         else:
             membership = self._gossip.membership
             vms = KnownVms(membership.own.address, membership.list_remembered, lambda: membership.has_others)
-        return kind(vms, _make_cold_bound(settings), self.core.started, self.core.listing.find_cold_until)
+        return kind(vms, _make_cold_bound(settings), self.core.started, self.core.listing.get_cold_until)
 
     def _count_vms(self) -> int:
         return 1 if self._gossip is None else self._gossip.membership.size
@@ -360,7 +360,7 @@
             if incoming.path == ready_path:
                 self._answer_ready(responder)
             elif incoming.path == self.settings.metrics_path:
-                responder.send_whole(200, [("Content-Type", "text/plain; version=0.0.4")], self.tally.render())
+                responder.send_response(200, [("Content-Type", "text/plain; version=0.0.4")], self.tally.render())
             else:
                 send_error(responder, 404, "there is nothing here")
 
@@ -372,7 +372,7 @@
         elif not self.core.ready:
             send_error(responder, 503, "no configuration or no list of upstreams is known yet")
         else:
-            responder.send_whole(200, [("Content-Type", "application/json")], b'{"status":"ready"}')
+            responder.send_response(200, [("Content-Type", "application/json")], b'{"status":"ready"}')
 
 
 def _make_cold_bound(settings: RelaySettings) -> ColdBound:
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -107,10 +107,10 @@
                 self._look_at(service, now)
 
     def _look_at(self, service: Service, now: float) -> None:
-        listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_silent(now))
+        listed = self.core.listing.list_expected(service.name, now, self.core.standings.list_silent(now))
         lasting = self.core.eligibility.evacuations.list_outside(listed)
         engines = [one for one in self.core.changes.foresee(lasting, now) if one.phase is not Phase.PLAIN]
-        left = self.core.listing.count_left(service.name)
+        left = self.core.listing.count_departed(service.name)
         if left > self._left.get(service.name, 0):
             self._ordered.pop(service.name, None)  # what was learned before an engine left holds no longer
         self._left[service.name] = left
@@ -181,7 +181,7 @@
         answer = await fetch(self.core.client, self.core.clock, upstream.address, call, ORDER_TIMEOUT)
         answered = not isinstance(answer, str)
         if not isinstance(answer, str):
-            self.core.announcements.read(upstream, answer.head, ordered_at)
+            self.core.announcements.handle_head(upstream, answer.head, ordered_at)
         if isinstance(answer, str) or answer.head.status == ACCEPTED:
             self.core.take_change(upstream.id, ChangeNews(change.phase, LONGEST_CHANGE, certain=answered), "order")
         outcome = answer if isinstance(answer, str) else f"status {answer.head.status}"
--- a/src/beamhatch/relay/fleet/departure_talk.py
+++ b/src/beamhatch/relay/fleet/departure_talk.py
@@ -44,7 +44,7 @@
     def tell_all(self, connection: PeerConnection) -> None:
         """Tell a peer that was met what it may not know."""
         told = connection.told.departures
-        news = [life for life in self._announcements.list_untold()[-MOST_TOLD_DEPARTURES:] if life not in told]
+        news = [life for life in self._announcements.list_unstored()[-MOST_TOLD_DEPARTURES:] if life not in told]
         if news:
             told.update(news)
             connection.tell(DepartureNews(news))
@@ -53,7 +53,7 @@
         """Take in what a peer tells, and hand on what is news."""
         lives = message.lives[:MOST_TOLD_DEPARTURES]
         connection.told.departures.update(lives)
-        news = [life for life in lives if self._announcements.take_departure(life, f"peer {connection.vm}")]
+        news = [life for life in lives if self._announcements.apply_departure(life, f"peer {connection.vm}")]
         if news:
             self._tell_in(HAND_ON_DELAY)
 
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -338,7 +338,7 @@
         return {name: tokens for name, tokens in reading.items() if self._find_hall_of(name) == hall}
 
     def _find_hall_of(self, upstream: str) -> str:
-        found = self.core.listing.find(UpstreamId(upstream))
+        found = self.core.listing.get(UpstreamId(upstream))
         return "" if found is None else found.hall
 
     # --- what is known of the others ---------------------------------------------------------------------------------
@@ -402,7 +402,7 @@
             case AskListing():
                 if self.core.listing.complete:
                     entries = self.core.listing.list_since(message.after, self.clock.now())
-                    connection.tell(ListingPart(message.after, self.core.listing.newest, entries))
+                    connection.tell(ListingPart(message.after, self.core.listing.newest_revision, entries))
             case ListingPart():
                 news = ListingNews(message.entries, message.revision)
                 self.core.take_listing(news, f"peer {connection.vm}", whole=message.after == 0)
--- a/src/beamhatch/relay/fleet/watching.py
+++ b/src/beamhatch/relay/fleet/watching.py
@@ -218,7 +218,7 @@
 
     async def read(self) -> int | StoreLost:
         """Read the list."""
-        news = await self.store.read_listing(self.core.listing.find_oldest())
+        news = await self.store.read_listing(self.core.listing.get_oldest_revision())
         if isinstance(news, StoreLost):
             return news
         # an unsettled list drops nothing: peers may know of upstreams that still have to write their entries again
--- a/src/beamhatch/relay/limits/talk.py
+++ b/src/beamhatch/relay/limits/talk.py
@@ -72,7 +72,7 @@
         now = self._clock.now()
         source = f"peer {connection.vm}"
         told = message.words[:MOST_TOLD_LIMITS]
-        words = [word for word in told if self._announcements.take_limit_word(word, source)]
+        words = [word for word in told if self._announcements.apply_limit_state(word, source)]
         taken = (self._limits.take_spent(one, now) for one in message.spent[:MOST_TOLD_LIMITS])
         spent = [one for one in taken if one is not None]
         if not self.hands_on():
--- a/src/beamhatch/relay/requests/answer.py
+++ b/src/beamhatch/relay/requests/answer.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from beamhatch.relay.upstreams.http_client import Head
+    from beamhatch.relay.upstreams.http_client import ResponseHead
 
 PROMISES = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request has not run."""
@@ -16,5 +16,5 @@
 class WholeAnswer:
     """An upstream's answer, complete."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -8,9 +8,9 @@
 from typing import TYPE_CHECKING, Any
 
 from beamhatch.relay.api import SendTerms
+from beamhatch.relay.callers.error_response import send_error
 from beamhatch.relay.callers.headers import strip_hop_by_hop
 from beamhatch.relay.callers.http_server import RequestHandler
-from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.eligibility import Obstacle
 from beamhatch.relay.choosing.lack import spread_return
 from beamhatch.relay.choosing.spill import SpillReason, find_reason
@@ -35,7 +35,7 @@
     from beamhatch.relay.core import Core
     from beamhatch.relay.model import Fingerprint, Life, Regions, RequestFacts, Route, Service, Table, Upstream
     from beamhatch.relay.requests.line import Line
-    from beamhatch.relay.upstreams.http_client import Head
+    from beamhatch.relay.upstreams.http_client import ResponseHead
     from beamhatch.relay.workspaces.admission import Admitted
 
 ANSWER_MARGIN = 0.03
@@ -104,7 +104,7 @@
     ) -> None:
         self.core = core
         self._admitted = admitted
-        late_at = incoming.arrived + FIRST_EVENT_SHARE * route.target_latency
+        late_at = incoming.arrived_at + FIRST_EVENT_SHARE * route.target_latency
         if Mechanism.WHOLE_RUNS in core.without:
             late_at = float("inf")
         self.request = RelayRequest(
@@ -297,7 +297,7 @@
             fingerprint=self.fingerprint.hex(),
             stage=send.stage.value,
             to=send.upstream.id,
-            revision=self.core.listing.newest,
+            revision=self.core.listing.newest_revision,
             version=self.core.version,
             running=standing.running,
             others=round(standing.count_others(now), 1),
@@ -349,7 +349,7 @@
             self.write_log(
                 "waits", waiting=len(line), freed_per_second=line.count_rate(now), workspace=self._claim.workspace
             )
-        late_at = self._incoming.arrived + in_time
+        late_at = self._incoming.arrived_at + in_time
         place = PlaceTerms(late_at, now + self.request.longest_wait, owed, self._claim)
         self.core.lines.wait(self, LineKey(self.request.service.name, self.request.regions), place)
 
@@ -410,10 +410,10 @@
     @property
     def limit(self) -> float:
         """Return the time at which the request is given up."""
-        limit = self._incoming.arrived + self.request.route.timeout
+        limit = self._incoming.arrived_at + self.request.route.timeout
         time_left = self.request.facts.time_left
         if time_left is not None:
-            limit = min(limit, self._incoming.arrived + time_left - ANSWER_MARGIN)
+            limit = min(limit, self._incoming.arrived_at + time_left - ANSWER_MARGIN)
         return limit
 
     # --- ends --------------------------------------------------------------------------------------------------------
@@ -422,14 +422,14 @@
         """Send an upstream's whole answer to the caller."""
         self.write_log("answered", status=answer.head.status, seconds=self.count_seconds())
         self._note_end(f"upstream_{answer.head.status // 100}xx")
-        self._responder.send_whole(answer.head.status, strip_hop_by_hop(answer.head.headers), answer.body)
+        self._responder.send_response(answer.head.status, strip_hop_by_hop(answer.head.headers), answer.body)
         self._end()
 
-    def begin_answer(self, head: Head) -> None:
+    def begin_answer(self, head: ResponseHead) -> None:
         """Send the head of a stream."""
         self._first_event = self.count_seconds()
         self.core.tally.note_latency("first_event", self.request.route.kind.value, self._first_event)
-        self._responder.begin(head.status, strip_hop_by_hop(head.headers))
+        self._responder.send_head(head.status, strip_hop_by_hop(head.headers))
 
     def pass_events(self, data: bytes) -> None:
         """Send whole events."""
@@ -503,7 +503,7 @@
         """Return until when the request may wait for a cold upstream, so that its answer, or next event, is in time."""
         if self.request.begun and self._cold_since is not None:
             return self._cold_since + self.request.longest_wait
-        return self._incoming.arrived + IN_TIME_SHARE * self.request.route.target_latency
+        return self._incoming.arrived_at + IN_TIME_SHARE * self.request.route.target_latency
 
     def _stop_cold_timer(self) -> None:
         timer, self._cold_timer = self._cold_timer, None
@@ -525,7 +525,7 @@
         return min(residence * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD), LONGEST_RETRY_SHARE * time_left)
 
     def _fail(self, step: Fail) -> None:
-        if self._failure is not None and not self._responder.begun:
+        if self._failure is not None and not self._responder.started:
             self.pass_on(self._failure)
         else:
             self._answer(NO_SIGNATURE_STATUS, step.reason, None)
@@ -541,7 +541,7 @@
         if self._ended:
             return
         self.write_log(
-            "broken off" if self._responder.begun else "given up",
+            "broken off" if self._responder.started else "given up",
             status=status,
             reason=reason,
             doubt=self.request.doubt,
@@ -550,7 +550,7 @@
         )
         self._note_end(f"own_{status}")
         self._stop_attempt()
-        if self._responder.begun:
+        if self._responder.started:
             self._responder.abort()
         else:
             send_error(self._responder, status, reason, retry_after)
@@ -654,15 +654,15 @@
 
     def count_seconds(self) -> float:
         """Return the seconds since the request arrived."""
-        return round(self.core.clock.now() - self._incoming.arrived, 4)
+        return round(self.core.clock.now() - self._incoming.arrived_at, 4)
 
     # --- what the caller and the operators do ------------------------------------------------------------------------
 
-    def lose_caller(self) -> None:
+    def handle_caller_lost(self) -> None:
         """Stop all work for a caller that is gone."""
         if self._ended:
             return
-        self.write_log("caller gone", begun=self._responder.begun, seconds=self.count_seconds())
+        self.write_log("caller gone", begun=self._responder.started, seconds=self.count_seconds())
         self._note_end("caller_gone")
         self._end()
 
@@ -671,10 +671,10 @@
         if self._attempt is not None:
             self._attempt.pause()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Let the upstream go on."""
         if self._attempt is not None:
-            self._attempt.go_on()
+            self._attempt.resume()
 
     def take_table(self, table: Table) -> None:
         """Take the times and regions of a new configuration for a request that is under way."""
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -12,7 +12,7 @@
 
 from beamhatch.relay.choosing.rests import Rests
 from beamhatch.relay.limits.limits import Limits
-from beamhatch.relay.upstreams.http_client import AnswerSink
+from beamhatch.relay.upstreams.http_client import ResponseSink
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
@@ -23,10 +23,10 @@
     from beamhatch.relay.api import AnswerFacts, Dialect, NamedLimit
     from beamhatch.relay.limits.words import LimitWord
     from beamhatch.relay.model import Life, Upstream, UpstreamId
-    from beamhatch.relay.upstreams.http_client import Fault, Head
+    from beamhatch.relay.upstreams.http_client import CallFailure, ResponseHead
     from beamhatch.relay.upstreams.listing import Listing
 
-LIMIT_LINE_GAP = 1.0
+LIMIT_LOG_INTERVAL_S = 1.0
 """Seconds between two lines on changes of one upstream's limit."""
 
 MISDIRECTED = 421
@@ -42,16 +42,18 @@
     tally: Tally
     dialect: Dialect
     listing: Listing
-    rests: Rests = field(default_factory=Rests)
+    backoffs: Rests = field(default_factory=Rests)
     limits: Limits = field(default_factory=Limits)
-    on_news: Callable[[Life], None] = lambda life: None
+    on_restriction: Callable[[Life], None] = lambda life: None
     """Called when an upstream may be sent nothing from now on that it might be sent before."""
     on_departure: Callable[[], None] = lambda: None
     """Called when an upstream has told this VM that it leaves, and the store has not."""
-    _limits_written: dict[Life, float] = field(default_factory=dict)
+    _limit_logged_at: dict[Life, float] = field(default_factory=dict)
     """When the last line was written on the limit of each life, in monotonic seconds."""
 
-    def read(self, upstream: Upstream, head: Head, asked_at: float, *, of_request: bool = False) -> AnswerFacts:
+    def handle_head(
+        self, upstream: Upstream, head: ResponseHead, sent_at: float, *, is_request: bool = False
+    ) -> AnswerFacts:
         """Return what the head of an upstream's answer says, and take in what it says of the upstream.
 
         :param asked_at: when the call went out that is answered, in monotonic seconds
@@ -59,68 +61,68 @@
         """
         facts = self.dialect.read_answer(head.status, head.headers)
         if head.status != MISDIRECTED:  # else it is another one's word
-            self._take(upstream.life, facts)
-            ran = of_request and facts.signed and not facts.not_run
-            self._take_limit(upstream.life, facts.limit, asked_at, ends=ran)
+            self._apply(upstream.life, facts)
+            ran = is_request and facts.signed and not facts.not_run
+            self._apply_limit(upstream.life, facts.limit, sent_at, clears=ran)
         return facts
 
-    def _take(self, life: Life, facts: AnswerFacts) -> None:
-        if facts.leaving and self.take_departure(life, "its answer"):
+    def _apply(self, life: Life, facts: AnswerFacts) -> None:
+        if facts.leaving and self.apply_departure(life, "its answer"):
             self.on_departure()
         if facts.rest is not None:
             self.tally.count("announcements_total", "rest")
-            if self.rests.take(life, facts.rest, self.clock.now()):
+            if self.backoffs.take(life, facts.rest, self.clock.now()):
                 self.journal.write("LISTING", "asks for rest", upstream=life.id, seconds=facts.rest)
-                self.on_news(life)
+                self.on_restriction(life)
 
-    def _take_limit(self, life: Life, limit: NamedLimit | None, asked_at: float, *, ends: bool) -> None:
+    def _apply_limit(self, life: Life, limit: NamedLimit | None, sent_at: float, *, clears: bool) -> None:
         """Take in the limit that an upstream names, or that it names none; what can't be read changes nothing.
 
         :param ends: whether an answer without the word takes a limit back: that of a request that was run
         """
         if limit is not None:
             self.tally.count("announcements_total", "limit" if limit.rate is not None else "unclear_limit")
-        if (limit is None and not ends) or (limit is not None and limit.rate is None):
+        if (limit is None and not clears) or (limit is not None and limit.rate is None):
             return
         before = self.limits.find(life)
-        if self.limits.take(life, None if limit is None else limit.rate, asked_at, self.clock.now()):
-            self._note_limit(life, before, "its answer")
+        if self.limits.take(life, None if limit is None else limit.rate, sent_at, self.clock.now()):
+            self._record_limit_change(life, before, "its answer")
 
-    def take_limit_word(self, word: LimitWord, source: str) -> bool:
+    def apply_limit_state(self, state: LimitWord, source: str) -> bool:
         """Take in what a peer knows of an upstream's limit; return whether that is news."""
-        before = self.limits.find(word.life)
-        if not self.limits.take_word(word, self.clock.now()):
+        before = self.limits.find(state.life)
+        if not self.limits.take_word(state, self.clock.now()):
             return False
-        self._note_limit(word.life, before, source)
+        self._record_limit_change(state.life, before, source)
         return True
 
-    def _note_limit(self, life: Life, before: float | None, source: str) -> None:
+    def _record_limit_change(self, life: Life, before: float | None, source: str) -> None:
         """Write a line on a changed limit, at most one a second for each upstream, and tell of a new one."""
         rate = self.limits.find(life)
         now = self.clock.now()
         is_turn = (rate is None) != (before is None)
-        if is_turn or now - self._limits_written.get(life, -math.inf) >= LIMIT_LINE_GAP:
-            self._limits_written[life] = now
+        if is_turn or now - self._limit_logged_at.get(life, -math.inf) >= LIMIT_LOG_INTERVAL_S:
+            self._limit_logged_at[life] = now
             event = "names a limit" if rate is not None else "names no limit any more"
             part = self.limits.describe(life)
             self.journal.write("LIMIT", event, upstream=life.id, rate=rate, before=before, source=source, **part)
         if before is None and rate is not None:
-            self.on_news(life)
+            self.on_restriction(life)
 
-    def take_departure(self, life: Life, source: str) -> bool:
+    def apply_departure(self, life: Life, source: str) -> bool:
         """Take in that an upstream leaves, by its own word; return whether that is news."""
-        if not self.listing.note_leaving(life, self.clock.now()):
+        if not self.listing.record_departure(life, self.clock.now()):
             return False
         self.tally.count("announcements_total", "leaving")
         self.journal.write("LISTING", "says that it leaves", upstream=life.id, born=life.born, source=source)
-        self.on_news(life)
+        self.on_restriction(life)
         return True
 
-    def list_untold(self) -> list[Life]:
+    def list_unstored(self) -> list[Life]:
         """Return the lives that leave and of which the store has not told yet, oldest first."""
-        return self.listing.departures.list_untold()
+        return self.listing.departures.list_unstored()
 
-    def note_sent(self, upstream: Upstream) -> dict[str, object]:
+    def record_send(self, upstream: Upstream) -> dict[str, object]:
         """Count a request that goes to an upstream in spite of what it said; return what its line is to tell."""
         told: dict[str, object] = {}
         if self.listing.is_leaving(upstream):
@@ -129,7 +131,7 @@
         if self.limits.find(upstream.life) is not None:
             self.tally.count("limited_sends_total")
         now = self.clock.now()
-        end = self.rests.find_end(upstream.life, now)
+        end = self.backoffs.find_end(upstream.life, now)
         if end is not None:
             told["rest_left"] = round(end - now, 3)
             self.tally.count("sent_in_spite_total", "rest")
@@ -140,31 +142,31 @@
         rate = self.limits.find(life)
         return {} if rate is None else {"limit": rate}
 
-    def forget_old(self, listed: Collection[UpstreamId]) -> None:
+    def drop_unlisted(self, listed: Collection[UpstreamId]) -> None:
         """Drop what was said by upstreams that are known no longer."""
-        self.rests.keep_only(listed)
+        self.backoffs.keep_only(listed)
         self.limits.keep_only(listed)
         self.limits.forget_old(self.clock.now())
-        self._limits_written = {life: at for life, at in self._limits_written.items() if life.id in listed}
+        self._limit_logged_at = {life: at for life, at in self._limit_logged_at.items() if life.id in listed}
 
 
-class AnnouncementSink(AnswerSink):
+class AnnouncementSink(ResponseSink):
     """Takes notice of what an upstream says of itself, and of nothing else in its answer."""
 
     def __init__(self, announcements: Announcements, upstream: Upstream) -> None:
         self._announcements = announcements
         self._upstream = upstream
-        self._asked_at = announcements.clock.now()
+        self._sent_at = announcements.clock.now()
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         """Take in what it says."""
-        self._announcements.read(self._upstream, head, self._asked_at)
+        self._announcements.handle_head(self._upstream, head, self._sent_at)
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Take no notice."""
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         """Take no notice."""
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def handle_failure(self, fault: CallFailure, detail: str) -> None:
         """Take no notice."""
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -7,7 +7,7 @@
 
 from beamhatch.relay.model import Stage
 from beamhatch.relay.upstreams.announcements import MISDIRECTED
-from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
+from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
     from beamhatch.relay.api import AnswerFacts
@@ -17,10 +17,10 @@
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Send
-    from beamhatch.relay.upstreams.http_client import Call, Exchange, Head
+    from beamhatch.relay.upstreams.http_client import Call, HttpExchange, ResponseHead
 
 
-class Attempt(AnswerSink):
+class Attempt(ResponseSink):
     """One send; it ends by telling the exchange what to do next."""
 
     def __init__(self, exchange: RelayExchange, send: Send) -> None:
@@ -28,22 +28,22 @@
         self.send = send
         self.core = exchange.core
         self.request = exchange.request
-        self.standing = self.core.standings.get(send.upstream.id)
-        self.head: Head | None = None
+        self.stats = self.core.standings.get(send.upstream.id)
+        self.head: ResponseHead | None = None
         self.facts: AnswerFacts | None = None
         self.body = bytearray()
         self.permit: SendPermit | None = None
         """Room at an upstream that is cold or names a limit, held until the request goes out."""
-        self._trial: Trial | None = None
+        self._probe: Trial | None = None
         """Tells whether the upstream is back behind a rest."""
-        self._http: Exchange | None = None
+        self._http: HttpExchange | None = None
         self._sent = False
         self._ended = False
         self._timer: Any = None
         self._started_at = self.core.clock.now()
         need = self.request.need
         self._tokens = need.prompt_tokens if send.stage is Stage.PREFILL else need.tokens
-        self._unread = 0
+        self._pending_prefill_tokens = 0
         """Tokens of the prompt that the engine has still to read."""
         self._tokens_ahead = 0
         """Tokens of other prompts that it had to read first, as far as they were known at the start."""
@@ -53,15 +53,15 @@
         """Tell whether the request was written, or begun to be."""
         return self._sent
 
-    def start(self, call: Call, most_idle: float) -> None:
+    def start(self, call: Call, max_idle_s: float) -> None:
         """Send the request."""
         now = self.core.clock.now()
-        self.standing.begin(self._tokens, now)
-        self._trial = self.core.eligibility.rests.begin(self.send.upstream.life, now)
-        if self._reads:
-            self._begin_reading()
-        self._wait(self.get_patience())
-        http = self.core.client.open(self.send.upstream.address, call, self, most_idle=most_idle)
+        self.stats.begin(self._tokens, now)
+        self._probe = self.core.eligibility.rests.begin(self.send.upstream.life, now)
+        if self._needs_prefill:
+            self._start_prefill()
+        self._restart_timer(self.get_timeout())
+        http = self.core.client.open(self.send.upstream.address, call, self, max_idle_s=max_idle_s)
         if not self._ended:
             self._http = http
 
@@ -71,27 +71,27 @@
         return self.send.upstream
 
     @property
-    def _reads(self) -> bool:
+    def _needs_prefill(self) -> bool:
         """Tell whether the upstream has to read the prompt."""
         return self.request.split and self.send.stage in (Stage.PREFILL, Stage.WHOLE)
 
-    def _begin_reading(self) -> None:
+    def _start_prefill(self) -> None:
         upstream = self.send.upstream.id
-        self._tokens_ahead = self.standing.reading + self.core.work.count_tokens(upstream, self.core.clock.now())
-        self._unread = self.request.need.prompt_tokens
-        self.standing.reading += self._unread
+        self._tokens_ahead = self.stats.reading + self.core.work.count_tokens(upstream, self.core.clock.now())
+        self._pending_prefill_tokens = self.request.need.prompt_tokens
+        self.stats.reading += self._pending_prefill_tokens
         self.core.on_work()
 
-    def _end_reading(self) -> None:
-        if self._unread:
-            self.standing.reading -= self._unread
-            self._unread = 0
+    def _end_prefill(self) -> None:
+        if self._pending_prefill_tokens:
+            self.stats.reading -= self._pending_prefill_tokens
+            self._pending_prefill_tokens = 0
             self.core.on_work()
 
-    def _note_reading(self, pace: ReadingPace) -> None:
+    def _record_prefill(self, estimator: ReadingPace) -> None:
         """Learn from a prompt that was read, unless it had to wait for others."""
         if not self._tokens_ahead:
-            pace.note(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
+            estimator.note(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
 
     def cancel(self) -> None:
         """Close the connection; the upstream ends its work."""
@@ -107,19 +107,19 @@
         if self._http is not None:
             self._http.pause()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Read again."""
         if self._http is not None and not self._ended:
-            self._http.go_on()
-            self._wait(self.get_patience())
+            self._http.resume()
+            self._restart_timer(self.get_timeout())
 
     # --- what comes back ---------------------------------------------------------------------------------------------
 
-    def note_sent(self) -> None:
+    def handle_sent(self) -> None:
         """Enter the send where it counts."""
         self._sent = True
         now = self.core.clock.now()
-        told = self.core.announcements.note_sent(self.send.upstream)
+        told = self.core.announcements.record_send(self.send.upstream)
         if told:
             planned = round(now - self._started_at, 3)
             self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **told)
@@ -129,7 +129,7 @@
         else:
             self.core.eligibility.note_send(self.send.upstream, self.request.service.cold, now)
 
-    def is_own(self, head: Head) -> bool:
+    def matches(self, head: ResponseHead) -> bool:
         """Tell whether an answer is to this request."""
         facts = self.core.dialect.read_answer(head.status, head.headers)
         own = facts.request is None or facts.request == self.request.facts.id
@@ -138,27 +138,27 @@
             self.exchange.write_log("foreign answer dropped", to=self.send.upstream.id, of=facts.request)
         return own
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
         self.head = head
-        self.facts = self.core.announcements.read(self.send.upstream, head, self._started_at, of_request=True)
+        self.facts = self.core.announcements.handle_head(self.send.upstream, head, self._started_at, is_request=True)
         now = self.core.clock.now()
-        self.standing.note_alive(now)
+        self.stats.note_alive(now)
         if self.facts.load is not None:
-            self.standing.note_load(self.facts.load, now)
-        if self._trial is not None:
-            self._trial.end(now, answered=not self.has_not_run())
+            self.stats.note_load(self.facts.load, now)
+        if self._probe is not None:
+            self._probe.end(now, answered=not self.has_not_run())
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def handle_failure(self, fault: CallFailure, detail: str) -> None:
         """Go on elsewhere, as far as that is allowed."""
         if self._ended:
             return
         self._end()
         now = self.core.clock.now()
-        if fault is Fault.UNREACHED:
-            self.standing.note_silence(now)
+        if fault is CallFailure.UNREACHED:
+            self.stats.note_silence(now)
         else:
-            self.standing.note_fault(now)
+            self.stats.note_fault(now)
         self.core.on_fault()
         self.exchange.write_log(
             "send failed",
@@ -172,7 +172,7 @@
             fingerprint=self.exchange.fingerprint.hex(),
         )
         self.core.tally.count("send_faults_total", fault.value)
-        if fault is Fault.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
+        if fault is CallFailure.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
             self._report_broken_run(now - self._started_at)
         if self._sent:
             self.request.note_broken(self.send)
@@ -186,16 +186,16 @@
         self.core.tally.count("broken_runs_total", "begun" if begun else "unanswered")
         self.core.quarantine_talk.note_broken(self.send.upstream, self.exchange.fingerprint, ran, begun=begun)
 
-    def take_not_run(self) -> None:
+    def handle_not_run(self) -> None:
         """Go on elsewhere behind an upstream that turned the request away."""
         self._end()
         now = self.core.clock.now()
         assert self.head is not None
         if self.head.status == MISDIRECTED:
-            self.standing.note_misdirected(now)
+            self.stats.note_misdirected(now)
             self.core.client.close_idle(self.send.upstream.address)
         else:
-            self.standing.note_busy(now)
+            self.stats.note_busy(now)
         self.exchange.write_log(
             "turned away",
             to=self.send.upstream.id,
@@ -207,10 +207,10 @@
         if self.head.status != MISDIRECTED:
             self.core.note_turned_away(self.send.upstream.id)
         self.request.note_not_run(self.send)
-        self.note_turned_away(now)
+        self.handle_rejection(now)
         self.exchange.go_on_elsewhere(self)
 
-    def note_turned_away(self, now: float) -> None:
+    def handle_rejection(self, now: float) -> None:
         """Take in what a refusal says beside that nothing ran."""
 
     def has_not_run(self) -> bool:
@@ -223,7 +223,7 @@
         """Enter that the work was done."""
         self._end()
         now = self.core.clock.now()
-        self.standing.note_success(now - self._started_at, now)
+        self.stats.note_success(now - self._started_at, now)
         if self.send.stage is not Stage.PREFILL:
             self.core.quarantine_talk.note_good(self.exchange.fingerprint)
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
@@ -232,25 +232,25 @@
         """Take the answer as broken, and close the connection."""
         if self._http is not None:
             self._http.cancel()
-        self.take_fault(Fault.MALFORMED, detail)
+        self.handle_failure(CallFailure.MALFORMED, detail)
 
     # --- silence -----------------------------------------------------------------------------------------------------
 
     @abstractmethod
-    def get_patience(self) -> float:
+    def get_timeout(self) -> float:
         """Return the seconds without a sign after which the upstream is taken to be silent."""
 
     @abstractmethod
     def may_abandon(self) -> bool:
         """Tell whether the request may go elsewhere although this upstream may be at work on it."""
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
         now = self.core.clock.now()
-        if self.standing.succeeded_at > self._started_at:
-            self.standing.note_fault(now)
+        if self.stats.succeeded_at > self._started_at:
+            self.stats.note_fault(now)
         else:
-            self.standing.note_silence(now)
+            self.stats.note_silence(now)
             self.core.on_fault()
         abandoned = self.may_abandon()
         self.exchange.write_log(
@@ -263,7 +263,7 @@
         self.core.tally.count("silences_total", self.send.stage.value)
         if not abandoned:
             if self.send.stage is Stage.PREFILL:
-                self._wait(self.get_patience())
+                self._restart_timer(self.get_timeout())
             return
         self.cancel()
         if self._sent:
@@ -272,9 +272,9 @@
             self.request.note_unreached(self.send)
         self.exchange.go_on_elsewhere(self)
 
-    def _wait(self, seconds: float) -> None:
+    def _restart_timer(self, seconds: float) -> None:
         self._stop_timer()
-        self._timer = self.core.clock.call_later(seconds, self._run_out)
+        self._timer = self.core.clock.call_later(seconds, self._handle_timeout)
 
     def _stop_timer(self) -> None:
         timer, self._timer = self._timer, None
@@ -287,10 +287,10 @@
             now = self.core.clock.now()
             if self.permit is not None:
                 self.permit.drop(now)
-            if self._trial is not None:
-                self._trial.end(now, answered=False)
+            if self._probe is not None:
+                self._probe.end(now, answered=False)
             self._stop_timer()
-            self._end_reading()
-            self.standing.end(self._tokens)
+            self._end_prefill()
+            self.stats.end(self._tokens)
             if self._sent and self.send.stage is not Stage.PREFILL and self.request.split:
                 self.core.lines.note_freed(self.request.service.name, self.send.upstream.hall)
--- a/src/beamhatch/relay/upstreams/departures.py
+++ b/src/beamhatch/relay/upstreams/departures.py
@@ -14,13 +14,13 @@
 
     from beamhatch.relay.model import Life, UpstreamId
 
-MOST_KEPT = 4096
+MAX_DEPARTURES = 4096
 """Lives that are remembered, the newest: 0.5 MB. Over half of the upstreams of the size to design for, 6,900."""
 
 
 @dataclass(slots=True)
 class _Departure:
-    heard_at: float
+    received_at: float
     """Monotonic seconds."""
     by_store: bool
     """True once the store has it, so that all who read from there know."""
@@ -35,7 +35,7 @@
     _ids: set[UpstreamId] = field(default_factory=set)
     """Whose lives these are: most upstreams stay, and are passed by their ids; see ``Rests``."""
 
-    def take(self, life: Life, now: float, *, by_store: bool = False) -> bool:
+    def record(self, life: Life, now: float, *, by_store: bool = False) -> bool:
         """Take in that an upstream leaves; return whether that is news."""
         known = self._known.get(life)
         if known is not None:
@@ -43,12 +43,12 @@
             return False
         self._known[life] = _Departure(now, by_store)
         self._ids.add(life.id)
-        if len(self._known) > MOST_KEPT:
+        if len(self._known) > MAX_DEPARTURES:
             del self._known[next(iter(self._known))]
             self._ids = {one.id for one in self._known}
         return True
 
-    def may_have(self, upstream: UpstreamId) -> bool:
+    def has_upstream(self, upstream: UpstreamId) -> bool:
         """Tell whether any life of an upstream leaves."""
         return upstream in self._ids
 
@@ -60,15 +60,15 @@
         """Return how many lives are known to leave."""
         return len(self._known)
 
-    def list_untold(self) -> list[Life]:
+    def list_unstored(self) -> list[Life]:
         """Return the lives that the store has not told of yet, oldest first."""
         return [life for life, departure in self._known.items() if not departure.by_store]
 
-    def forget_old(self, listed: Collection[UpstreamId], before: float) -> None:
+    def drop_expired(self, listed: Collection[UpstreamId], before: float) -> None:
         """Drop lives of upstreams that are listed no longer and were heard of before some time."""
         self._known = {
             life: departure
             for life, departure in self._known.items()
-            if life.id in listed or departure.heard_at >= before
+            if life.id in listed or departure.received_at >= before
         }
         self._ids = {life.id for life in self._known}
--- a/src/beamhatch/relay/upstreams/http_client.py
+++ b/src/beamhatch/relay/upstreams/http_client.py
@@ -16,7 +16,7 @@
 from twisted.internet import error
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 
-from beamhatch.relay.callers.headers import decode_headers, read_idle_limit, wants_close
+from beamhatch.relay.callers.headers import decode_headers, parse_keep_alive_timeout, wants_close
 from beamhatch.relay.model import Address
 
 if TYPE_CHECKING:
@@ -27,10 +27,10 @@
     from beamhatch.clock import Clock
     from beamhatch.relay.api import Headers
 
-MOST_HEAD_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 """Bytes of an answer's head at the most."""
 
-SWEEP_INTERVAL = 1.0
+SWEEP_INTERVAL_S = 1.0
 """Seconds between two looks for idle connections that are too old."""
 
 USER_TIMEOUT_MS = 5000
@@ -39,7 +39,7 @@
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 
 
-class Fault(Enum):
+class CallFailure(Enum):
     """Why an exchange ended without a whole answer."""
 
     UNREACHED = "unreached"
@@ -61,46 +61,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """The head of an answer."""
 
     status: int
     headers: Headers
 
 
-class AnswerSink(ABC):
+class ResponseSink(ABC):
     """Takes in the answer to one call, in order; after an end or a fault nothing more comes."""
 
-    def note_sent(self) -> None:  # noqa: B027 - most sinks need not know
+    def handle_sent(self) -> None:  # noqa: B027 - most sinks need not know
         """Note that the request is being written."""
 
-    def is_own(self, head: Head) -> bool:
+    def matches(self, head: ResponseHead) -> bool:
         """Tell whether an answer is the one to this call, and not a late one to another."""
         return True
 
     @abstractmethod
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
 
     @abstractmethod
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Take a part of the body."""
 
     @abstractmethod
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         """Note that the answer is whole."""
 
     @abstractmethod
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def handle_failure(self, fault: CallFailure, detail: str) -> None:
         """Note that there will be no whole answer."""
 
 
-class Exchange:
+class HttpExchange:
     """One call under way."""
 
-    def __init__(self, call: Call, sink: AnswerSink) -> None:
+    def __init__(self, call: Call, sink: ResponseSink) -> None:
         self.call = call
-        self.sink: AnswerSink | None = sink
+        self.sink: ResponseSink | None = sink
         self.connection: Connection | None = None
         self.connector: Any = None
 
@@ -118,17 +118,17 @@
             self.connection.paused = True
             self.connection.transport.pauseProducing()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Read again."""
         if self.connection is not None and self.connection.transport is not None:
             self.connection.paused = False
             self.connection.transport.resumeProducing()
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def report_failure(self, fault: CallFailure, detail: str) -> None:
         """Tell the sink of a fault, once."""
         sink, self.sink = self.sink, None
         if sink is not None:
-            sink.take_fault(fault, detail)
+            sink.handle_failure(fault, detail)
 
 
 class Connection(Protocol):
@@ -141,22 +141,22 @@
         self.paused = False
         """True while nothing is read, so that its end is not seen."""
         self._client = client
-        self._exchange: Exchange | None = None
-        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD_BYTES)
+        self._exchange: HttpExchange | None = None
+        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._skipping = False
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
 
     def connectionMade(self) -> None:
         """Set up the socket."""
         self.transport.setTcpNoDelay(True)
         self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
-    def send(self, exchange: Exchange) -> None:
+    def send(self, exchange: HttpExchange) -> None:
         """Write a call."""
         self._exchange = exchange
         exchange.connection = self
         if exchange.sink is not None:
-            exchange.sink.note_sent()
+            exchange.sink.handle_sent()
         self.transport.write(self._encode(exchange.call))
 
     def abort(self) -> None:
@@ -173,66 +173,66 @@
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
         """End the answer that was under way, whole if it ends with its connection."""
-        self._client.forget(self)
+        self._client.remove(self)
         if self._exchange is not None and reason.check(error.ConnectionDone):
             self._feed(b"")
-        self._end_with_fault(Fault.BROKEN, reason.getErrorMessage())
+        self._fail(CallFailure.BROKEN, reason.getErrorMessage())
 
     # --- reading -----------------------------------------------------------------------------------------------------
 
     def _feed(self, data: bytes) -> None:
         try:
             self._state.receive_data(data)
-            self._take_events()
+            self._handle_events()
         except h11.RemoteProtocolError as problem:
-            self._end_with_fault(Fault.BROKEN if not data else Fault.MALFORMED, str(problem))
+            self._fail(CallFailure.BROKEN if not data else CallFailure.MALFORMED, str(problem))
 
-    def _take_events(self) -> None:
+    def _handle_events(self) -> None:
         while self._exchange is not None:
             event = self._state.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         exchange = self._exchange
         assert exchange is not None
         if isinstance(event, h11.Response):
-            self._take_head(exchange, Head(event.status_code, decode_headers(event.headers)))
+            self._handle_head(exchange, ResponseHead(event.status_code, decode_headers(event.headers)))
         elif isinstance(event, h11.Data) and not self._skipping:
             if exchange.sink is not None:
-                exchange.sink.take_data(bytes(event.data))
+                exchange.sink.handle_data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._take_end(exchange)
+            self._handle_end(exchange)
 
-    def _take_head(self, exchange: Exchange, head: Head) -> None:
+    def _handle_head(self, exchange: HttpExchange, head: ResponseHead) -> None:
         self._head = head
-        self._skipping = exchange.sink is not None and not exchange.sink.is_own(head)
+        self._skipping = exchange.sink is not None and not exchange.sink.matches(head)
         if not self._skipping and exchange.sink is not None:
-            exchange.sink.take_head(head)
+            exchange.sink.handle_head(head)
 
-    def _take_end(self, exchange: Exchange) -> None:
+    def _handle_end(self, exchange: HttpExchange) -> None:
         if self._skipping:
             self._restart(exchange)
             return
         self._exchange = None
         sink, exchange.sink = exchange.sink, None
-        self._give_back()
+        self._release()
         if sink is not None:
-            sink.take_end()
+            sink.handle_end()
 
-    def _restart(self, exchange: Exchange) -> None:
+    def _restart(self, exchange: HttpExchange) -> None:
         """Go on waiting for the own answer behind a foreign one."""
         rest, closed = self._state.trailing_data
         self._skipping = False
-        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD_BYTES)
+        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._encode(exchange.call)
         if rest:
             self._state.receive_data(rest)
         if closed:
-            self._end_with_fault(Fault.BROKEN, "the connection ended behind an answer to another request")
+            self._fail(CallFailure.BROKEN, "the connection ended behind an answer to another request")
 
-    def _give_back(self) -> None:
+    def _release(self) -> None:
         """Keep the connection for another call, if both sides can."""
         rest, closed = self._state.trailing_data
         head = self._head
@@ -241,14 +241,14 @@
             self.transport.loseConnection()
             return
         self._state.start_next_cycle()
-        self._client.keep(self, read_idle_limit(head.headers))
+        self._client.add_idle(self, parse_keep_alive_timeout(head.headers))
 
-    def _end_with_fault(self, fault: Fault, detail: str) -> None:
+    def _fail(self, fault: CallFailure, detail: str) -> None:
         exchange, self._exchange = self._exchange, None
         if exchange is None:
             return
         self.transport.abortConnection()
-        exchange.take_fault(fault, detail)
+        exchange.report_failure(fault, detail)
 
     def _encode(self, call: Call) -> bytes:
         headers = list(call.headers)
@@ -266,7 +266,7 @@
 
     noisy = False
 
-    def __init__(self, client: HttpClient, address: Address, exchange: Exchange) -> None:
+    def __init__(self, client: HttpClient, address: Address, exchange: HttpExchange) -> None:
         self._client = client
         self._address = address
         self._exchange = exchange
@@ -275,26 +275,26 @@
         """Return the protocol, which starts with the exchange."""
         if self._exchange.sink is None:
             return None
-        connection = _FirstConnection(self._client, self._address, self._exchange)
-        self._client.count(connection)
+        connection = _NewConnection(self._client, self._address, self._exchange)
+        self._client.add_open(connection)
         return connection
 
     def clientConnectionFailed(self, _: Any, reason: TwistedFailure) -> None:
         """Tell that nothing was sent."""
-        self._exchange.take_fault(Fault.UNREACHED, reason.getErrorMessage())
+        self._exchange.report_failure(CallFailure.UNREACHED, reason.getErrorMessage())
 
 
-class _FirstConnection(Connection):
+class _NewConnection(Connection):
     """A connection that sends its first call as soon as it is up."""
 
-    def __init__(self, client: HttpClient, address: Address, exchange: Exchange) -> None:
+    def __init__(self, client: HttpClient, address: Address, exchange: HttpExchange) -> None:
         super().__init__(client, address)
-        self._waiting: Exchange | None = exchange
+        self._first_exchange: HttpExchange | None = exchange
 
     def connectionMade(self) -> None:
         """Send the first call."""
         super().connectionMade()
-        exchange, self._waiting = self._waiting, None
+        exchange, self._first_exchange = self._first_exchange, None
         if exchange is not None and exchange.sink is not None:
             self.send(exchange)
         else:
@@ -309,24 +309,24 @@
         self._connect_timeout = connect_timeout
         self._idle: dict[Address, list[Connection]] = {}
         self._open: dict[Address, set[Connection]] = {}
-        self.opened = 0
+        self.opened_count = 0
         """Connections opened so far."""
 
     def start(self) -> None:
         """Begin to close connections that are idle for too long."""
-        self._clock.call_later(SWEEP_INTERVAL, self._sweep)
+        self._clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def open(self, address: Address, call: Call, sink: AnswerSink, *, most_idle: float = 1e9) -> Exchange:
+    def open(self, address: Address, call: Call, sink: ResponseSink, *, max_idle_s: float = 1e9) -> HttpExchange:
         """Send a call on a kept connection that was idle for a short enough time, or else on a new one.
 
         :param most_idle: seconds; a call that may not be repeated rather takes a new connection than an old one
         """
-        exchange = Exchange(call, sink)
-        connection = self._take_idle(address, most_idle)
+        exchange = HttpExchange(call, sink)
+        connection = self._pop_idle(address, max_idle_s)
         if connection is not None:
             connection.send(exchange)
             return exchange
-        self.opened += 1
+        self.opened_count += 1
         connector = _Connector(self, address, exchange)
         exchange.connector = self._clock.reactor.connectTCP(
             address.host, address.port, connector, timeout=self._connect_timeout
@@ -337,18 +337,18 @@
         """Return the connections to an address that are open."""
         return frozenset(self._open.get(address, ()))
 
-    def keep(self, connection: Connection, idle_limit: float) -> None:
+    def add_idle(self, connection: Connection, idle_timeout: float) -> None:
         """Keep an idle connection, for less than the other side does."""
         now = self._clock.now()
         connection.idle_since = now
-        connection.idle_until = now + max(0.0, min(idle_limit - 1.0, idle_limit * 0.7))
+        connection.idle_until = now + max(0.0, min(idle_timeout - 1.0, idle_timeout * 0.7))
         self._idle.setdefault(connection.address, []).append(connection)
 
-    def count(self, connection: Connection) -> None:
+    def add_open(self, connection: Connection) -> None:
         """Count a connection that came up."""
         self._open.setdefault(connection.address, set()).add(connection)
 
-    def forget(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """Drop a connection that ended."""
         left = self._open.get(connection.address, set())
         left.discard(connection)
@@ -365,13 +365,13 @@
         for connection in self._idle.pop(address, []):
             connection.transport.loseConnection()
 
-    def _take_idle(self, address: Address, most_idle: float) -> Connection | None:
+    def _pop_idle(self, address: Address, max_idle_s: float) -> Connection | None:
         now = self._clock.now()
         idle = self._idle.get(address)
         if not idle:
             return None
         newest = idle[-1]
-        if now >= newest.idle_until or now - newest.idle_since > most_idle:
+        if now >= newest.idle_until or now - newest.idle_since > max_idle_s:
             return None
         idle.pop()
         if not idle:
@@ -383,4 +383,4 @@
         for connections in list(self._idle.values()):
             for connection in [one for one in connections if now >= one.idle_until]:
                 connection.transport.loseConnection()
-        self._clock.call_later(SWEEP_INTERVAL, self._sweep)
+        self._clock.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/src/beamhatch/relay/upstreams/http_fetch.py
+++ b/src/beamhatch/relay/upstreams/http_fetch.py
@@ -7,46 +7,46 @@
 from twisted.internet import defer
 
 from beamhatch.relay.requests.answer import WholeAnswer
-from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
+from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
     from beamhatch.clock import Clock
     from beamhatch.relay.model import Address
-    from beamhatch.relay.upstreams.http_client import Call, Exchange, Head, HttpClient
+    from beamhatch.relay.upstreams.http_client import Call, HttpClient, HttpExchange, ResponseHead
 
-MOST_BYTES = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 """Bytes of a fetched answer at the most: some pages of the store's lists."""
 
 
-class _Fetch(AnswerSink):
+class _Fetch(ResponseSink):
     def __init__(self, clock: Clock, timeout: float) -> None:
-        self.done: defer.Deferred[WholeAnswer | str] = defer.Deferred(self._stop)
-        self.exchange: Exchange | None = None
-        self._head: Head | None = None
+        self.done: defer.Deferred[WholeAnswer | str] = defer.Deferred(self._handle_cancel)
+        self.exchange: HttpExchange | None = None
+        self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._timer: Any = clock.call_later(timeout, self._run_out)
+        self._timer: Any = clock.call_later(timeout, self._handle_timeout)
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         self._head = head
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         self._body += data
-        if len(self._body) > MOST_BYTES:
+        if len(self._body) > MAX_BODY_BYTES:
             self._cancel()
             self._finish("the answer is too long")
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         assert self._head is not None
         self._finish(WholeAnswer(self._head, bytes(self._body)))
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def handle_failure(self, fault: CallFailure, detail: str) -> None:
         self._finish(f"{fault.value}: {detail}")
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._cancel()
         self._finish("no answer in time")
 
-    def _stop(self, _: Any) -> None:
+    def _handle_cancel(self, _: Any) -> None:
         self._cancel()
         if self._timer.active():
             self._timer.cancel()
--- a/src/beamhatch/relay/upstreams/listing.py
+++ b/src/beamhatch/relay/upstreams/listing.py
@@ -20,16 +20,16 @@
 GONE_GRACE_SHARE = 0.85
 """Share of the time behind the end of its entry, in which an upstream may still be sent requests, that is used."""
 
-DRAIN_TIME = 2.0
+DEFAULT_DRAIN_S = 2.0
 """Seconds of that time where the settings do not tell it."""
 
-RETURN_TIME = 5.0
+RETURN_TIMEOUT_S = 5.0
 """Seconds for which an upstream whose entry went without notice is expected back.
 
 It had been silent for some seconds before its entry went; one that crashed or was cut off is mostly back by then.
 """
 
-TOMBSTONE_LIFE = 120.0
+TOMBSTONE_TTL_S = 120.0
 """Seconds for which it is remembered that an upstream is gone: longer than old news travel."""
 
 
@@ -45,110 +45,110 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _Record:
     entry: Entry
-    last: Upstream | None
+    last_upstream: Upstream | None
     """What was listed last, also after the entry is gone."""
     changed_at: float
-    first_at: float
+    first_seen_at: float
     """When it was heard of first."""
     cold_until: float = 0.0
     """Until when it is cold, in monotonic seconds."""
 
-    def show(self, now: float) -> Entry:
+    def get_entry(self, now: float) -> Entry:
         """Return the entry, with the time for which the upstream is still cold as it is now."""
         upstream = self.entry.upstream
         if upstream is None or not upstream.cold_left:
             return self.entry
         return replace(self.entry, upstream=replace(upstream, cold_left=max(0.0, self.cold_until - now)))
 
-    def succeeds(self, other: _Known) -> bool:
+    def may_replace(self, other: _Record) -> bool:
         """Tell whether this may be another one, started anew: in its hall, and not known before it fell silent."""
-        assert self.last is not None
-        assert other.last is not None
-        newer = self.first_at > max(other.first_at, other.changed_at - RETURN_TIME)
-        return newer and self.last.hall == other.last.hall
+        assert self.last_upstream is not None
+        assert other.last_upstream is not None
+        newer = self.first_seen_at > max(other.first_seen_at, other.changed_at - RETURN_TIMEOUT_S)
+        return newer and self.last_upstream.hall == other.last_upstream.hall
 
 
 @dataclass(slots=True)
 class Listing:
     """All upstreams by id."""
 
-    newest: int = 0
+    newest_revision: int = 0
     """The highest revision among the entries."""
-    gone_grace: float = GONE_GRACE_SHARE * DRAIN_TIME
+    gone_grace_s: float = GONE_GRACE_SHARE * DEFAULT_DRAIN_S
     """Seconds for which upstreams whose entries went without notice may still be used.
 
     Entries also go when the store loses the leases of upstreams that are well; these are back about 2 s later.
     """
     complete: bool = False
     """True once a whole list has been taken in."""
-    latest_cold: float = 0.0
+    latest_cold_until: float = 0.0
     """Until when any upstream was said to be cold at the most, in monotonic seconds."""
     departures: Departures = field(default_factory=Departures)
     """The lives that are known to leave: they don't come back, whatever their entries say."""
-    _known: dict[UpstreamId, _Known] = field(default_factory=dict)
+    _records: dict[UpstreamId, _Record] = field(default_factory=dict)
     _listed: dict[ServiceName, list[Upstream]] = field(default_factory=dict)
     """What ``list_usable`` returned since the last change, where it does not depend on the time."""
 
-    def take(self, entry: Entry, now: float) -> bool:
+    def apply(self, entry: Entry, now: float) -> bool:
         """Take in news of one upstream; return whether they changed what is believed."""
-        known = self._known.get(entry.id)
+        known = self._records.get(entry.id)
         if known is not None and known.entry.revision >= entry.revision:
             return False
-        self.newest = max(self.newest, entry.revision)
+        self.newest_revision = max(self.newest_revision, entry.revision)
         self._listed.clear()
         if known is None:
-            known = self._known[entry.id] = _Known(entry, entry.upstream, now, now)
+            known = self._records[entry.id] = _Record(entry, entry.upstream, now, now)
         else:
             known.changed_at = now if _differs(known.entry, entry) else known.changed_at
             known.entry = entry
-            known.last = entry.upstream or known.last
+            known.last_upstream = entry.upstream or known.last_upstream
         if entry.upstream is not None:
             known.cold_until = now + entry.upstream.cold_left
-            self.latest_cold = max(self.latest_cold, known.cold_until)
+            self.latest_cold_until = max(self.latest_cold_until, known.cold_until)
             if entry.upstream.draining:
-                self.departures.take(entry.upstream.life, now, by_store=True)
+                self.departures.record(entry.upstream.life, now, by_store=True)
         return True
 
-    def note_leaving(self, life: Life, now: float) -> bool:
+    def record_departure(self, life: Life, now: float) -> bool:
         """Take in that an upstream leaves, by another word than its entry; return whether that is news."""
         self._listed.clear()
-        return self.departures.take(life, now)
+        return self.departures.record(life, now)
 
     def is_leaving(self, upstream: Upstream) -> bool:
         """Tell whether an upstream leaves."""
-        return self.departures.may_have(upstream.id) and self.departures.has(upstream.life)
+        return self.departures.has_upstream(upstream.id) and self.departures.has(upstream.life)
 
-    def _may_last(self, known: _Known) -> bool:
+    def _is_usable(self, known: _Record) -> bool:
         """Tell whether it may be used, or expected back, as long as its entry is not gone for long."""
-        return known.last is not None and known.entry.readable and not self.is_leaving(known.last)
+        return known.last_upstream is not None and known.entry.readable and not self.is_leaving(known.last_upstream)
 
-    def take_whole(self, entries: Iterable[Entry], revision: int, now: float) -> list[Entry]:
+    def apply_snapshot(self, entries: Iterable[Entry], revision: int, now: float) -> list[Entry]:
         """Take in a whole list as of a revision; what it lacks is gone. Return the news."""
         listed = list(entries)
         names = {entry.id for entry in listed}
         gone = [
             Entry(known.entry.id, revision, None)
-            for known in self._known.values()
+            for known in self._records.values()
             if known.entry.upstream is not None and known.entry.id not in names and known.entry.revision <= revision
         ]
         self.complete = True
-        return [entry for entry in [*listed, *gone] if self.take(entry, now)]
+        return [entry for entry in [*listed, *gone] if self.apply(entry, now)]
 
-    def pass_over_gone(self, entries: Iterable[Entry]) -> list[Entry]:
+    def exclude_gone(self, entries: Iterable[Entry]) -> list[Entry]:
         """Return those of some entries that a copy of the store may tell rightly: not the lives that are gone since."""
         return [entry for entry in entries if not self._is_gone(entry)]
 
     def _is_gone(self, entry: Entry) -> bool:
-        known = self._known.get(entry.id)
-        if known is None or known.last is None or known.entry.upstream is not None or entry.upstream is None:
+        known = self._records.get(entry.id)
+        if known is None or known.last_upstream is None or known.entry.upstream is not None or entry.upstream is None:
             return False
-        return known.last.is_same_life(entry.upstream)
+        return known.last_upstream.is_same_life(entry.upstream)
 
     def list_since(self, revision: int, now: float) -> list[Entry]:
         """Return the news behind a revision as they are handed on now, oldest first."""
-        entries = [known.show(now) for known in self._known.values() if known.entry.revision > revision]
+        entries = [known.get_entry(now) for known in self._records.values() if known.entry.revision > revision]
         return sorted(entries, key=lambda entry: entry.revision)
 
     def list_usable(self, service: ServiceName, now: float) -> list[Upstream]:
@@ -161,25 +161,27 @@
         if known_list is not None:
             return known_list
         listed = []
-        going = []
-        for known in self._known.values():
-            upstream = known.last
-            if upstream is None or upstream.service != service or not self._may_last(known):
+        recently_gone = []
+        for known in self._records.values():
+            upstream = known.last_upstream
+            if upstream is None or upstream.service != service or not self._is_usable(known):
                 continue
             if known.entry.upstream is not None:
                 listed.append(upstream)
-            elif now - known.changed_at < self.gone_grace:
-                going.append(upstream)
-        if not going:
+            elif now - known.changed_at < self.gone_grace_s:
+                recently_gone.append(upstream)
+        if not recently_gone:
             self._listed[service] = listed
-        return [*listed, *going] if len(going) >= len(listed) else listed
+        return [*listed, *recently_gone] if len(recently_gone) >= len(listed) else listed
 
     def list_leaving(self, service: ServiceName) -> list[Upstream]:
         """Return the upstreams of a service that are listed still, and leave."""
-        listed = (known.entry.upstream for known in self._known.values())
+        listed = (known.entry.upstream for known in self._records.values())
         return [one for one in listed if one is not None and one.service == service and self.is_leaving(one)]
 
-    def list_lasting(self, service: ServiceName, now: float, silent: Collection[UpstreamId] = ()) -> list[Upstream]:
+    def list_expected(
+        self, service: ServiceName, now: float, unresponsive: Collection[UpstreamId] = ()
+    ) -> list[Upstream]:
         """Return the upstreams of a service that are there for some time.
 
         Those that are leaving are not; those whose entries went without notice are for a while, as most come back. One
@@ -188,64 +190,64 @@
         :param silent: those that do not answer; their entries may still be listed for some heartbeats
         """
         listed = []
-        awaited = []
-        for known in self._known.values():
-            if known.last is None or known.last.service != service or not self._may_last(known):
+        unlisted = []
+        for known in self._records.values():
+            if known.last_upstream is None or known.last_upstream.service != service or not self._is_usable(known):
                 continue
-            if known.entry.upstream is not None and known.entry.id not in silent:
+            if known.entry.upstream is not None and known.entry.id not in unresponsive:
                 listed.append(known)
-            elif known.entry.upstream is not None or now - known.changed_at < RETURN_TIME:
-                awaited.append(known)
+            elif known.entry.upstream is not None or now - known.changed_at < RETURN_TIMEOUT_S:
+                unlisted.append(known)
         spare = list(listed)
-        lasting = [known.last for known in listed if known.last is not None]
-        for known in awaited:
-            successor = next((one for one in spare if one.succeeds(known)), None)
+        expected = [known.last_upstream for known in listed if known.last_upstream is not None]
+        for known in unlisted:
+            successor = next((one for one in spare if one.may_replace(known)), None)
             if successor is not None:
                 spare.remove(successor)
-            elif known.last is not None:
-                lasting.append(known.last)
-        return lasting
+            elif known.last_upstream is not None:
+                expected.append(known.last_upstream)
+        return expected
 
-    def count_left(self, service: ServiceName) -> int:
+    def count_departed(self, service: ServiceName) -> int:
         """Return how many upstreams of a service have said that they leave, as far as they are remembered."""
-        last = (known.last for known in self._known.values())
+        last = (known.last_upstream for known in self._records.values())
         return sum(one is not None and one.service == service and self.is_leaving(one) for one in last)
 
-    def find_cold_until(self, upstream: UpstreamId) -> float:
+    def get_cold_until(self, upstream: UpstreamId) -> float:
         """Return until when an upstream is cold, in monotonic seconds; a time that is over where it is warm."""
-        known = self._known.get(upstream)
+        known = self._records.get(upstream)
         return 0.0 if known is None else known.cold_until
 
-    def find_last(self, upstream: UpstreamId) -> Upstream | None:
+    def get_last_listed(self, upstream: UpstreamId) -> Upstream | None:
         """Return what was listed last of an upstream, also after its entry is gone."""
-        known = self._known.get(upstream)
-        return None if known is None else known.last
+        known = self._records.get(upstream)
+        return None if known is None else known.last_upstream
 
-    def find(self, upstream: UpstreamId) -> Upstream | None:
+    def get(self, upstream: UpstreamId) -> Upstream | None:
         """Return an upstream that is listed."""
-        known = self._known.get(upstream)
+        known = self._records.get(upstream)
         return None if known is None else known.entry.upstream
 
-    def find_oldest(self) -> int:
+    def get_oldest_revision(self) -> int:
         """Return the lowest revision among the entries that are listed, 0 where none is."""
         return min(
-            (known.entry.revision for known in self._known.values() if known.entry.upstream is not None), default=0
+            (known.entry.revision for known in self._records.values() if known.entry.upstream is not None), default=0
         )
 
     def list_ids(self) -> set[UpstreamId]:
         """Return the ids of all upstreams, gone ones as long as they are remembered."""
-        return set(self._known)
+        return set(self._records)
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop entries that went long ago."""
         old = [
             name
-            for name, known in self._known.items()
-            if known.entry.upstream is None and now - known.changed_at > TOMBSTONE_LIFE
+            for name, known in self._records.items()
+            if known.entry.upstream is None and now - known.changed_at > TOMBSTONE_TTL_S
         ]
         for name in old:
-            del self._known[name]
-        self.departures.forget_old(self._known, now - TOMBSTONE_LIFE)
+            del self._records[name]
+        self.departures.drop_expired(self._records, now - TOMBSTONE_TTL_S)
 
 
 def _differs(before: Entry, after: Entry) -> bool:
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -6,42 +6,42 @@
 
 from beamhatch.relay.model import Reservation
 from beamhatch.relay.upstreams.announcements import MISDIRECTED
-from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
+from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
     from beamhatch.relay.choosing.rests import Trial
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Reserve
-    from beamhatch.relay.upstreams.http_client import Call, Exchange, Head
+    from beamhatch.relay.upstreams.http_client import Call, HttpExchange, ResponseHead
 
-MOST_BODY_BYTES = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """Bytes of an answer about memory at the most; it has less than a hundred."""
 
 GRANTED = 200
 """The status of an engine that has set memory aside."""
 
-PATIENCE = 0.12
+TIMEOUT_S = 0.12
 """Seconds: the answer takes milliseconds, and a new request has a quarter of its target to be refused in."""
 
 
-class ReserveAttempt(AnswerSink):
+class ReserveAttempt(ResponseSink):
     """Asks a decode engine to set memory aside; it runs nothing, and counts as no send."""
 
     def __init__(self, exchange: RelayExchange, step: Reserve) -> None:
         self.core = exchange.core
         self._exchange = exchange
         self._step = step
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._http: Exchange | None = None
+        self._http: HttpExchange | None = None
         self._ended = False
         self.sent = False
         """True once the call was written, or begun to be."""
         self._started_at = self.core.clock.now()
-        self._trial: Trial | None = None
+        self._probe: Trial | None = None
         """Tells whether the engine is back behind a rest."""
-        self._timer: Any = self.core.clock.call_later(PATIENCE, self._run_out)
+        self._timer: Any = self.core.clock.call_later(TIMEOUT_S, self._handle_timeout)
 
     @property
     def upstream(self) -> Upstream:
@@ -52,7 +52,7 @@
         """Ask."""
         now = self.core.clock.now()
         self.core.standings.get(self._step.upstream.id).tried_at = now
-        self._trial = self.core.eligibility.rests.begin(self._step.upstream.life, now)
+        self._probe = self.core.eligibility.rests.begin(self._step.upstream.life, now)
         http = self.core.client.open(self._step.upstream.address, call, self)
         if not self._ended:
             self._http = http
@@ -67,26 +67,26 @@
     def pause(self) -> None:
         """Read on: there is nothing to hold up."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Read on."""
 
-    def note_sent(self) -> None:
+    def handle_sent(self) -> None:
         """Note where memory is asked for in spite of what the engine said."""
         self.sent = True
-        told = self.core.announcements.note_sent(self._step.upstream)
+        told = self.core.announcements.record_send(self._step.upstream)
         if told:
             self._exchange.write_log("asked in spite of its word", to=self._step.upstream.id, **told)
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         """Take the head of the answer."""
         self._head = head
-        self.core.announcements.read(self._step.upstream, head, self._started_at)
+        self.core.announcements.handle_head(self._step.upstream, head, self._started_at)
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Take a part of the answer."""
-        self._body += data[:MOST_BODY_BYTES]
+        self._body += data[:MAX_BODY_BYTES]
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         """Tell the request what was set aside."""
         assert self._head is not None
         if self._ended:
@@ -110,7 +110,7 @@
         self._exchange.write_log("reserved" if found else "not reserved", to=upstream.id, status=self._head.status)
         self._exchange.go_on_elsewhere(self)
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def handle_failure(self, fault: CallFailure, detail: str) -> None:
         """Go on elsewhere."""
         if self._ended:
             return
@@ -121,15 +121,15 @@
         self._exchange.write_log("not reserved", to=upstream.id, fault=fault.value, detail=detail)
         self._exchange.go_on_elsewhere(self)
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         if self._http is not None:
             self._http.cancel()
-        self.take_fault(Fault.UNREACHED, "no answer in time")
+        self.handle_failure(CallFailure.UNREACHED, "no answer in time")
 
     def _end(self) -> None:
         self._ended = True
         if self._timer.active():
             self._timer.cancel()
-        if self._trial is not None:
+        if self._probe is not None:
             answered = self._head is not None and self._head.status == GRANTED
-            self._trial.end(self.core.clock.now(), answered=answered)
+            self._probe.end(self.core.clock.now(), answered=answered)
--- a/src/beamhatch/relay/upstreams/retry_after.py
+++ b/src/beamhatch/relay/upstreams/retry_after.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from datetime import datetime
 
-LONGEST_WAIT = 600.0
+MAX_RETRY_AFTER_S = 600.0
 """Seconds that are obeyed at the most, whatever is asked.
 
 Behind them one request tells whether it still holds. A day asked by mistake would else take the upstream from a VM
@@ -20,7 +20,7 @@
 """Fractions are no part of the standard, but the platform's pages have them."""
 
 
-def read_retry_after(text: str | None, date: str | None) -> float | None:
+def parse_retry_after(text: str | None, date: str | None) -> float | None:
     """Return the seconds to stay away, or None where nothing that can be read is asked.
 
     A negative number, a word and a date that is over ask nothing. A date is read against the answer's own: the clock of
@@ -31,13 +31,13 @@
     if text is None:
         return None
     text = text.strip()
-    asked = float(text) if _SECONDS.fullmatch(text) else _count_until(text, date)
-    return min(asked, LONGEST_WAIT) if asked is not None and asked > 0 else None
+    asked = float(text) if _SECONDS.fullmatch(text) else _compute_seconds_until(text, date)
+    return min(asked, MAX_RETRY_AFTER_S) if asked is not None and asked > 0 else None
 
 
-def _count_until(text: str, date: str | None) -> float | None:
-    until = _read_date(text)
-    now = None if date is None else _read_date(date)
+def _compute_seconds_until(text: str, date: str | None) -> float | None:
+    until = _parse_date(text)
+    now = None if date is None else _parse_date(date)
     if until is None or now is None:
         return None
     try:
@@ -46,7 +46,7 @@
         return None
 
 
-def _read_date(text: str) -> datetime | None:
+def _parse_date(text: str) -> datetime | None:
     try:
         return parsedate_to_datetime(text)
     except (ValueError, IndexError, OverflowError):
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -8,26 +8,26 @@
 from beamhatch.relay.requests.answer import WholeAnswer
 from beamhatch.relay.upstreams.attempt import Attempt
 from beamhatch.relay.upstreams.events import EventChecker, StreamError
-from beamhatch.relay.upstreams.http_client import Fault
+from beamhatch.relay.upstreams.http_client import CallFailure
 
 if TYPE_CHECKING:
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Send
-    from beamhatch.relay.upstreams.http_client import Head
+    from beamhatch.relay.upstreams.http_client import ResponseHead
 
-FIRST_EVENT_PATIENCE = 1.33
+FIRST_EVENT_TIMEOUT_FACTOR = 1.33
 """Times the target latency until the first event of an engine that has the prompt's KV cache."""
 
-WHOLE_PATIENCE = 2.8
+DECODE_PREFILL_TIMEOUT_FACTOR = 2.8
 """Times the target latency until the first event of an engine that has to read the prompt."""
 
-GAP_PATIENCE = 3.3
+EVENT_GAP_TIMEOUT_FACTOR = 3.3
 """Times the target pause between two events after which the engine is taken to be silent."""
 
-SHORTEST_PATIENCE = 0.6
+MIN_TIMEOUT_S = 0.6
 """Seconds."""
 
-LAPSE_PAUSE = 3.0
+LAPSED_HANDLE_PAUSE_S = 3.0
 """Seconds for which a prefill engine whose handles lapsed is passed over."""
 
 
@@ -37,18 +37,18 @@
     def __init__(self, exchange: RelayExchange, send: Send) -> None:
         super().__init__(exchange, send)
         self._events = EventChecker(self.request.last_event)
-        self._events_at: float | None = None
+        self._last_event_at: float | None = None
         """When the last events came from this engine, in monotonic seconds."""
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         """Take the head; a stream's is passed on with its first event."""
-        super().take_head(head)
-        if self._streams and self.send.handle is not None:
+        super().handle_head(head)
+        if self._is_stream and self.send.handle is not None:
             self.request.note_handle_spent()
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Pass whole events on."""
-        if not self._streams:
+        if not self._is_stream:
             self.body += data
             return
         try:
@@ -57,68 +57,68 @@
             self.fail(str(problem))
             return
         if events.data:
-            self._pass_on(events.data, events.last)
+            self._forward_events(events.data, events.last_id)
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         """End the answer, or go on elsewhere."""
         if self.has_not_run():
-            self.take_not_run()
-        elif not self._streams:
-            self._take_failure()
-        elif not self._events.is_whole or not self.exchange.request.begun:
-            self.take_fault(Fault.BROKEN, "the stream ended inside an event")
+            self.handle_not_run()
+        elif not self._is_stream:
+            self._handle_error_response()
+        elif not self._events.is_complete or not self.exchange.request.begun:
+            self.handle_failure(CallFailure.BROKEN, "the stream ended inside an event")
         else:
             self.succeed()
-            self._note_stream()
+            self._record_output_length()
             self.exchange.end_answer()
 
-    def _note_stream(self) -> None:
+    def _record_output_length(self) -> None:
         """Learn how long the answer became."""
         service = self.request.service
         if service.engine is not None and self.request.last_event:
             tokens = self.request.last_event * service.engine.event_tokens
             self.core.note_length(service.name, self.request.facts, tokens)
 
-    def note_turned_away(self, now: float) -> None:
+    def handle_rejection(self, now: float) -> None:
         """Take in that an engine could not have the KV cache."""
         if self.send.handle is not None and self.request.landings_failed:
             holder = self.core.standings.get(self.send.handle.upstream.id)
-            holder.lapsed_until = now + LAPSE_PAUSE
+            holder.lapsed_until = now + LAPSED_HANDLE_PAUSE_S
 
-    def get_patience(self) -> float:
+    def get_timeout(self) -> float:
         """Return the patience with an engine that has to read the prompt, or has it."""
         route = self.request.route
         if self.request.begun:
-            return max(SHORTEST_PATIENCE, GAP_PATIENCE * route.target_gap)
-        times = WHOLE_PATIENCE if self.send.stage is Stage.WHOLE else FIRST_EVENT_PATIENCE
-        return max(SHORTEST_PATIENCE, times * route.target_latency)
+            return max(MIN_TIMEOUT_S, EVENT_GAP_TIMEOUT_FACTOR * route.target_gap)
+        times = DECODE_PREFILL_TIMEOUT_FACTOR if self.send.stage is Stage.WHOLE else FIRST_EVENT_TIMEOUT_FACTOR
+        return max(MIN_TIMEOUT_S, times * route.target_latency)
 
     def may_abandon(self) -> bool:
         """Tell whether the stream may be taken up elsewhere."""
         return not self._sent or self.request.may_run_again
 
     @property
-    def _streams(self) -> bool:
+    def _is_stream(self) -> bool:
         assert self.head is not None
         assert self.facts is not None
         return self.head.status == 200 and self.facts.signed and not self.facts.encoded
 
-    def _pass_on(self, data: bytes, last: int | None) -> None:
+    def _forward_events(self, data: bytes, last: int | None) -> None:
         assert self.head is not None
-        if self._unread:
-            self._note_reading(self.core.paces.get_whole(self.request.service.name))
-            self._end_reading()
+        if self._pending_prefill_tokens:
+            self._record_prefill(self.core.paces.get_whole(self.request.service.name))
+            self._end_prefill()
         if not self.request.begun:
             self.exchange.begin_answer(self.head)
-        self._note_pace(last)
+        self._record_token_rate(last)
         self.request.note_event(last)
         self.exchange.pass_events(data)
-        self._wait(self.get_patience())
+        self._restart_timer(self.get_timeout())
 
-    def _note_pace(self, last: int | None) -> None:
+    def _record_token_rate(self, last: int | None) -> None:
         """Learn how fast tokens come, from each event behind the engine's first."""
         now = self.core.clock.now()
-        before, self._events_at = self._events_at, now
+        before, self._last_event_at = self._last_event_at, now
         service = self.request.service
         if service.engine is None or last is None:
             return
@@ -129,7 +129,7 @@
             events = last - (self.request.last_event or 0)
             demand.note_tokens(events * service.engine.event_tokens, now - before, now)
 
-    def _take_failure(self) -> None:
+    def _handle_error_response(self) -> None:
         assert self.head is not None
         status = self.head.status
         if 300 <= status < 500:
@@ -138,4 +138,4 @@
             return
         if status >= 500:
             self.exchange.keep_failure(WholeAnswer(self.head, bytes(self.body)))
-        self.take_fault(Fault.MALFORMED, f"the upstream failed with {status}")
+        self.handle_failure(CallFailure.MALFORMED, f"the upstream failed with {status}")
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -202,7 +202,7 @@
 def test_many_upstreams_that_turn_cold_at_once_are_one_line() -> None:
     platform = make_platform(plain=30)
     core = platform.vms["vm1"].core
-    core._note_cold([core.listing._known[UpstreamId(f"plain-{n}")].entry for n in range(30)], "store")
+    core._note_cold([core.listing._records[UpstreamId(f"plain-{n}")].entry for n in range(30)], "store")
     lines = [line for line in platform.journals["vm1"].lines if line["event"] == "cold"]
     assert [(line["count"], len(line["upstreams"])) for line in lines] == [(30, 8)]
 
@@ -225,7 +225,7 @@
     platform.store.put("servers/plain-0", entry)
     platform.network.run(0.3)
     core = platform.vms["vm1"].core
-    assert (core.listing.find_cold_until(UpstreamId("plain-0")) > platform.clock.now()) is is_cold
+    assert (core.listing.get_cold_until(UpstreamId("plain-0")) > platform.clock.now()) is is_cold
     callers = ask(platform, "/safe/x", 12)
     assert {caller.status for caller in callers} == ({200, 503} if is_cold else {200})
 
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -428,7 +428,7 @@
     platform = make_led_halls()
     press(platform, 0.0)
     vm = platform.vms["vm1"]
-    engine = vm.core.listing.find(UpstreamId("decode-0"))
+    engine = vm.core.listing.get(UpstreamId("decode-0"))
     assert engine is not None
     assert vm._ordering is not None
     pressure = Pressure(0.0, 0.0, EngineFigures(60_000, 5000.0, 600.0, 3.0))
--- a/tests/platform/test_interleavings.py
+++ b/tests/platform/test_interleavings.py
@@ -106,7 +106,7 @@
     def no_belief_goes_back(self) -> None:
         for name, vm in self.platform.vms.items():
             version = 0 if vm.core.table is None else vm.core.table.version
-            revision = vm.core.listing.newest
+            revision = vm.core.listing.newest_revision
             before = self.seen.get(name, (0, 0))
             assert version >= before[0]
             assert revision >= before[1]
@@ -137,7 +137,9 @@
     def agree(self) -> bool:
         newest = make_position(Epoch(self.platform.store.epoch), self.platform.store.find_newest("servers/"))
         return all(
-            vm.core.table is not None and vm.core.table.version == self.version and vm.core.listing.newest == newest
+            vm.core.table is not None
+            and vm.core.table.version == self.version
+            and vm.core.listing.newest_revision == newest
             for vm in self.platform.vms.values()
         )
 
--- a/tests/platform/test_limit.py
+++ b/tests/platform/test_limit.py
@@ -19,7 +19,7 @@
 
 from beamhatch.platform.standin.upstream import UpstreamFault
 from beamhatch.relay.model import UpstreamId
-from beamhatch.relay.upstreams.http_client import Head
+from beamhatch.relay.upstreams.http_client import ResponseHead
 from tests.support.platform import ENGINE, SENT_TO, Platform, find_answering
 
 if TYPE_CHECKING:
@@ -174,7 +174,7 @@
 def knows(platform: Platform, vm: str, upstream: StandInUpstream) -> float | None:
     """Return the limit of an upstream as a VM knows it."""
     core = platform.vms[vm].core
-    found = core.listing.find_last(UpstreamId(upstream.instance))
+    found = core.listing.get_last_listed(UpstreamId(upstream.instance))
     assert found is not None
     return core.announcements.limits.find(found.life)
 
@@ -322,16 +322,16 @@
     platform = make_fleet(vms=1)
     upstream = platform.upstreams["decode-0"]
     core = platform.vms["vm0"].core
-    found = core.listing.find_last(UpstreamId("decode-0"))
+    found = core.listing.get_last_listed(UpstreamId("decode-0"))
     assert found is not None
     now = platform.clock.now()
     core.announcements.limits.take(found.life, 2.6, now, now)
-    head = Head(200, [("Response-Signature", "x")])
-    core.announcements.read(found, head, now + 1.0)
+    head = ResponseHead(200, [("Response-Signature", "x")])
+    core.announcements.handle_head(found, head, now + 1.0)
     assert knows(platform, "vm0", upstream) == 2.6
-    core.announcements.read(found, Head(503, [("Not-Executed", "1")]), now + 1.0, of_request=True)
+    core.announcements.handle_head(found, ResponseHead(503, [("Not-Executed", "1")]), now + 1.0, is_request=True)
     assert knows(platform, "vm0", upstream) == 2.6
-    core.announcements.read(found, head, now + 1.0, of_request=True)
+    core.announcements.handle_head(found, head, now + 1.0, is_request=True)
     assert knows(platform, "vm0", upstream) is None
 
 
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -149,7 +149,7 @@
     (leader,) = find_leaders(platform)
     ordering = platform.vms[leader]._ordering
     assert ordering is not None
-    engine = platform.vms[leader].core.listing.find(UpstreamId("decode-0"))
+    engine = platform.vms[leader].core.listing.get(UpstreamId("decode-0"))
     assert engine is not None
     pressure = Pressure(0.0, 0.0, EngineFigures(60_000, 5000.0, 600.0, 3.0))
     defer.ensureDeferred(ordering._order_all([PhaseChange(engine, Phase.PREFILL)], pressure))
--- a/tests/platform/test_own_word.py
+++ b/tests/platform/test_own_word.py
@@ -202,7 +202,7 @@
     assert waiting.status == 0
     core = platform.vms["vm1"].core
     for listed in core.listing.list_usable(ServiceName("models"), platform.clock.now()):
-        core.announcements.take_departure(listed.life, "a test")
+        core.announcements.apply_departure(listed.life, "a test")
     platform.network.run(0.01)
     assert waiting.status == 503
 
@@ -228,9 +228,9 @@
     assert held is not None
     core = platform.vms["vm1"].core
     if word == "leaves":
-        core.announcements.take_departure(held.upstream.life, "a test")
+        core.announcements.apply_departure(held.upstream.life, "a test")
     else:
-        core.announcements.rests.take(held.upstream.life, 3.0, platform.clock.now())
+        core.announcements.backoffs.take(held.upstream.life, 3.0, platform.clock.now())
     calls = platform.upstreams[held.upstream.id].calls
     assert platform.finish(caller).status == 200
     assert platform.upstreams[held.upstream.id].arrived == []
@@ -250,7 +250,7 @@
     assert not attempt.sent
     for name in ("plain-0", "plain-1", "plain-2"):
         platform.network.heal(f"host-{name}")
-    core.announcements.take_departure(attempt.upstream.life, "a test")
+    core.announcements.apply_departure(attempt.upstream.life, "a test")
     assert platform.finish(caller).status == 200
     platform.network.run(1.0)
     assert platform.upstreams[attempt.upstream.id].arrived == []
@@ -276,8 +276,8 @@
     call_for(platform, "/safe/x", 1.0)
     core = platform.vms["vm1"].core
     assert upstream.calls
-    assert core.announcements.list_untold() == []
-    assert core.announcements.rests.count(platform.clock.now()) == 0
+    assert core.announcements.list_unstored() == []
+    assert core.announcements.backoffs.count(platform.clock.now()) == 0
 
 
 @pytest.mark.parametrize("rest", ["0", "-3", "soon", "", "1e9", "Thu, 03 Dec 2026 03:00:00 GMT"])
@@ -349,7 +349,7 @@
     for number in range(6):
         platform.call("/safe/x", f"q{number}", vm="vm0")
     core = platform.vms["vm0"].core
-    platform.network.run_until(core.announcements.list_untold, 0.15)
+    platform.network.run_until(core.announcements.list_unstored, 0.15)
     platform.drain("plain-0")
     call_for(platform, "/safe/x", 2.0, vm="vm0")
     told = [name for vm in platform.vms.values() for name in vm.tally.counts if "departures" in name[1]]
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beamhatch.platform.standin.upstream import StandInEngine, UpstreamFault
-from beamhatch.relay.callers.http_server import MOST_HELD
+from beamhatch.relay.callers.http_server import MAX_TOTAL_BODY_BYTES
 from beamhatch.relay.model import ServiceName
 from tests.support.network import WINDOW
 from tests.support.platform import MODEL, Caller, Platform, make_platform, make_request, read_json
@@ -289,7 +289,7 @@
 def test_bodies_are_held_up_to_a_bound_and_let_go() -> None:
     platform = make_platform()
     server = platform.vms["vm1"].callers
-    server.held_bytes = MOST_HELD - 5
+    server.held_bytes = MAX_TOTAL_BODY_BYTES - 5
     caller = serve(platform, "/unsafe/x", body=b"too long")
     assert caller.status == 503
     assert "retry-after" in caller.head.lower()
--- a/tests/platform/test_spilling.py
+++ b/tests/platform/test_spilling.py
@@ -73,7 +73,7 @@
     for name in names:
         platform.list_again(name)
     listing = platform.vms["vm1"].core.listing
-    platform.network.run_until(lambda: all(listing.find(UpstreamId(name)) for name in names))
+    platform.network.run_until(lambda: all(listing.get(UpstreamId(name)) for name in names))
     assert platform.finish(platform.call(path, "q2")).status == 200
     assert not list_spills(platform, "q2")
 
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -108,7 +108,7 @@
     """An upstream drains after a restore, and callers' requests went on to it: 18 in 2 s.
 
     Both VMs knew its entry by revision 311. The restore took the store back to 10; the draining entry was written at
-    21, and ``Listing.take`` drops what is not above the revision that it knows. So it stood at 311, not draining, 3 s
+    21, and ``Listing.apply`` drops what is not above the revision that it knows. So it stood at 311, not draining, 3 s
     later. The VMs' lines had "regained ... revision=10" behind "listed ... revision=311", and no line "draining".
     """
     platform = make_fleet()
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -41,7 +41,7 @@
 
 def make_eligibility(*upstreams: Upstream) -> Eligibility:
     listing = Listing()
-    listing.take_whole([Entry(one.id, 1, one) for one in upstreams], 1, 10.0)
+    listing.apply_snapshot([Entry(one.id, 1, one) for one in upstreams], 1, 10.0)
     return Eligibility(listing, PLACES, gate=ShutGate())
 
 
--- a/tests/relay/choosing/test_lack.py
+++ b/tests/relay/choosing/test_lack.py
@@ -22,14 +22,14 @@
 
 def make_eligibility(upstreams: list[Upstream]) -> Eligibility:
     listing = Listing()
-    listing.take_whole([Entry(one.id, 1, one) for one in upstreams], 1, NOW)
+    listing.apply_snapshot([Entry(one.id, 1, one) for one in upstreams], 1, NOW)
     return Eligibility(listing)
 
 
 def test_nothing_lacks_while_one_may_be_sent_to() -> None:
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.note_leaving(upstreams[0].life, NOW)
+    eligibility.listing.record_departure(upstreams[0].life, NOW)
     assert find_lack(eligibility, upstreams, None, None, NOW) is None
     assert find_lack(eligibility, [], None, None, NOW) is None
 
@@ -38,7 +38,7 @@
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     for one in upstreams:
-        eligibility.listing.note_leaving(one.life, NOW)
+        eligibility.listing.record_departure(one.life, NOW)
     lack = find_lack(eligibility, upstreams, None, None, NOW)
     assert lack is not None
     assert (lack.obstacle, lack.wait) == (Obstacle.LEAVING, LEAVING_WAIT)
@@ -52,7 +52,7 @@
 def test_where_any_rests_the_end_of_the_first_rest_is_told() -> None:
     upstreams = make_upstreams("abc")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.note_leaving(upstreams[0].life, NOW)
+    eligibility.listing.record_departure(upstreams[0].life, NOW)
     eligibility.rests.take(upstreams[1].life, 5.0, NOW)
     eligibility.rests.take(upstreams[2].life, 3.0, NOW)
     lack = find_lack(eligibility, upstreams, None, None, NOW + 1.0)
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -167,14 +167,14 @@
             self.went_at[name] = self.now
         self.truth[name] = entry
         self.news.append(entry)
-        self.direct.take(entry, self.now)
+        self.direct.apply(entry, self.now)
 
     @precondition(lambda self: self.news)
     @rule(data=st.data())
     def hear(self, data: st.DataObject) -> None:
         """Hear any news again, late or out of order."""
         entry = data.draw(st.sampled_from(self.news))
-        self.told.take(entry, self.now)
+        self.told.apply(entry, self.now)
         best = self.best.get(entry.id)
         if best is None or best.revision < entry.revision:
             self.best[entry.id] = entry
@@ -182,19 +182,19 @@
     @rule()
     def hear_whole(self) -> None:
         listed = [entry for entry in self.truth.values() if entry.upstream is not None]
-        self.told.take_whole(listed, self.revision, self.now)
+        self.told.apply_snapshot(listed, self.revision, self.now)
         self.best = {entry.id: entry for entry in self.truth.values()}
         assert {entry.id for entry in listed} == {
-            name for name in self.told.list_ids() if self.told.find(name) is not None
+            name for name in self.told.list_ids() if self.told.get(name) is not None
         }
 
     @rule()
     def catch_up(self) -> None:
         for entry in self.direct.list_since(0, 0.0):
-            self.told.take(entry, self.now)
+            self.told.apply(entry, self.now)
         self.best = {entry.id: entry for entry in self.truth.values()}
         for name in self.truth:
-            assert self.told.find(UpstreamId(name)) == self.direct.find(UpstreamId(name))
+            assert self.told.get(UpstreamId(name)) == self.direct.get(UpstreamId(name))
 
     @rule(passed=st.floats(0, 4))
     def wait(self, passed: float) -> None:
@@ -203,14 +203,14 @@
     @invariant()
     def believes_the_newest_that_it_heard(self) -> None:
         for name, entry in self.best.items():
-            assert self.told.find(name) == entry.upstream
+            assert self.told.get(name) == entry.upstream
 
     @invariant()
     def gives_no_work_to_those_that_leave(self) -> None:
         usable = {one.id for one in self.direct.list_usable(SERVICE, self.now)}
         assert not usable & self.drained
         staying = {name for name, entry in self.truth.items() if entry.upstream is not None} - self.drained
-        lapsed = {name for name, at in self.went_at.items() if self.now - at < self.direct.gone_grace} - self.drained
+        lapsed = {name for name, at in self.went_at.items() if self.now - at < self.direct.gone_grace_s} - self.drained
         assert usable == (staying | lapsed if len(lapsed) >= len(staying) else staying)
 
 
--- a/tests/relay/upstreams/test_events.py
+++ b/tests/relay/upstreams/test_events.py
@@ -26,7 +26,7 @@
         assert passed.endswith(b"\n\n") or not passed
     passed += checker.feed(rest).data
     assert passed == stream
-    assert checker.is_whole
+    assert checker.is_complete
 
 
 @pytest.mark.parametrize("ids", [[1, 3], [1, 1], [2, 1]])
@@ -44,5 +44,5 @@
 
 def test_an_event_cut_in_the_middle_is_not_whole() -> None:
     checker = EventChecker(None)
-    assert checker.feed(make_stream(1, 1) + b"id: 2\nda").last == 1
-    assert not checker.is_whole
+    assert checker.feed(make_stream(1, 1) + b"id: 2\nda").last_id == 1
+    assert not checker.is_complete
--- a/tests/relay/upstreams/test_http_client.py
+++ b/tests/relay/upstreams/test_http_client.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from beamhatch.relay.model import Address
-from beamhatch.relay.upstreams.http_client import AnswerSink, Call, Fault, Head, HttpClient
+from beamhatch.relay.upstreams.http_client import Call, CallFailure, HttpClient, ResponseHead, ResponseSink
 from tests.support.network import Network, PausedClock
 
 if TYPE_CHECKING:
@@ -41,32 +41,32 @@
         return RawServer(self.script)
 
 
-class Keeper(AnswerSink):
+class RecordingSink(ResponseSink):
     def __init__(self) -> None:
         self.body = b""
-        self.outcome: str | Fault = ""
+        self.outcome: str | CallFailure = ""
         self.sent = False
 
-    def note_sent(self) -> None:
+    def handle_sent(self) -> None:
         self.sent = True
 
-    def is_own(self, head: Head) -> bool:
+    def matches(self, head: ResponseHead) -> bool:
         return ("request-id", "other") not in head.headers
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         assert head.status == 200
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         self.body += data
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         self.outcome = "whole"
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
+    def handle_failure(self, fault: CallFailure, detail: str) -> None:
         self.outcome = fault
 
 
-class Bench:
+class ClientBench:
     def __init__(self, *script: Callable[[Any], None]) -> None:
         self.network = Network()
         clock = PausedClock(self.network)
@@ -75,8 +75,8 @@
         self.client = HttpClient(clock)
         self.client.start()
 
-    def ask(self, **options: Any) -> Keeper:
-        keeper = Keeper()
+    def ask(self, **options: Any) -> RecordingSink:
+        keeper = RecordingSink()
         self.client.open(ADDRESS, Call("GET", "/", [("Host", "up")]), keeper, **options)
         self.network.run(0.05)
         return keeper
@@ -103,22 +103,22 @@
 
 
 def test_keeps_a_connection_for_the_next_call() -> None:
-    bench = Bench(write(WHOLE), write(WHOLE))
+    bench = ClientBench(write(WHOLE), write(WHOLE))
     assert bench.ask().outcome == "whole"
     assert bench.ask().outcome == "whole"
     assert bench.server.connections == 1
 
 
 def test_a_call_that_may_not_be_repeated_takes_no_connection_that_was_idle_for_long() -> None:
-    bench = Bench(write(WHOLE), write(WHOLE))
+    bench = ClientBench(write(WHOLE), write(WHOLE))
     bench.ask()
     bench.network.run(1.5)
-    assert bench.ask(most_idle=1.0).outcome == "whole"
+    assert bench.ask(max_idle_s=1.0).outcome == "whole"
     assert bench.server.connections == 2
 
 
 def test_an_idle_connection_is_closed_before_the_other_side_closes_it() -> None:
-    bench = Bench(write(WHOLE.replace(b"\r\n\r\n", b"\r\nKeep-Alive: timeout=3\r\n\r\n")))
+    bench = ClientBench(write(WHOLE.replace(b"\r\n\r\n", b"\r\nKeep-Alive: timeout=3\r\n\r\n")))
     bench.ask()
     assert len(bench.client.list_open(ADDRESS)) == 1
     bench.network.run(3.0)
@@ -126,14 +126,14 @@
 
 
 def test_bytes_behind_a_whole_answer_end_the_connection_and_belong_to_nobody() -> None:
-    bench = Bench(write(WHOLE + WHOLE), write(WHOLE))
+    bench = ClientBench(write(WHOLE + WHOLE), write(WHOLE))
     assert bench.ask().body == b"ok"
     assert bench.ask().body == b"ok"
     assert bench.server.connections == 2
 
 
 def test_late_bytes_on_an_idle_connection_end_it() -> None:
-    bench = Bench(write(WHOLE))
+    bench = ClientBench(write(WHOLE))
     bench.ask()
     connection = next(iter(bench.client._idle[ADDRESS]))
     connection.transport.other.write(FOREIGN)
@@ -142,37 +142,37 @@
 
 
 def test_an_answer_to_another_request_is_skipped() -> None:
-    assert Bench(write(FOREIGN + WHOLE)).ask().body == b"ok"
-    assert Bench(write_then_close(FOREIGN)).ask().outcome is Fault.BROKEN
+    assert ClientBench(write(FOREIGN + WHOLE)).ask().body == b"ok"
+    assert ClientBench(write_then_close(FOREIGN)).ask().outcome is CallFailure.BROKEN
 
 
 @pytest.mark.parametrize("cut", range(1, len(WHOLE), 7))
 def test_an_answer_that_ends_early_is_broken(cut: int) -> None:
-    assert Bench(write_then_close(WHOLE[:cut])).ask().outcome is Fault.BROKEN
-    assert Bench(write_then_reset(WHOLE[:cut])).ask().outcome is Fault.BROKEN
+    assert ClientBench(write_then_close(WHOLE[:cut])).ask().outcome is CallFailure.BROKEN
+    assert ClientBench(write_then_reset(WHOLE[:cut])).ask().outcome is CallFailure.BROKEN
 
 
 def test_an_answer_without_a_length_is_whole_only_with_a_clean_end() -> None:
-    assert Bench(write_then_close(UNFRAMED)).ask().outcome == "whole"
-    assert Bench(write_then_reset(UNFRAMED)).ask().outcome is Fault.BROKEN
+    assert ClientBench(write_then_close(UNFRAMED)).ask().outcome == "whole"
+    assert ClientBench(write_then_reset(UNFRAMED)).ask().outcome is CallFailure.BROKEN
 
 
 def test_what_is_no_answer_is_malformed() -> None:
-    assert Bench(write(b"\x00\x01nonsense\r\n\r\n")).ask().outcome is Fault.MALFORMED
+    assert ClientBench(write(b"\x00\x01nonsense\r\n\r\n")).ask().outcome is CallFailure.MALFORMED
 
 
 def test_a_dead_port_is_told_from_a_broken_answer() -> None:
-    bench = Bench()
-    keeper = Keeper()
+    bench = ClientBench()
+    keeper = RecordingSink()
     bench.client.open(Address("nowhere", 1), Call("GET", "/", [("Host", "up")]), keeper)
     bench.network.run(1.0)
-    assert keeper.outcome is Fault.UNREACHED
+    assert keeper.outcome is CallFailure.UNREACHED
     assert not keeper.sent
 
 
 def test_a_silent_host_is_given_up_in_bounded_time() -> None:
-    bench = Bench(write(WHOLE))
+    bench = ClientBench(write(WHOLE))
     bench.network.cut("up")
     keeper = bench.ask()
     bench.network.run(0.6)
-    assert keeper.outcome is Fault.UNREACHED
+    assert keeper.outcome is CallFailure.UNREACHED
--- a/tests/relay/upstreams/test_listing.py
+++ b/tests/relay/upstreams/test_listing.py
@@ -16,12 +16,12 @@
 def make_listing(names: str) -> Listing:
     listing = Listing()
     for revision, name in enumerate(names, 1):
-        listing.take(Entry(UpstreamId(name), revision, make(name)), NOW)
+        listing.apply(Entry(UpstreamId(name), revision, make(name)), NOW)
     return listing
 
 
 def go(listing: Listing, name: str, now: float) -> None:
-    listing.take(Entry(UpstreamId(name), listing.newest + 1, None), now)
+    listing.apply(Entry(UpstreamId(name), listing.newest_revision + 1, None), now)
 
 
 def list_names(listing: Listing, now: float) -> str:
@@ -39,36 +39,36 @@
     for name in "abcd":
         go(listing, name, NOW)
     assert list_names(listing, NOW + 0.5) == "abcd"
-    listing.take(Entry(UpstreamId("a"), listing.newest + 1, make("a")), NOW + 0.6)
+    listing.apply(Entry(UpstreamId("a"), listing.newest_revision + 1, make("a")), NOW + 0.6)
     assert list_names(listing, NOW + 0.7) == "abcd"
-    assert list_names(listing, NOW + listing.gone_grace + 0.1) == "a"
+    assert list_names(listing, NOW + listing.gone_grace_s + 0.1) == "a"
 
 
 def test_one_that_said_that_it_leaves_is_never_used_again() -> None:
     listing = make_listing("ab")
-    listing.take(Entry(UpstreamId("a"), 9, make("a", draining=True)), NOW)
+    listing.apply(Entry(UpstreamId("a"), 9, make("a", draining=True)), NOW)
     go(listing, "a", NOW + 0.1)
     go(listing, "b", NOW + 0.1)
     assert list_names(listing, NOW + 0.2) == "b"
-    assert listing.count_left(SERVICE) == 1
+    assert listing.count_departed(SERVICE) == 1
 
 
 def test_one_that_went_is_expected_back_for_a_while_but_one_that_leaves_is_not() -> None:
     listing = make_listing("abc")
     go(listing, "a", NOW)
-    listing.take(Entry(UpstreamId("b"), 9, make("b", draining=True)), NOW)
-    assert {one.id for one in listing.list_lasting(SERVICE, NOW + 4.9)} == {"a", "c"}
-    assert {one.id for one in listing.list_lasting(SERVICE, NOW + 5.1)} == {"c"}
+    listing.apply(Entry(UpstreamId("b"), 9, make("b", draining=True)), NOW)
+    assert {one.id for one in listing.list_expected(SERVICE, NOW + 4.9)} == {"a", "c"}
+    assert {one.id for one in listing.list_expected(SERVICE, NOW + 5.1)} == {"c"}
 
 
 def test_one_that_does_not_answer_and_its_successor_count_as_one() -> None:
     listing = make_listing("abc")
-    listing.take(Entry(UpstreamId("d"), 9, make("d")), NOW + 2.0)
+    listing.apply(Entry(UpstreamId("d"), 9, make("d")), NOW + 2.0)
     silent = {UpstreamId("a")}
-    assert {one.id for one in listing.list_lasting(SERVICE, NOW + 2.1, silent)} == {"b", "c", "d"}
-    assert {one.id for one in listing.list_lasting(SERVICE, NOW + 2.1)} == {"a", "b", "c", "d"}
+    assert {one.id for one in listing.list_expected(SERVICE, NOW + 2.1, silent)} == {"b", "c", "d"}
+    assert {one.id for one in listing.list_expected(SERVICE, NOW + 2.1)} == {"a", "b", "c", "d"}
 
 
 def test_one_that_does_not_answer_is_awaited_as_long_as_nobody_succeeds_it() -> None:
     listing = make_listing("abc")
-    assert {one.id for one in listing.list_lasting(SERVICE, NOW + 9.0, {UpstreamId("a")})} == {"a", "b", "c"}
+    assert {one.id for one in listing.list_expected(SERVICE, NOW + 9.0, {UpstreamId("a")})} == {"a", "b", "c"}
--- a/tests/relay/upstreams/test_retry_after.py
+++ b/tests/relay/upstreams/test_retry_after.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beamhatch.relay.upstreams.retry_after import LONGEST_WAIT, read_retry_after
+from beamhatch.relay.upstreams.retry_after import MAX_RETRY_AFTER_S, parse_retry_after
 
 NOW = "Thu, 03 Dec 2026 03:00:00 GMT"
 
@@ -28,16 +28,16 @@
         ("3 s", None),
         ("٣", None),
         ("600", 600.0),
-        ("601", LONGEST_WAIT),
-        ("9" * 300, LONGEST_WAIT),
-        ("9" * 5000, LONGEST_WAIT),
+        ("601", MAX_RETRY_AFTER_S),
+        ("9" * 300, MAX_RETRY_AFTER_S),
+        ("9" * 5000, MAX_RETRY_AFTER_S),
         (None, None),
     ],
 )
 def test_seconds_are_obeyed_up_to_ten_minutes_and_what_is_none_asks_nothing(
     text: str | None, seconds: float | None
 ) -> None:
-    assert read_retry_after(text, NOW) == seconds
+    assert parse_retry_after(text, NOW) == seconds
 
 
 @pytest.mark.parametrize(
@@ -46,21 +46,21 @@
         ("Thu, 03 Dec 2026 03:00:04 GMT", 4.0),
         ("Thu, 03 Dec 2026 02:59:00 GMT", None),
         ("Thu, 03 Dec 2026 03:00:00 GMT", None),
-        ("Fri, 04 Dec 2026 03:00:00 GMT", LONGEST_WAIT),
+        ("Fri, 04 Dec 2026 03:00:00 GMT", MAX_RETRY_AFTER_S),
         ("Thu, 99 Dec 2026 03:00:00 GMT", None),
         ("Thu, 03 Dec 2026 03:00:04 -0000", None),
     ],
 )
 def test_a_date_is_read_against_the_answers_own_clock(text: str, seconds: float | None) -> None:
-    assert read_retry_after(text, NOW) == seconds
+    assert parse_retry_after(text, NOW) == seconds
 
 
 @pytest.mark.parametrize("date", [None, "", "now", "Thu, 03 Dec 2026 03:00:00 -0000"])
 def test_a_date_asks_nothing_where_the_answer_does_not_tell_its_own(date: str | None) -> None:
-    assert read_retry_after("Thu, 03 Dec 2026 03:00:04 GMT", date) is None
+    assert parse_retry_after("Thu, 03 Dec 2026 03:00:04 GMT", date) is None
 
 
 @given(st.text(), st.none() | st.text())
 def test_no_text_raises_or_is_obeyed_for_longer(text: str, date: str | None) -> None:
-    found = read_retry_after(text, date)
-    assert found is None or 0 < found <= LONGEST_WAIT
+    found = parse_retry_after(text, date)
+    assert found is None or 0 < found <= MAX_RETRY_AFTER_S
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -53,14 +53,14 @@
 
 
 def _uses_leaving() -> None:
-    take = Listing.take
+    take = Listing.apply
 
     def take_listed(self: Listing, entry: Any, now: float) -> bool:
         if entry.upstream is not None and entry.upstream.draining:
             return False
         return take(self, entry, now)
 
-    Listing.take = take_listed  # type: ignore[method-assign]
+    Listing.apply = take_listed  # type: ignore[method-assign]
 
 
 def _keeps_first_configuration() -> None:
@@ -73,7 +73,7 @@
 
 
 def _forgets_words() -> None:
-    Listing.note_leaving = lambda self, life, now: False  # type: ignore[method-assign]
+    Listing.record_departure = lambda self, life, now: False  # type: ignore[method-assign]
 
 
 def _ignores_rests() -> None:
@@ -105,7 +105,7 @@
 
 
 def _passes_any_event() -> None:
-    EventChecker._take_id = lambda self, text: None  # type: ignore[method-assign]
+    EventChecker._check_id = lambda self, text: None  # type: ignore[method-assign]
 
 
 @dataclass(frozen=True, slots=True)
