--- a/src/beamhatch/relay/callers/__init__.py
+++ b/src/beamhatch/relay/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: the HTTP server, and what the relay answers itself."""
+"""HTTP server for callers, and the error responses of the relay itself."""
--- a/src/beamhatch/relay/callers/error_response.py
+++ b/src/beamhatch/relay/callers/error_response.py
@@ -1,4 +1,4 @@
-"""Errors that the relay answers itself, in place of an upstream."""
+"""Error responses that the relay generates itself."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def send_error(responder: Responder, status: int, detail: str, retry_after: float | None = None) -> None:
-    """Send an error of the relay's own.
+    """Send an error response with a JSON body.
 
-    :param retry_after: seconds after which the caller may come back, where the request has not run
+    :param retry_after: seconds after which the caller may retry; None sends no ``Retry-After``
     """
     headers = [("Content-Type", "application/json")]
     if retry_after is not None:
--- a/src/beamhatch/relay/callers/headers.py
+++ b/src/beamhatch/relay/callers/headers.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP/1.1 that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Parsing and filtering of HTTP/1.1 headers, hop-by-hop headers above all (RFC 9110, section 7.6.1)."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 )
 FRAMING = frozenset({"content-length"})
 DEFAULT_KEEP_ALIVE_S = 4.0
-"""Seconds for which an upstream that does not tell is thought to keep an idle connection."""
+"""Seconds an upstream is assumed to keep an idle connection open if it sends no ``Keep-Alive`` timeout."""
 
 
 def decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as text."""
+    """Decode raw header names and values as Latin-1."""
     return [(name.decode("latin-1"), value.decode("latin-1")) for name, value in raw]
 
 
 def strip_hop_by_hop(headers: Headers, *, keep: frozenset[str] = frozenset()) -> Headers:
-    """Return the headers that are passed on; ``keep`` are names that ``Connection`` can't take away."""
+    """Return the headers to forward; names in ``keep`` are forwarded even if ``Connection`` lists them."""
     connection_options = {
         word.strip().lower()
         for name, value in headers
@@ -47,18 +47,18 @@
 
 
 def get_header(headers: Headers, name: str) -> str | None:
-    """Return the first value of a header, by its name in lower case."""
+    """Return the first value of the header with this name, given in lower case."""
     return next((value for key, value in headers if key.lower() == name), None)
 
 
 def wants_close(headers: Headers) -> bool:
-    """Tell whether the connection ends behind this message."""
+    """Return whether the connection closes after this message."""
     value = get_header(headers, "connection")
     return value is not None and "close" in {word.strip().lower() for word in value.split(",")}
 
 
 def parse_keep_alive_timeout(headers: Headers) -> float:
-    """Return the seconds for which the other side keeps the connection open when idle."""
+    """Return the seconds for which the peer keeps an idle connection open."""
     value = get_header(headers, "keep-alive")
     for word in (value or "").split(","):
         name, _, number = word.partition("=")
--- a/src/beamhatch/relay/callers/http_server.py
+++ b/src/beamhatch/relay/callers/http_server.py
@@ -1,4 +1,7 @@
-"""The HTTP/1.1 server that callers use, over h11: bounded, and strict about framing."""
+"""HTTP/1.1 server for callers, built on h11.
+
+Sizes and times are bounded, and requests with ambiguous framing are rejected.
+"""
 
 from __future__ import annotations
 
@@ -22,70 +25,70 @@
     from beamhatch.relay.model import CallerLimits
 
 MAX_PIPELINED_BYTES = 64 * 1024
-"""Bytes of further requests that wait behind one under way."""
+"""Bytes of pipelined requests buffered during a request before reading pauses."""
 
 LINGER_S = 1.0
-"""Seconds for which an unread body is read on behind an error, so that the caller gets the answer and no reset."""
+"""Seconds for which an unread body is discarded after an error, so that the caller gets the response and no reset."""
 
 MIN_HEAD_BYTES = 4096
-"""Bytes of a head that are read whatever the operators' bound is, so that it can be answered."""
+"""Bytes of a head that are always parsed, even if the configured limit is lower, so that an error can be sent."""
 
 MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024
-"""Bytes of bodies that all callers together may have here; the smallest VMs have 128 MB in all."""
+"""Bytes of request bodies held in memory for all callers together."""
 
 BODY_LIMIT_RETRY_AFTER_S = 1.0
-"""Seconds after which a caller may come back whose body did not fit."""
+"""Seconds in ``Retry-After`` when the limit on held bodies is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A caller's whole request."""
+    """A complete request from a caller."""
 
     method: str
     target: str
     headers: Headers
     body: bytes
     arrived_at: float
-    """Monotonic seconds at which its head had come."""
+    """Monotonic seconds when the head was complete."""
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """The request target without its query."""
         return self.target.partition("?")[0]
 
     @property
     def host(self) -> str:
-        """Return the host that is asked for, in lower case and without a port."""
+        """The requested host, in lower case and without a port."""
         value = (get_header(self.headers, "host") or "").strip().lower()
         name, _, port = value.rpartition(":")
         return name if name and port.isdigit() else value
 
 
 class RequestHandler(ABC):
-    """Whoever serves one request."""
+    """Handler of one request."""
 
     @abstractmethod
     def handle_caller_lost(self) -> None:
-        """Note that the caller closed its connection."""
+        """Handle the loss of the caller's connection."""
 
     @abstractmethod
     def pause(self) -> None:
-        """Note that the caller reads too slowly."""
+        """Pause the response: the caller reads too slowly."""
 
     @abstractmethod
     def resume(self) -> None:
-        """Note that the caller reads again."""
+        """Resume the response: the caller reads again."""
 
 
 class Responder:
-    """The way back to the caller of one request."""
+    """Writer of the response to one request."""
 
     def __init__(self, connection: CallerConnection) -> None:
         self._connection: CallerConnection | None = connection
         self.started = False
 
     def send_response(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer and its end."""
+        """Send a complete response."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -94,37 +97,37 @@
         connection.write_end(body)
 
     def send_head(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of a response of unknown length."""
         if self._connection is not None:
             self.started = True
             self._connection.start_stream()
             self._connection.write_head(status, headers)
 
     def write(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send body data."""
         if self._connection is not None and data:
             self._connection.write_data(data)
 
     def send_unsolicited(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer to another request first, as a faulty server does; for stand-ins."""
+        """Send a response that nobody asked for, as a faulty server does; for stand-ins only."""
         if self._connection is not None:
             self._connection.write_unsolicited(status, headers, body)
 
     def end(self) -> None:
-        """Say that the answer is whole."""
+        """Complete the response."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.write_end(b"")
 
     def abort(self) -> None:
-        """Break the answer off so that nobody takes it as whole."""
+        """Reset the connection, so that the caller sees a truncated response."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.abort()
 
 
 class CallerConnection(Protocol):
-    """One caller's connection; requests on it are served one after the other."""
+    """Connection of a caller; its requests are served one at a time."""
 
     def __init__(self, server: CallerServer) -> None:
         self._server = server
@@ -137,29 +140,29 @@
         self._body: list[bytes] = []
         self._received = 0
         self._held_bytes = 0
-        """Bytes of the body that count towards what all callers have here."""
+        """Bytes of this request's body counted in ``CallerServer.held_bytes``."""
         self._handler: RequestHandler | None = None
         self._serving = False
         self._closing = False
         self._discarding = False
         self._streaming = False
         self._head_started = False
-        """True once a part of a head has come."""
+        """True once a part of a head has been received."""
         self._timer: Any = None
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is under way or on its way in."""
+        """Whether no request is being served or received."""
         return not self._serving and self._head is None and not self._state.trailing_data[0]
 
     def connectionMade(self) -> None:
-        """Start to wait for a request."""
+        """Register the connection and start the idle timer."""
         self.transport.setTcpNoDelay(True)
         self._server.connections.add(self)
         self._restart_timer(self._limits.idle_timeout)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
-        """Tell whoever serves the caller that it is gone."""
+        """Release the connection's resources and notify the handler."""
         self._server.connections.discard(self)
         self._stop_timer()
         self._release_body()
@@ -168,7 +171,7 @@
             handler.handle_caller_lost()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes of a request."""
+        """Parse received bytes."""
         if self._discarding:
             return
         try:
@@ -204,15 +207,15 @@
 
     def _handle_head(self, head: h11.Request) -> None:
         if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > self._limits.header_bytes:
-            self._reject(431, f"the head has more than {self._limits.header_bytes} bytes")
+            self._reject(431, f"request head exceeds {self._limits.header_bytes} bytes")
             return
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            self._reject(400, "both a length and chunks")
+            self._reject(400, "both Content-Length and Transfer-Encoding are set")
             return
         length = next((int(value) for name, value in head.headers if name == b"content-length"), 0)
         if length > self._limits.body_bytes:
-            self._reject(413, f"the body has more than {self._limits.body_bytes} bytes")
+            self._reject(413, f"request body exceeds {self._limits.body_bytes} bytes")
             return
         self._head = head
         self._head_started = False
@@ -224,10 +227,10 @@
     def _handle_body(self, data: bytes) -> None:
         self._received += len(data)
         if self._received > self._limits.body_bytes:
-            self._reject(413, f"the body has more than {self._limits.body_bytes} bytes")
+            self._reject(413, f"request body exceeds {self._limits.body_bytes} bytes")
             return
         if self._server.held_bytes + len(data) > MAX_TOTAL_BODY_BYTES:
-            self._reject(503, "too many bytes of bodies are held", BODY_LIMIT_RETRY_AFTER_S)
+            self._reject(503, "too many request bodies in memory", BODY_LIMIT_RETRY_AFTER_S)
             return
         self._held_bytes += len(data)
         self._server.held_bytes += len(data)
@@ -259,7 +262,7 @@
     # --- writing -----------------------------------------------------------------------------------------------------
 
     def write_head(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer."""
+        """Write the head of a response, with ``Connection: close`` if the server or the connection is closing."""
         if self._server.closing or self._closing:
             self._closing = True
             headers = [*headers, ("Connection", "close")]
@@ -267,22 +270,22 @@
         self.transport.write(self._state.send(h11.Response(status_code=status, headers=encoded)) or b"")
 
     def start_stream(self) -> None:
-        """Have the transport tell when the caller reads too slowly."""
+        """Register for flow control, so that the handler is paused while the caller reads too slowly."""
         self._streaming = True
         self.transport.registerProducer(self, True)
 
     def write_data(self, data: bytes) -> None:
-        """Write a part of the body."""
+        """Write body data."""
         self.transport.write(self._state.send(h11.Data(data=data)) or b"")
 
     def write_unsolicited(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer without regard to what was asked; for stand-ins."""
+        """Write a complete response regardless of the protocol state; for stand-ins only."""
         lines = [f"HTTP/1.1 {status} Interjected", *(f"{name}: {value}" for name, value in headers)]
         lines.append(f"Content-Length: {len(body)}")
         self.transport.write("\r\n".join([*lines, "", ""]).encode("latin-1") + body)
 
     def write_end(self, data: bytes) -> None:
-        """Write the last part of the body and its end, and go on to the next request."""
+        """Write the rest of the body, complete the response and prepare for the next request."""
         if data:
             self.write_data(data)
         self.transport.write(self._state.send(h11.EndOfMessage()) or b"")
@@ -307,24 +310,24 @@
         self.transport.abortConnection()
 
     def close_if_idle(self) -> None:
-        """Close the connection if no request is on it; a request that crosses the close was not read."""
+        """Close the connection if it carries no request."""
         if self.is_idle:
             self.transport.loseConnection()
 
-    # --- the caller reads slowly -------------------------------------------------------------------------------------
+    # --- flow control ------------------------------------------------------------------------------------------------
 
     def pauseProducing(self) -> None:
-        """Pass on that the caller reads too slowly."""
+        """Pause the handler: the transport's buffer is full."""
         if self._handler is not None:
             self._handler.pause()
 
     def resumeProducing(self) -> None:
-        """Pass on that the caller reads again."""
+        """Resume the handler: the transport's buffer has drained."""
         if self._handler is not None:
             self._handler.resume()
 
     def stopProducing(self) -> None:
-        """Note nothing; the loss of the connection is told otherwise."""
+        """Do nothing; ``connectionLost`` handles the loss of the connection."""
 
     # --- errors and timers -------------------------------------------------------------------------------------------
 
@@ -337,12 +340,12 @@
             self._reject(problem.error_status_hint, str(problem))
 
     def _release_body(self) -> None:
-        """Count the body no longer: the request has ended."""
+        """Remove the body from the server's count of held bytes."""
         self._server.held_bytes -= self._held_bytes
         self._held_bytes = 0
 
     def _reject(self, status: int, detail: str, retry_after: float | None = None) -> None:
-        """Answer a request that can't be read, and close."""
+        """Send an error response to a request that can't be accepted, and close the connection."""
         if self._serving or self._discarding:
             self.transport.abortConnection()
             return
@@ -361,7 +364,7 @@
         self._close_gracefully()
 
     def _close_gracefully(self) -> None:
-        """Close when the caller has had time to read the answer."""
+        """Close the connection once the caller has had time to read the response."""
         if self._state.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED):
             self._stop_timer()
             self.transport.loseConnection()
@@ -376,7 +379,7 @@
     def _handle_timeout(self) -> None:
         self._timer = None
         if self._head is not None or self._head_started:
-            self._reject(408, "the request came too slowly")
+            self._reject(408, "request not received in time")
         else:
             self.transport.loseConnection()
 
@@ -387,7 +390,7 @@
 
 
 class CallerServer(Factory):
-    """Accepts callers."""
+    """Server that accepts the connections of callers."""
 
     noisy = False
 
@@ -403,16 +406,16 @@
         self.get_limits = get_limits
         self.record_rejection = record_rejection
         self.closing = False
-        """True during a planned stop: each answer says that its connection ends."""
+        """True during shutdown: responses carry ``Connection: close``."""
         self.connections: set[CallerConnection] = set()
         self.held_bytes = 0
-        """Bytes of bodies that callers have here."""
+        """Bytes of request bodies held in memory."""
 
     def buildProtocol(self, _: Any) -> CallerConnection:
-        """Return the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return CallerConnection(self)
 
     def close_idle(self) -> None:
-        """Close connections without a request."""
+        """Close the connections that carry no request."""
         for connection in list(self.connections):
             connection.close_if_idle()
--- a/src/beamhatch/relay/upstreams/__init__.py
+++ b/src/beamhatch/relay/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The upstreams: which there are, the HTTP client and the sends."""
+"""Upstreams: the listing, the HTTP client, and the attempts to send a request."""
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -1,7 +1,6 @@
-"""What upstreams say of themselves in their answers, whatever they answer: that they leave, want rest, or a limit.
+"""Announcements in the headers of upstreams' responses: departure, back-off and rate limits.
 
-The one place that takes it in, for each kind of call to an upstream: what concerns all calls would be missed by kinds
-of call that each read what they need.
+Every kind of call to an upstream passes the heads of its responses to ``Announcements.handle_head``.
 """
 
 from __future__ import annotations
@@ -27,15 +26,15 @@
     from beamhatch.relay.upstreams.listing import Listing
 
 LIMIT_LOG_INTERVAL_S = 1.0
-"""Seconds between two lines on changes of one upstream's limit."""
+"""Minimum time between log lines on limit changes of one upstream, unless a limit appears or disappears."""
 
 MISDIRECTED = 421
-"""The status of an upstream that is not the one that was meant."""
+"""HTTP status of an upstream that is not the intended one."""
 
 
 @dataclass(slots=True)
 class Announcements:
-    """Reads the heads of upstreams' answers, and keeps what they say of the upstreams."""
+    """State that upstreams announce in the headers of their responses."""
 
     clock: Clock
     journal: Journal
@@ -45,22 +44,22 @@
     backoffs: Rests = field(default_factory=Rests)
     limits: Limits = field(default_factory=Limits)
     on_restriction: Callable[[Life], None] = lambda life: None
-    """Called when an upstream may be sent nothing from now on that it might be sent before."""
+    """Called when an upstream newly announces a departure, a back-off or a limit."""
     on_departure: Callable[[], None] = lambda: None
-    """Called when an upstream has told this VM that it leaves, and the store has not."""
+    """Called when a response announces a departure that was not known before."""
     _limit_logged_at: dict[Life, float] = field(default_factory=dict)
-    """When the last line was written on the limit of each life, in monotonic seconds."""
+    """Monotonic seconds of the last log line on the limit of each incarnation."""
 
     def handle_head(
         self, upstream: Upstream, head: ResponseHead, sent_at: float, *, is_request: bool = False
     ) -> AnswerFacts:
-        """Return what the head of an upstream's answer says, and take in what it says of the upstream.
+        """Parse the head of an upstream's response, and apply its announcements.
 
-        :param asked_at: when the call went out that is answered, in monotonic seconds
-        :param of_request: whether that was a caller's request, and not a call about memory or parts
+        :param sent_at: monotonic seconds when the call was sent
+        :param is_request: whether the call was a caller's request, not one about reservations or phases
         """
         facts = self.dialect.read_answer(head.status, head.headers)
-        if head.status != MISDIRECTED:  # else it is another one's word
+        if head.status != MISDIRECTED:  # otherwise the response is from another upstream
             self._apply(upstream.life, facts)
             ran = is_request and facts.signed and not facts.not_run
             self._apply_limit(upstream.life, facts.limit, sent_at, clears=ran)
@@ -76,9 +75,9 @@
                 self.on_restriction(life)
 
     def _apply_limit(self, life: Life, limit: NamedLimit | None, sent_at: float, *, clears: bool) -> None:
-        """Take in the limit that an upstream names, or that it names none; what can't be read changes nothing.
+        """Apply the limit that an upstream announces; a limit that can't be parsed changes nothing.
 
-        :param ends: whether an answer without the word takes a limit back: that of a request that was run
+        :param clears: whether a response without a limit clears the known one, as that of a request that ran does
         """
         if limit is not None:
             self.tally.count("announcements_total", "limit" if limit.rate is not None else "unclear_limit")
@@ -89,7 +88,7 @@
             self._record_limit_change(life, before, "its answer")
 
     def apply_limit_state(self, state: LimitWord, source: str) -> bool:
-        """Take in what a peer knows of an upstream's limit; return whether that is news."""
+        """Apply the state of an upstream's limit that a peer sent; return whether it changed anything."""
         before = self.limits.find(state.life)
         if not self.limits.take_word(state, self.clock.now()):
             return False
@@ -97,7 +96,7 @@
         return True
 
     def _record_limit_change(self, life: Life, before: float | None, source: str) -> None:
-        """Write a line on a changed limit, at most one a second for each upstream, and tell of a new one."""
+        """Log a changed limit, rate-limited per incarnation, and report a new one to ``on_restriction``."""
         rate = self.limits.find(life)
         now = self.clock.now()
         is_turn = (rate is None) != (before is None)
@@ -110,7 +109,7 @@
             self.on_restriction(life)
 
     def apply_departure(self, life: Life, source: str) -> bool:
-        """Take in that an upstream leaves, by its own word; return whether that is news."""
+        """Record that an upstream announced its departure; return whether that is new."""
         if not self.listing.record_departure(life, self.clock.now()):
             return False
         self.tally.count("announcements_total", "leaving")
@@ -119,11 +118,11 @@
         return True
 
     def list_unstored(self) -> list[Life]:
-        """Return the lives that leave and of which the store has not told yet, oldest first."""
+        """Return the departing incarnations that the store does not list as departing yet, oldest first."""
         return self.listing.departures.list_unstored()
 
     def record_send(self, upstream: Upstream) -> dict[str, object]:
-        """Count a request that goes to an upstream in spite of what it said; return what its line is to tell."""
+        """Count a request sent to an upstream despite its announcements; return the fields to log."""
         told: dict[str, object] = {}
         if self.listing.is_leaving(upstream):
             told["leaving"] = True
@@ -138,12 +137,12 @@
         return told
 
     def describe_limit(self, life: Life) -> dict[str, float]:
-        """Return what the line of a send tells of the limit that its upstream names; nothing where it names none."""
+        """Return the upstream's limit as log fields; empty if it has none."""
         rate = self.limits.find(life)
         return {} if rate is None else {"limit": rate}
 
     def drop_unlisted(self, listed: Collection[UpstreamId]) -> None:
-        """Drop what was said by upstreams that are known no longer."""
+        """Drop the announcements of upstreams that are not in ``listed``."""
         self.backoffs.keep_only(listed)
         self.limits.keep_only(listed)
         self.limits.forget_old(self.clock.now())
@@ -151,7 +150,7 @@
 
 
 class AnnouncementSink(ResponseSink):
-    """Takes notice of what an upstream says of itself, and of nothing else in its answer."""
+    """Sink that applies the announcements of a response and ignores the rest."""
 
     def __init__(self, announcements: Announcements, upstream: Upstream) -> None:
         self._announcements = announcements
@@ -159,14 +158,14 @@
         self._sent_at = announcements.clock.now()
 
     def handle_head(self, head: ResponseHead) -> None:
-        """Take in what it says."""
+        """Apply the announcements."""
         self._announcements.handle_head(self._upstream, head, self._sent_at)
 
     def handle_data(self, data: bytes) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     def handle_end(self) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     def handle_failure(self, fault: CallFailure, detail: str) -> None:
-        """Take no notice."""
+        """Do nothing."""
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""What all sends to an upstream have in common: what is entered, what a fault leads to, how long to wait for a sign."""
+"""Base of all attempts to send a request to an upstream: accounting, failures and timeouts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Attempt(ResponseSink):
-    """One send; it ends by telling the exchange what to do next."""
+    """Attempt to send a request to one upstream; at its end, the exchange takes the next step."""
 
     def __init__(self, exchange: RelayExchange, send: Send) -> None:
         self.exchange = exchange
@@ -33,9 +33,9 @@
         self.facts: AnswerFacts | None = None
         self.body = bytearray()
         self.permit: SendPermit | None = None
-        """Room at an upstream that is cold or names a limit, held until the request goes out."""
+        """Permit to send to an upstream that is cold or has a limit, held until the request is sent."""
         self._probe: Trial | None = None
-        """Tells whether the upstream is back behind a rest."""
+        """Probe of an upstream after its back-off, if this attempt is one."""
         self._http: HttpExchange | None = None
         self._sent = False
         self._ended = False
@@ -44,17 +44,17 @@
         need = self.request.need
         self._tokens = need.prompt_tokens if send.stage is Stage.PREFILL else need.tokens
         self._pending_prefill_tokens = 0
-        """Tokens of the prompt that the engine has still to read."""
+        """Prompt tokens that the engine has still to process."""
         self._tokens_ahead = 0
-        """Tokens of other prompts that it had to read first, as far as they were known at the start."""
+        """Tokens of other prompts pending at the engine, as known when the attempt started."""
 
     @property
     def sent(self) -> bool:
-        """Tell whether the request was written, or begun to be."""
+        """Whether any part of the request was written."""
         return self._sent
 
     def start(self, call: Call, max_idle_s: float) -> None:
-        """Send the request."""
+        """Send the request on a connection idle for at most ``max_idle_s``."""
         now = self.core.clock.now()
         self.stats.begin(self._tokens, now)
         self._probe = self.core.eligibility.rests.begin(self.send.upstream.life, now)
@@ -67,12 +67,12 @@
 
     @property
     def upstream(self) -> Upstream:
-        """Return whom it is sent to."""
+        """The upstream that the request is sent to."""
         return self.send.upstream
 
     @property
     def _needs_prefill(self) -> bool:
-        """Tell whether the upstream has to read the prompt."""
+        """Whether the upstream has to process the prompt."""
         return self.request.split and self.send.stage in (Stage.PREFILL, Stage.WHOLE)
 
     def _start_prefill(self) -> None:
@@ -89,12 +89,12 @@
             self.core.on_work()
 
     def _record_prefill(self, estimator: ReadingPace) -> None:
-        """Learn from a prompt that was read, unless it had to wait for others."""
+        """Add a sample to the estimator, unless other prompts were pending before this one."""
         if not self._tokens_ahead:
             estimator.note(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
 
     def cancel(self) -> None:
-        """Close the connection; the upstream ends its work."""
+        """Close the connection, which cancels the upstream's work."""
         if self._ended:
             return
         self._end()
@@ -102,21 +102,21 @@
             self._http.cancel()
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Stop reading the response, and stop the timeout."""
         self._stop_timer()
         if self._http is not None:
             self._http.pause()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading the response, and restart the timeout."""
         if self._http is not None and not self._ended:
             self._http.resume()
             self._restart_timer(self.get_timeout())
 
-    # --- what comes back ---------------------------------------------------------------------------------------------
+    # --- response ----------------------------------------------------------------------------------------------------
 
     def handle_sent(self) -> None:
-        """Enter the send where it counts."""
+        """Record that the request is being sent."""
         self._sent = True
         now = self.core.clock.now()
         told = self.core.announcements.record_send(self.send.upstream)
@@ -130,7 +130,7 @@
             self.core.eligibility.note_send(self.send.upstream, self.request.service.cold, now)
 
     def matches(self, head: ResponseHead) -> bool:
-        """Tell whether an answer is to this request."""
+        """Return whether a response is to this request."""
         facts = self.core.dialect.read_answer(head.status, head.headers)
         own = facts.request is None or facts.request == self.request.facts.id
         if not own:
@@ -139,7 +139,7 @@
         return own
 
     def handle_head(self, head: ResponseHead) -> None:
-        """Take the head of the answer."""
+        """Apply the head of the response."""
         self.head = head
         self.facts = self.core.announcements.handle_head(self.send.upstream, head, self._started_at, is_request=True)
         now = self.core.clock.now()
@@ -150,7 +150,7 @@
             self._probe.end(now, answered=not self.has_not_run())
 
     def handle_failure(self, fault: CallFailure, detail: str) -> None:
-        """Go on elsewhere, as far as that is allowed."""
+        """Record the failure, and let the exchange try another upstream."""
         if self._ended:
             return
         self._end()
@@ -181,13 +181,13 @@
         self.exchange.go_on_elsewhere(self)
 
     def _report_broken_run(self, ran: float) -> None:
-        """Tell of a run whose upstream may have ended; a prompt that is only read runs nothing."""
+        """Report a run that may have ended with a crash of the upstream."""
         begun = self.head is not None
         self.core.tally.count("broken_runs_total", "begun" if begun else "unanswered")
         self.core.quarantine_talk.note_broken(self.send.upstream, self.exchange.fingerprint, ran, begun=begun)
 
     def handle_not_run(self) -> None:
-        """Go on elsewhere behind an upstream that turned the request away."""
+        """Record that the upstream rejected the request, and let the exchange try another."""
         self._end()
         now = self.core.clock.now()
         assert self.head is not None
@@ -211,16 +211,16 @@
         self.exchange.go_on_elsewhere(self)
 
     def handle_rejection(self, now: float) -> None:
-        """Take in what a refusal says beside that nothing ran."""
+        """Handle a rejection beyond recording that the request has not run."""
 
     def has_not_run(self) -> bool:
-        """Tell whether the answer proves that the request has not run."""
+        """Return whether the response proves that the request has not run."""
         assert self.head is not None
         assert self.facts is not None
         return self.facts.not_run or self.head.status == MISDIRECTED
 
     def succeed(self) -> None:
-        """Enter that the work was done."""
+        """Record the success of the attempt."""
         self._end()
         now = self.core.clock.now()
         self.stats.note_success(now - self._started_at, now)
@@ -229,20 +229,20 @@
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
 
     def fail(self, detail: str) -> None:
-        """Take the answer as broken, and close the connection."""
+        """Treat the response as malformed, and close the connection."""
         if self._http is not None:
             self._http.cancel()
         self.handle_failure(CallFailure.MALFORMED, detail)
 
-    # --- silence -----------------------------------------------------------------------------------------------------
+    # --- timeouts ----------------------------------------------------------------------------------------------------
 
     @abstractmethod
     def get_timeout(self) -> float:
-        """Return the seconds without a sign after which the upstream is taken to be silent."""
+        """Return the seconds without data after which the upstream is considered unresponsive."""
 
     @abstractmethod
     def may_abandon(self) -> bool:
-        """Tell whether the request may go elsewhere although this upstream may be at work on it."""
+        """Return whether the request may be sent to another upstream although this one may still run it."""
 
     def _handle_timeout(self) -> None:
         self._timer = None
--- a/src/beamhatch/relay/upstreams/departures.py
+++ b/src/beamhatch/relay/upstreams/departures.py
@@ -1,7 +1,6 @@
-"""Which lives of upstreams are known to leave, whoever said so: the store, the upstream itself, or a peer.
+"""Incarnations of upstreams that are shutting down, as announced by the store, by peers or by themselves.
 
-A life that leaves never stays after all, so what is known of it is only ever added to. No order of news matters, and an
-entry of the store that is older than the upstream's own word brings nothing back.
+A departure is final, so the order of updates does not matter, and an older entry of the store can't revert it.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
     from beamhatch.relay.model import Life, UpstreamId
 
 MAX_DEPARTURES = 4096
-"""Lives that are remembered, the newest: 0.5 MB. Over half of the upstreams of the size to design for, 6,900."""
+"""Incarnations kept; the oldest is dropped when there are more."""
 
 
 @dataclass(slots=True)
@@ -23,20 +22,20 @@
     received_at: float
     """Monotonic seconds."""
     by_store: bool
-    """True once the store has it, so that all who read from there know."""
+    """True once the store lists the departure, so that peers learn of it from there."""
 
 
 @dataclass(slots=True)
 class Departures:
-    """All lives that are known to leave."""
+    """Departing incarnations."""
 
     _known: dict[Life, _Departure] = field(default_factory=dict)
-    """In the order in which they were heard of."""
+    """In the order of their first announcement."""
     _ids: set[UpstreamId] = field(default_factory=set)
-    """Whose lives these are: most upstreams stay, and are passed by their ids; see ``Rests``."""
+    """Ids of the upstreams in ``_known``, for a fast check of the many that have no departure."""
 
     def record(self, life: Life, now: float, *, by_store: bool = False) -> bool:
-        """Take in that an upstream leaves; return whether that is news."""
+        """Record a departure; return whether it was unknown."""
         known = self._known.get(life)
         if known is not None:
             known.by_store = known.by_store or by_store
@@ -49,23 +48,23 @@
         return True
 
     def has_upstream(self, upstream: UpstreamId) -> bool:
-        """Tell whether any life of an upstream leaves."""
+        """Return whether any incarnation of the upstream is departing."""
         return upstream in self._ids
 
     def has(self, life: Life) -> bool:
-        """Tell whether a life leaves."""
+        """Return whether the incarnation is departing."""
         return life in self._known
 
     def __len__(self) -> int:
-        """Return how many lives are known to leave."""
+        """Return the number of departing incarnations."""
         return len(self._known)
 
     def list_unstored(self) -> list[Life]:
-        """Return the lives that the store has not told of yet, oldest first."""
+        """Return the departing incarnations that the store does not list as departing yet, oldest first."""
         return [life for life, departure in self._known.items() if not departure.by_store]
 
     def drop_expired(self, listed: Collection[UpstreamId], before: float) -> None:
-        """Drop lives of upstreams that are listed no longer and were heard of before some time."""
+        """Drop departures recorded before a time, in monotonic seconds, of upstreams not in ``listed``."""
         self._known = {
             life: departure
             for life, departure in self._known.items()
--- a/src/beamhatch/relay/upstreams/events.py
+++ b/src/beamhatch/relay/upstreams/events.py
@@ -1,48 +1,48 @@
-"""Check the events of a stream: whole ones only, with ids that rise by one."""
+"""Split a stream into complete events, and check that their ids increase by one."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 MAX_EVENT_BYTES = 256 * 1024
-"""Bytes of one event at the most."""
+"""Maximum size of one event."""
 
 
 @dataclass(frozen=True, slots=True)
 class EventBatch:
-    """Whole events that may be passed on, as bytes, and the id of the last one (None: it had none)."""
+    """Complete events as bytes, and the id of the last event so far (None if no event had an id)."""
 
     data: bytes
     last_id: int | None
 
 
 class StreamError(ValueError):
-    """A stream whose events do not follow each other."""
+    """Error of a stream with invalid, missing or repeated events."""
 
 
 class EventChecker:
-    """Cuts a stream into whole events and checks that none is lost, repeated or foreign."""
+    """Splitter of a stream into complete events that checks the sequence of their ids."""
 
     def __init__(self, last_id: int | None) -> None:
-        """Start behind an event that the caller already has."""
+        """Start after the event ``last_id``; None accepts any first id."""
         self._last_id = last_id
         self._buffer = b""
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the stream stands between two events."""
+        """Whether no event is partially received."""
         return not self._buffer.strip()
 
     def feed(self, data: bytes) -> EventBatch:
-        """Take bytes as they come; return the events that are whole by now.
+        """Add received bytes; return the events that they complete.
 
-        :raises StreamError: where an event's id is not the next one
+        :raises StreamError: if an id is invalid or not the next one, or an event is too large
         """
         self._buffer += data
         end = self._buffer.rfind(b"\n\n")
         if end < 0:
             if len(self._buffer) > MAX_EVENT_BYTES:
-                raise StreamError("an event is too long")
+                raise StreamError("event too large")
             return EventBatch(b"", self._last_id)
         whole, self._buffer = self._buffer[: end + 2], self._buffer[end + 2 :]
         for line in whole.split(b"\n"):
@@ -52,8 +52,8 @@
 
     def _check_id(self, text: bytes) -> None:
         if not text.isdigit():
-            raise StreamError(f"an event has the id {text[:40]!r}")
+            raise StreamError(f"invalid event id {text[:40]!r}")
         number = int(text)
         if self._last_id is not None and number != self._last_id + 1:
-            raise StreamError(f"event {number} follows event {self._last_id}")
+            raise StreamError(f"event {number} received after event {self._last_id}")
         self._last_id = number
