--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -123,18 +123,18 @@
 
     def record_send(self, upstream: Upstream) -> dict[str, object]:
         """Count a request sent to an upstream despite its announcements; return the fields to log."""
-        told: dict[str, object] = {}
+        fields: dict[str, object] = {}
         if self.listing.is_leaving(upstream):
-            told["leaving"] = True
+            fields["leaving"] = True
             self.tally.count("sent_in_spite_total", "leaving")
         if self.limits.find(upstream.life) is not None:
             self.tally.count("limited_sends_total")
         now = self.clock.now()
         end = self.backoffs.find_end(upstream.life, now)
         if end is not None:
-            told["rest_left"] = round(end - now, 3)
+            fields["rest_left"] = round(end - now, 3)
             self.tally.count("sent_in_spite_total", "rest")
-        return told
+        return fields
 
     def describe_limit(self, life: Life) -> dict[str, float]:
         """Return the upstream's limit as log fields; empty if it has none."""
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -119,10 +119,10 @@
         """Record that the request is being sent."""
         self._sent = True
         now = self.core.clock.now()
-        told = self.core.announcements.record_send(self.send.upstream)
-        if told:
+        fields = self.core.announcements.record_send(self.send.upstream)
+        if fields:
             planned = round(now - self._started_at, 3)
-            self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **told)
+            self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **fields)
         self.request.note_sent(self.send, self.core.find_budget(self.request.service.name), now)
         if self.permit is not None:
             self.permit.use(now)
--- a/src/beamhatch/relay/upstreams/events.py
+++ b/src/beamhatch/relay/upstreams/events.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventBatch:
-    """Complete events as bytes, and the id of the last event so far (None if no event had an id)."""
+    """Complete events as bytes, and the id of the last event so far (None if none is known)."""
 
     data: bytes
     last_id: int | None
--- a/src/beamhatch/relay/upstreams/http_client.py
+++ b/src/beamhatch/relay/upstreams/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 connections to upstreams and to the store, over h11, kept and used again.
+"""HTTP/1.1 client for upstreams and the store, built on h11, with reuse of connections.
 
-An exchange tells apart what matters for a repeat: whether anything was sent, and whether the answer is whole and the
-own one.
+Its failures distinguish what decides whether a call may be retried: whether anything may have been sent, and whether
+the response was complete. Responses to other requests are skipped.
 """
 
 from __future__ import annotations
@@ -28,31 +28,31 @@
     from beamhatch.relay.api import Headers
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Bytes of an answer's head at the most."""
+"""Maximum size of the head of a response."""
 
 SWEEP_INTERVAL_S = 1.0
-"""Seconds between two looks for idle connections that are too old."""
+"""Time between sweeps that close expired idle connections."""
 
 USER_TIMEOUT_MS = 5000
-"""Milliseconds after which unacknowledged bytes end a connection."""
+"""Time after which unacknowledged data closes a connection."""
 
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 
 
 class CallFailure(Enum):
-    """Why an exchange ended without a whole answer."""
+    """Reason why an exchange ended without a complete response."""
 
     UNREACHED = "unreached"
-    """No connection came up; nothing was sent."""
+    """No connection was established; nothing was sent."""
     BROKEN = "broken"
-    """The connection ended; the request may have run."""
+    """The connection was lost; the request may have run."""
     MALFORMED = "malformed"
-    """What came is no answer; the request may have run."""
+    """The response was invalid; the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request to send, whole."""
+    """Complete HTTP request to send."""
 
     method: str
     target: str
@@ -62,41 +62,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
 
 
 class ResponseSink(ABC):
-    """Takes in the answer to one call, in order; after an end or a fault nothing more comes."""
+    """Receiver of the response to one call; ``handle_end`` or ``handle_failure`` is the last call to it."""
 
     def handle_sent(self) -> None:  # noqa: B027 - most sinks need not know
-        """Note that the request is being written."""
+        """Handle the start of writing the request."""
 
     def matches(self, head: ResponseHead) -> bool:
-        """Tell whether an answer is the one to this call, and not a late one to another."""
+        """Return whether a response is to this call, not a late one to another call."""
         return True
 
     @abstractmethod
     def handle_head(self, head: ResponseHead) -> None:
-        """Take the head of the answer."""
+        """Handle the head of the response."""
 
     @abstractmethod
     def handle_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle body data."""
 
     @abstractmethod
     def handle_end(self) -> None:
-        """Note that the answer is whole."""
+        """Handle the end of a complete response."""
 
     @abstractmethod
     def handle_failure(self, fault: CallFailure, detail: str) -> None:
-        """Note that there will be no whole answer."""
+        """Handle a failure: no complete response will follow."""
 
 
 class HttpExchange:
-    """One call under way."""
+    """Call in progress."""
 
     def __init__(self, call: Call, sink: ResponseSink) -> None:
         self.call = call
@@ -105,7 +105,7 @@
         self.connector: Any = None
 
     def cancel(self) -> None:
-        """End the call by closing its connection; the sink hears nothing more."""
+        """Close the connection without notifying the sink."""
         self.sink = None
         if self.connection is not None:
             self.connection.abort()
@@ -113,33 +113,33 @@
             self.connector.disconnect()
 
     def pause(self) -> None:
-        """Stop reading for a while."""
+        """Stop reading the response."""
         if self.connection is not None and self.connection.transport is not None:
             self.connection.paused = True
             self.connection.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading the response."""
         if self.connection is not None and self.connection.transport is not None:
             self.connection.paused = False
             self.connection.transport.resumeProducing()
 
     def report_failure(self, fault: CallFailure, detail: str) -> None:
-        """Tell the sink of a fault, once."""
+        """Report a failure to the sink, unless the exchange has ended."""
         sink, self.sink = self.sink, None
         if sink is not None:
             sink.handle_failure(fault, detail)
 
 
 class Connection(Protocol):
-    """One connection; it carries one call at a time."""
+    """Connection that carries one call at a time."""
 
     def __init__(self, client: HttpClient, address: Address) -> None:
         self.address = address
         self.idle_until = 0.0
         self.idle_since = 0.0
         self.paused = False
-        """True while nothing is read, so that its end is not seen."""
+        """True while reading is paused and the end of the connection can't be seen."""
         self._client = client
         self._exchange: HttpExchange | None = None
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
@@ -147,12 +147,12 @@
         self._head: ResponseHead | None = None
 
     def connectionMade(self) -> None:
-        """Set up the socket."""
+        """Set the socket options."""
         self.transport.setTcpNoDelay(True)
         self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def send(self, exchange: HttpExchange) -> None:
-        """Write a call."""
+        """Write a call's request."""
         self._exchange = exchange
         exchange.connection = self
         if exchange.sink is not None:
@@ -160,19 +160,19 @@
         self.transport.write(self._encode(exchange.call))
 
     def abort(self) -> None:
-        """Close at once."""
+        """Reset the connection."""
         self._exchange = None
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes of an answer; bytes that nobody waits for end the connection."""
+        """Parse received bytes; reset the connection if no call is in progress."""
         if self._exchange is None:
             self.abort()
             return
         self._feed(data)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
-        """End the answer that was under way, whole if it ends with its connection."""
+        """End the call in progress; a response delimited by a clean close is complete."""
         self._client.remove(self)
         if self._exchange is not None and reason.check(error.ConnectionDone):
             self._feed(b"")
@@ -222,7 +222,7 @@
             sink.handle_end()
 
     def _restart(self, exchange: HttpExchange) -> None:
-        """Go on waiting for the own answer behind a foreign one."""
+        """Reset the parser to wait for the response to this call after a response to another."""
         rest, closed = self._state.trailing_data
         self._skipping = False
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
@@ -230,10 +230,10 @@
         if rest:
             self._state.receive_data(rest)
         if closed:
-            self._fail(CallFailure.BROKEN, "the connection ended behind an answer to another request")
+            self._fail(CallFailure.BROKEN, "connection closed after a response to another request")
 
     def _release(self) -> None:
-        """Keep the connection for another call, if both sides can."""
+        """Keep the connection for reuse, or close it if it can't be reused."""
         rest, closed = self._state.trailing_data
         head = self._head
         reusable = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
@@ -262,7 +262,7 @@
 
 
 class _Connector(ClientFactory):
-    """Brings up a connection for one exchange."""
+    """Factory of the connection for one exchange."""
 
     noisy = False
 
@@ -272,7 +272,7 @@
         self._exchange = exchange
 
     def buildProtocol(self, _: Any) -> Connection | None:
-        """Return the protocol, which starts with the exchange."""
+        """Create the protocol, unless the exchange was cancelled."""
         if self._exchange.sink is None:
             return None
         connection = _NewConnection(self._client, self._address, self._exchange)
@@ -280,19 +280,19 @@
         return connection
 
     def clientConnectionFailed(self, _: Any, reason: TwistedFailure) -> None:
-        """Tell that nothing was sent."""
+        """Report that nothing was sent."""
         self._exchange.report_failure(CallFailure.UNREACHED, reason.getErrorMessage())
 
 
 class _NewConnection(Connection):
-    """A connection that sends its first call as soon as it is up."""
+    """Connection that sends its first call as soon as it is established."""
 
     def __init__(self, client: HttpClient, address: Address, exchange: HttpExchange) -> None:
         super().__init__(client, address)
         self._first_exchange: HttpExchange | None = exchange
 
     def connectionMade(self) -> None:
-        """Send the first call."""
+        """Send the first call, unless it was cancelled."""
         super().connectionMade()
         exchange, self._first_exchange = self._first_exchange, None
         if exchange is not None and exchange.sink is not None:
@@ -302,7 +302,7 @@
 
 
 class HttpClient:
-    """All connections, by address."""
+    """HTTP client with a pool of connections per address."""
 
     def __init__(self, clock: Clock, *, connect_timeout: float = 0.5) -> None:
         self._clock = clock
@@ -310,16 +310,16 @@
         self._idle: dict[Address, list[Connection]] = {}
         self._open: dict[Address, set[Connection]] = {}
         self.opened_count = 0
-        """Connections opened so far."""
+        """Number of connection attempts so far."""
 
     def start(self) -> None:
-        """Begin to close connections that are idle for too long."""
+        """Start the periodic sweep of idle connections."""
         self._clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def open(self, address: Address, call: Call, sink: ResponseSink, *, max_idle_s: float = 1e9) -> HttpExchange:
-        """Send a call on a kept connection that was idle for a short enough time, or else on a new one.
+        """Send a call on the last used idle connection if it is recent enough, otherwise on a new one.
 
-        :param most_idle: seconds; a call that may not be repeated rather takes a new connection than an old one
+        :param max_idle_s: limit on the idle time; low for calls that must not be retried after a stale connection
         """
         exchange = HttpExchange(call, sink)
         connection = self._pop_idle(address, max_idle_s)
@@ -334,22 +334,22 @@
         return exchange
 
     def list_open(self, address: Address) -> Set[Connection]:
-        """Return the connections to an address that are open."""
+        """Return the open connections to an address."""
         return frozenset(self._open.get(address, ()))
 
     def add_idle(self, connection: Connection, idle_timeout: float) -> None:
-        """Keep an idle connection, for less than the other side does."""
+        """Add an idle connection to the pool, to expire before the peer closes it."""
         now = self._clock.now()
         connection.idle_since = now
         connection.idle_until = now + max(0.0, min(idle_timeout - 1.0, idle_timeout * 0.7))
         self._idle.setdefault(connection.address, []).append(connection)
 
     def add_open(self, connection: Connection) -> None:
-        """Count a connection that came up."""
+        """Add a connection to the open ones."""
         self._open.setdefault(connection.address, set()).add(connection)
 
     def remove(self, connection: Connection) -> None:
-        """Drop a connection that ended."""
+        """Remove a closed connection."""
         left = self._open.get(connection.address, set())
         left.discard(connection)
         if not left:
@@ -361,7 +361,7 @@
                 del self._idle[connection.address]
 
     def close_idle(self, address: Address) -> None:
-        """Close what is kept to an address."""
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.transport.loseConnection()
 
--- a/src/beamhatch/relay/upstreams/http_fetch.py
+++ b/src/beamhatch/relay/upstreams/http_fetch.py
@@ -1,4 +1,4 @@
-"""Ask for one whole answer and wait for it, as calls to the store do."""
+"""Calls that return a complete response as a deferred, as used for the store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from beamhatch.relay.upstreams.http_client import Call, HttpClient, HttpExchange, ResponseHead
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Bytes of a fetched answer at the most: some pages of the store's lists."""
+"""Maximum size of the body of a fetched response."""
 
 
 class _Fetch(ResponseSink):
@@ -33,7 +33,7 @@
         self._body += data
         if len(self._body) > MAX_BODY_BYTES:
             self._cancel()
-            self._finish("the answer is too long")
+            self._finish("response body too large")
 
     def handle_end(self) -> None:
         assert self._head is not None
@@ -44,7 +44,7 @@
 
     def _handle_timeout(self) -> None:
         self._cancel()
-        self._finish("no answer in time")
+        self._finish("no response in time")
 
     def _handle_cancel(self, _: Any) -> None:
         self._cancel()
@@ -65,7 +65,7 @@
 def fetch(
     client: HttpClient, clock: Clock, address: Address, call: Call, timeout: float
 ) -> defer.Deferred[WholeAnswer | str]:
-    """Send a call; the deferred fires with its answer, or with what went wrong.
+    """Send a call; the deferred fires with the response, or with the error as text.
 
     Cancelling the deferred closes the connection.
 
--- a/src/beamhatch/relay/upstreams/listing.py
+++ b/src/beamhatch/relay/upstreams/listing.py
@@ -1,7 +1,7 @@
-"""The listing aggregate: which upstreams there are, as told by the store and by peers, whichever is newer.
+"""Listing of all upstreams, merged from the updates of the store and of peers.
 
-Each entry carries the store's revision of its last change. Whoever tells it, the higher revision wins, so the order in
-which news arrive does not matter, and no belief goes back.
+Each entry carries the store's revision of its last change. The higher revision wins, whatever its source, so the order
+of updates does not matter and an entry never reverts to an older state.
 """
 
 from __future__ import annotations
@@ -18,52 +18,53 @@
     from beamhatch.relay.model import Life
 
 GONE_GRACE_SHARE = 0.85
-"""Share of the time behind the end of its entry, in which an upstream may still be sent requests, that is used."""
+"""Share of the drain time for which an upstream whose entry was removed is still used."""
 
 DEFAULT_DRAIN_S = 2.0
-"""Seconds of that time where the settings do not tell it."""
+"""Drain time if the settings give none: how long an upstream accepts requests after its entry was removed."""
 
 RETURN_TIMEOUT_S = 5.0
-"""Seconds for which an upstream whose entry went without notice is expected back.
+"""Time for which an upstream whose entry was removed without a departure is expected back.
 
-It had been silent for some seconds before its entry went; one that crashed or was cut off is mostly back by then.
+Entries expire only after some seconds without heartbeats, so most upstreams that crashed or were cut off are back by
+then.
 """
 
 TOMBSTONE_TTL_S = 120.0
-"""Seconds for which it is remembered that an upstream is gone: longer than old news travel."""
+"""Time for which removed entries are kept, longer than outdated updates circulate."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """The newest news of one upstream; ``upstream`` is None where its entry is gone."""
+    """State of one upstream at a revision; ``upstream`` is None if its entry was removed."""
 
     id: UpstreamId
     revision: int
     upstream: Upstream | None
     readable: bool = True
-    """False where something else stands in its place: it is not even expected back."""
+    """False if the stored entry can't be parsed; the upstream is then not expected back."""
 
 
 @dataclass(slots=True)
 class _Record:
     entry: Entry
     last_upstream: Upstream | None
-    """What was listed last, also after the entry is gone."""
+    """The last listed state, also after the entry was removed."""
     changed_at: float
     first_seen_at: float
-    """When it was heard of first."""
+    """Monotonic seconds of the first update."""
     cold_until: float = 0.0
-    """Until when it is cold, in monotonic seconds."""
+    """Monotonic seconds until which the upstream is cold."""
 
     def get_entry(self, now: float) -> Entry:
-        """Return the entry, with the time for which the upstream is still cold as it is now."""
+        """Return the entry with the remaining cold time as of now."""
         upstream = self.entry.upstream
         if upstream is None or not upstream.cold_left:
             return self.entry
         return replace(self.entry, upstream=replace(upstream, cold_left=max(0.0, self.cold_until - now)))
 
     def may_replace(self, other: _Record) -> bool:
-        """Tell whether this may be another one, started anew: in its hall, and not known before it fell silent."""
+        """Return whether this may be the other restarted: same hall, first seen later and not long before its removal."""
         assert self.last_upstream is not None
         assert other.last_upstream is not None
         newer = self.first_seen_at > max(other.first_seen_at, other.changed_at - RETURN_TIMEOUT_S)
@@ -72,27 +73,27 @@
 
 @dataclass(slots=True)
 class Listing:
-    """All upstreams by id."""
+    """All upstreams, by id."""
 
     newest_revision: int = 0
-    """The highest revision among the entries."""
+    """The highest revision of any update."""
     gone_grace_s: float = GONE_GRACE_SHARE * DEFAULT_DRAIN_S
-    """Seconds for which upstreams whose entries went without notice may still be used.
+    """Time for which upstreams whose entries were removed without a departure may still be used.
 
-    Entries also go when the store loses the leases of upstreams that are well; these are back about 2 s later.
+    Entries of healthy upstreams disappear for a short time if the store loses their leases.
     """
     complete: bool = False
-    """True once a whole list has been taken in."""
+    """True once a full snapshot was applied."""
     latest_cold_until: float = 0.0
-    """Until when any upstream was said to be cold at the most, in monotonic seconds."""
+    """Monotonic seconds until which any upstream may be cold."""
     departures: Departures = field(default_factory=Departures)
-    """The lives that are known to leave: they don't come back, whatever their entries say."""
+    """Departing incarnations, which are never used again, whatever their entries say."""
     _records: dict[UpstreamId, _Record] = field(default_factory=dict)
     _listed: dict[ServiceName, list[Upstream]] = field(default_factory=dict)
-    """What ``list_usable`` returned since the last change, where it does not depend on the time."""
+    """Cached results of ``list_usable`` that do not depend on the time; cleared by each change."""
 
     def apply(self, entry: Entry, now: float) -> bool:
-        """Take in news of one upstream; return whether they changed what is believed."""
+        """Apply an update of one upstream; return False if it is not newer than the known entry."""
         known = self._records.get(entry.id)
         if known is not None and known.entry.revision >= entry.revision:
             return False
@@ -112,20 +113,20 @@
         return True
 
     def record_departure(self, life: Life, now: float) -> bool:
-        """Take in that an upstream leaves, by another word than its entry; return whether that is news."""
+        """Record a departure that the upstream's entry does not show; return whether it was unknown."""
         self._listed.clear()
         return self.departures.record(life, now)
 
     def is_leaving(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream leaves."""
+        """Return whether the upstream is departing."""
         return self.departures.has_upstream(upstream.id) and self.departures.has(upstream.life)
 
     def _is_usable(self, known: _Record) -> bool:
-        """Tell whether it may be used, or expected back, as long as its entry is not gone for long."""
+        """Return whether the upstream may be used, or be expected back if its entry was removed."""
         return known.last_upstream is not None and known.entry.readable and not self.is_leaving(known.last_upstream)
 
     def apply_snapshot(self, entries: Iterable[Entry], revision: int, now: float) -> list[Entry]:
-        """Take in a whole list as of a revision; what it lacks is gone. Return the news."""
+        """Apply a full list as of a revision, removing entries that it lacks; return the entries that changed."""
         listed = list(entries)
         names = {entry.id for entry in listed}
         gone = [
@@ -137,7 +138,7 @@
         return [entry for entry in [*listed, *gone] if self.apply(entry, now)]
 
     def exclude_gone(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Return those of some entries that a copy of the store may tell rightly: not the lives that are gone since."""
+        """Return the entries without incarnations that are known as removed, which an outdated copy may still list."""
         return [entry for entry in entries if not self._is_gone(entry)]
 
     def _is_gone(self, entry: Entry) -> bool:
@@ -147,15 +148,15 @@
         return known.last_upstream.is_same_life(entry.upstream)
 
     def list_since(self, revision: int, now: float) -> list[Entry]:
-        """Return the news behind a revision as they are handed on now, oldest first."""
+        """Return the entries changed after a revision, oldest first, with current cold times."""
         entries = [known.get_entry(now) for known in self._records.values() if known.entry.revision > revision]
         return sorted(entries, key=lambda entry: entry.revision)
 
     def list_usable(self, service: ServiceName, now: float) -> list[Upstream]:
-        """Return the upstreams of a service that may get new work.
+        """Return the upstreams of a service that may be sent new requests.
 
-        Those whose entries went a moment ago are among them where they are no fewer than the others: so many at once
-        lapsed, and are about to come back.
+        Upstreams whose entries were just removed are included if they are at least as many as the listed ones: so many
+        removals at once mean that leases expired, not that the upstreams are gone.
         """
         known_list = self._listed.get(service)
         if known_list is not None:
@@ -175,19 +176,19 @@
         return [*listed, *recently_gone] if len(recently_gone) >= len(listed) else listed
 
     def list_leaving(self, service: ServiceName) -> list[Upstream]:
-        """Return the upstreams of a service that are listed still, and leave."""
+        """Return the upstreams of a service that are still listed but departing."""
         listed = (known.entry.upstream for known in self._records.values())
         return [one for one in listed if one is not None and one.service == service and self.is_leaving(one)]
 
     def list_expected(
         self, service: ServiceName, now: float, unresponsive: Collection[UpstreamId] = ()
     ) -> list[Upstream]:
-        """Return the upstreams of a service that are there for some time.
+        """Return the upstreams of a service that can be counted on: listed, or expected back soon.
 
-        Those that are leaving are not; those whose entries went without notice are for a while, as most come back. One
-        that restarts does so in its hall under its id or another, so each that is new there stands for one that went.
+        Departing upstreams are left out. An upstream may restart in its hall under another id, so each new upstream
+        there replaces one that is expected back.
 
-        :param silent: those that do not answer; their entries may still be listed for some heartbeats
+        :param unresponsive: upstreams that do not answer, whose entries may not have expired yet
         """
         listed = []
         unlisted = []
@@ -209,37 +210,37 @@
         return expected
 
     def count_departed(self, service: ServiceName) -> int:
-        """Return how many upstreams of a service have said that they leave, as far as they are remembered."""
+        """Return the number of departing upstreams of a service, among those still remembered."""
         last = (known.last_upstream for known in self._records.values())
         return sum(one is not None and one.service == service and self.is_leaving(one) for one in last)
 
     def get_cold_until(self, upstream: UpstreamId) -> float:
-        """Return until when an upstream is cold, in monotonic seconds; a time that is over where it is warm."""
+        """Return the monotonic seconds until which an upstream is cold; a time in the past if it is warm."""
         known = self._records.get(upstream)
         return 0.0 if known is None else known.cold_until
 
     def get_last_listed(self, upstream: UpstreamId) -> Upstream | None:
-        """Return what was listed last of an upstream, also after its entry is gone."""
+        """Return the last listed state of an upstream, also after its entry was removed."""
         known = self._records.get(upstream)
         return None if known is None else known.last_upstream
 
     def get(self, upstream: UpstreamId) -> Upstream | None:
-        """Return an upstream that is listed."""
+        """Return an upstream, or None if it is not listed."""
         known = self._records.get(upstream)
         return None if known is None else known.entry.upstream
 
     def get_oldest_revision(self) -> int:
-        """Return the lowest revision among the entries that are listed, 0 where none is."""
+        """Return the lowest revision of a listed entry, or 0 if none is listed."""
         return min(
             (known.entry.revision for known in self._records.values() if known.entry.upstream is not None), default=0
         )
 
     def list_ids(self) -> set[UpstreamId]:
-        """Return the ids of all upstreams, gone ones as long as they are remembered."""
+        """Return the ids of all upstreams, including removed ones still remembered."""
         return set(self._records)
 
     def drop_expired(self, now: float) -> None:
-        """Drop entries that went long ago."""
+        """Drop entries and departures that were removed long ago."""
         old = [
             name
             for name, known in self._records.items()
--- a/src/beamhatch/relay/upstreams/prefill_attempt.py
+++ b/src/beamhatch/relay/upstreams/prefill_attempt.py
@@ -1,4 +1,4 @@
-"""Have a prefill engine read the prompt."""
+"""Attempt to have a prefill engine process a prompt."""
 
 from __future__ import annotations
 
@@ -8,44 +8,42 @@
 from beamhatch.relay.upstreams.http_client import CallFailure
 
 MAX_BODY_BYTES = 64 * 1024
-"""Bytes of an answer to a prefill at the most; it has less than a hundred."""
+"""Maximum size of the body of a response."""
 
 MIN_TIMEOUT_S = 0.6
-"""Seconds: four times what a prompt takes at an engine that is not busy."""
+"""Lower bound of the timeout."""
 
 TIMEOUT_FACTOR = 4.0
-"""Times the engine's mean that a prompt may take before the engine is taken to be silent."""
+"""Timeout as a multiple of the engine's mean latency."""
 
 SLOWEST_PREFILL_FACTOR = 2.0
-"""Times the slowest prompt of late, at any engine, that this one may take.
+"""Timeout as a multiple of the slowest recent prefill at any engine.
 
-A VM of a large fleet has one prompt at an engine in some seconds: by that engine's own answers it can not tell one that
-is busy from one that is silent. On a day of bursts, 150 of 194 prompts were given up at the shortest patience, and
-read anew elsewhere at the worst moment.
+A VM that rarely uses an engine can't tell from that engine's own responses whether it is busy or unresponsive.
 """
 
 MAX_PREFILL_WAIT_S = 3.0
-"""Seconds for which a prompt waits at an engine that reads others meanwhile."""
+"""Time after which a prefill is sent elsewhere even if the engine completes others meanwhile."""
 
 
 class PrefillAttempt(Attempt):
-    """Has an engine read the prompt and hold its KV cache."""
+    """Attempt at a prefill engine, which processes the prompt and holds its KV cache."""
 
     def handle_data(self, data: bytes) -> None:
-        """Take a part of the answer."""
+        """Buffer body data."""
         self.body += data
         if len(self.body) > MAX_BODY_BYTES:
-            self.fail("the answer to a prefill is too long")
+            self.fail("prefill response too large")
 
     def handle_end(self) -> None:
-        """Go on to a decode engine."""
+        """Record the handle of the KV cache, and let the exchange go on to a decode engine."""
         assert self.head is not None
         if self.has_not_run():
             self.handle_not_run()
             return
         handle = self.core.dialect.read_handle(bytes(self.body)) if self.head.status == 200 else None
         if handle is None:
-            self.handle_failure(CallFailure.MALFORMED, f"status {self.head.status} to a prefill")
+            self.handle_failure(CallFailure.MALFORMED, f"prefill failed with status {self.head.status}")
             return
         self.succeed()
         now = self.core.clock.now()
@@ -55,7 +53,7 @@
         self.exchange.go_on_elsewhere(self)
 
     def get_timeout(self) -> float:
-        """Return the patience: some times what this engine takes at present, or any engine at the worst."""
+        """Return the timeout, from the engine's mean latency and the slowest recent prefill at any engine."""
         by_engine = TIMEOUT_FACTOR * self.stats.latency
         if Mechanism.READ_TIMES in self.core.without:
             return max(MIN_TIMEOUT_S, by_engine)
@@ -63,7 +61,7 @@
         return max(MIN_TIMEOUT_S, by_engine, SLOWEST_PREFILL_FACTOR * slowest)
 
     def may_abandon(self) -> bool:
-        """Tell whether a prefill, which runs nothing, may go elsewhere: not where the engine just has much to read."""
+        """Return whether the prefill may be sent elsewhere: not if the engine is only busy, up to a maximum wait."""
         alive = self.stats.succeeded_at > self._started_at
         waited = self.core.clock.now() - self._started_at
         return not alive or waited > MAX_PREFILL_WAIT_S
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -1,4 +1,4 @@
-"""Ask a decode engine to set memory aside."""
+"""Attempt to reserve memory at a decode engine."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from beamhatch.relay.upstreams.http_client import Call, HttpExchange, ResponseHead
 
 MAX_BODY_BYTES = 64 * 1024
-"""Bytes of an answer about memory at the most; it has less than a hundred."""
+"""Maximum size of each piece of body data that is kept."""
 
 GRANTED = 200
-"""The status of an engine that has set memory aside."""
+"""HTTP status of a granted reservation."""
 
 TIMEOUT_S = 0.12
-"""Seconds: the answer takes milliseconds, and a new request has a quarter of its target to be refused in."""
+"""Short, as engines respond within milliseconds and the request has to be rejected early if there is no memory."""
 
 
 class ReserveAttempt(ResponseSink):
-    """Asks a decode engine to set memory aside; it runs nothing, and counts as no send."""
+    """Attempt to reserve memory at a decode engine; it runs nothing and does not count as a send."""
 
     def __init__(self, exchange: RelayExchange, step: Reserve) -> None:
         self.core = exchange.core
@@ -37,19 +37,19 @@
         self._http: HttpExchange | None = None
         self._ended = False
         self.sent = False
-        """True once the call was written, or begun to be."""
+        """True once any part of the call was written."""
         self._started_at = self.core.clock.now()
         self._probe: Trial | None = None
-        """Tells whether the engine is back behind a rest."""
+        """Probe of the engine after its back-off, if this attempt is one."""
         self._timer: Any = self.core.clock.call_later(TIMEOUT_S, self._handle_timeout)
 
     @property
     def upstream(self) -> Upstream:
-        """Return who is asked."""
+        """The engine that is asked for memory."""
         return self._step.upstream
 
     def start(self, call: Call) -> None:
-        """Ask."""
+        """Send the call."""
         now = self.core.clock.now()
         self.core.standings.get(self._step.upstream.id).tried_at = now
         self._probe = self.core.eligibility.rests.begin(self._step.upstream.life, now)
@@ -58,36 +58,36 @@
             self._http = http
 
     def cancel(self) -> None:
-        """Ask no longer; what was set aside meanwhile lapses."""
+        """Cancel the call; memory reserved meanwhile expires at the engine."""
         if not self._ended:
             self._end()
             if self._http is not None:
                 self._http.cancel()
 
     def pause(self) -> None:
-        """Read on: there is nothing to hold up."""
+        """Do nothing: the response is not forwarded to the caller."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Do nothing."""
 
     def handle_sent(self) -> None:
-        """Note where memory is asked for in spite of what the engine said."""
+        """Record the send, and log it if it goes against the engine's announcements."""
         self.sent = True
-        told = self.core.announcements.record_send(self._step.upstream)
-        if told:
-            self._exchange.write_log("asked in spite of its word", to=self._step.upstream.id, **told)
+        fields = self.core.announcements.record_send(self._step.upstream)
+        if fields:
+            self._exchange.write_log("asked in spite of its word", to=self._step.upstream.id, **fields)
 
     def handle_head(self, head: ResponseHead) -> None:
-        """Take the head of the answer."""
+        """Apply the announcements in the head of the response."""
         self._head = head
         self.core.announcements.handle_head(self._step.upstream, head, self._started_at)
 
     def handle_data(self, data: bytes) -> None:
-        """Take a part of the answer."""
+        """Buffer body data."""
         self._body += data[:MAX_BODY_BYTES]
 
     def handle_end(self) -> None:
-        """Tell the request what was set aside."""
+        """Record the result, and let the exchange go on."""
         assert self._head is not None
         if self._ended:
             return
@@ -111,7 +111,7 @@
         self._exchange.go_on_elsewhere(self)
 
     def handle_failure(self, fault: CallFailure, detail: str) -> None:
-        """Go on elsewhere."""
+        """Record the failure, and let the exchange try another upstream."""
         if self._ended:
             return
         self._end()
@@ -124,7 +124,7 @@
     def _handle_timeout(self) -> None:
         if self._http is not None:
             self._http.cancel()
-        self.handle_failure(CallFailure.UNREACHED, "no answer in time")
+        self.handle_failure(CallFailure.UNREACHED, "no response in time")
 
     def _end(self) -> None:
         self._ended = True
--- a/src/beamhatch/relay/upstreams/retry_after.py
+++ b/src/beamhatch/relay/upstreams/retry_after.py
@@ -1,4 +1,4 @@
-"""Read how long an answer asks its caller to stay away (``Retry-After``, RFC 9110, section 10.2.3)."""
+"""Parsing of the ``Retry-After`` header (RFC 9110, section 10.2.3)."""
 
 from __future__ import annotations
 
@@ -10,23 +10,20 @@
     from datetime import datetime
 
 MAX_RETRY_AFTER_S = 600.0
-"""Seconds that are obeyed at the most, whatever is asked.
-
-Behind them one request tells whether it still holds. A day asked by mistake would else take the upstream from a VM
-until one of both restarts; a day asked in earnest costs one repeated send in ten minutes.
-"""
+"""Upper bound of the returned time, so that a mistaken long time does not exclude an upstream until a restart."""
 
 _SECONDS = re.compile(r"[0-9]+(\.[0-9]+)?")
-"""Fractions are no part of the standard, but the platform's pages have them."""
+"""Fractions of a second are an extension of the standard that the platform uses."""
 
 
 def parse_retry_after(text: str | None, date: str | None) -> float | None:
-    """Return the seconds to stay away, or None where nothing that can be read is asked.
+    """Return the seconds to wait before a retry, or None if the header has no valid time in the future.
 
-    A negative number, a word and a date that is over ask nothing. A date is read against the answer's own: the clock of
-    this VM may be seconds off, and jump. Without that it is not read.
+    An HTTP date is compared with the response's ``Date``, as the local clock may be wrong; without ``Date`` it is
+    ignored.
 
-    :param date: the answer's ``Date``
+    :param text: value of ``Retry-After``
+    :param date: value of ``Date``
     """
     if text is None:
         return None
@@ -42,7 +39,7 @@
         return None
     try:
         return (until - now).total_seconds()
-    except TypeError:  # one of them tells its zone and the other does not
+    except TypeError:  # only one of them has a time zone
         return None
 
 
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -1,4 +1,4 @@
-"""Have a decode engine answer by a stream of events."""
+"""Attempt to have a decode engine answer with a stream of events."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
     from beamhatch.relay.upstreams.http_client import ResponseHead
 
 FIRST_EVENT_TIMEOUT_FACTOR = 1.33
-"""Times the target latency until the first event of an engine that has the prompt's KV cache."""
+"""Timeout until the first event, as a multiple of the target latency, if the engine gets the prompt's KV cache."""
 
 DECODE_PREFILL_TIMEOUT_FACTOR = 2.8
-"""Times the target latency until the first event of an engine that has to read the prompt."""
+"""Timeout until the first event, as a multiple of the target latency, if the engine processes the prompt itself."""
 
 EVENT_GAP_TIMEOUT_FACTOR = 3.3
-"""Times the target pause between two events after which the engine is taken to be silent."""
+"""Timeout between two events, as a multiple of the target time between events."""
 
 MIN_TIMEOUT_S = 0.6
-"""Seconds."""
+"""Lower bound of the timeouts."""
 
 LAPSED_HANDLE_PAUSE_S = 3.0
-"""Seconds for which a prefill engine whose handles lapsed is passed over."""
+"""Time for which a prefill engine is avoided after one of its KV cache handles expired."""
 
 
 class StreamAttempt(Attempt):
-    """Has an engine answer by a stream of events, which are passed on as they come."""
+    """Attempt at a decode engine, whose events are forwarded as they arrive."""
 
     def __init__(self, exchange: RelayExchange, send: Send) -> None:
         super().__init__(exchange, send)
         self._events = EventChecker(self.request.last_event)
         self._last_event_at: float | None = None
-        """When the last events came from this engine, in monotonic seconds."""
+        """Monotonic seconds of the last events from this engine."""
 
     def handle_head(self, head: ResponseHead) -> None:
-        """Take the head; a stream's is passed on with its first event."""
+        """Apply the head; that of a stream is forwarded with the first event."""
         super().handle_head(head)
         if self._is_stream and self.send.handle is not None:
             self.request.note_handle_spent()
 
     def handle_data(self, data: bytes) -> None:
-        """Pass whole events on."""
+        """Forward complete events, or buffer the body of an error response."""
         if not self._is_stream:
             self.body += data
             return
@@ -60,33 +60,33 @@
             self._forward_events(events.data, events.last_id)
 
     def handle_end(self) -> None:
-        """End the answer, or go on elsewhere."""
+        """End the response, or let the exchange try another upstream."""
         if self.has_not_run():
             self.handle_not_run()
         elif not self._is_stream:
             self._handle_error_response()
         elif not self._events.is_complete or not self.exchange.request.begun:
-            self.handle_failure(CallFailure.BROKEN, "the stream ended inside an event")
+            self.handle_failure(CallFailure.BROKEN, "stream ended inside an event or before the first one")
         else:
             self.succeed()
             self._record_output_length()
             self.exchange.end_answer()
 
     def _record_output_length(self) -> None:
-        """Learn how long the answer became."""
+        """Record the length of the output."""
         service = self.request.service
         if service.engine is not None and self.request.last_event:
             tokens = self.request.last_event * service.engine.event_tokens
             self.core.note_length(service.name, self.request.facts, tokens)
 
     def handle_rejection(self, now: float) -> None:
-        """Take in that an engine could not have the KV cache."""
+        """Avoid the prefill engine for a while if the handoff of its KV cache failed."""
         if self.send.handle is not None and self.request.landings_failed:
             holder = self.core.standings.get(self.send.handle.upstream.id)
             holder.lapsed_until = now + LAPSED_HANDLE_PAUSE_S
 
     def get_timeout(self) -> float:
-        """Return the patience with an engine that has to read the prompt, or has it."""
+        """Return the timeout until the first event or between events."""
         route = self.request.route
         if self.request.begun:
             return max(MIN_TIMEOUT_S, EVENT_GAP_TIMEOUT_FACTOR * route.target_gap)
@@ -94,7 +94,7 @@
         return max(MIN_TIMEOUT_S, times * route.target_latency)
 
     def may_abandon(self) -> bool:
-        """Tell whether the stream may be taken up elsewhere."""
+        """Return whether the stream may be resumed at another engine."""
         return not self._sent or self.request.may_run_again
 
     @property
@@ -116,7 +116,7 @@
         self._restart_timer(self.get_timeout())
 
     def _record_token_rate(self, last: int | None) -> None:
-        """Learn how fast tokens come, from each event behind the engine's first."""
+        """Record the token rate, from each event after the engine's first."""
         now = self.core.clock.now()
         before, self._last_event_at = self._last_event_at, now
         service = self.request.service
@@ -138,4 +138,4 @@
             return
         if status >= 500:
             self.exchange.keep_failure(WholeAnswer(self.head, bytes(self.body)))
-        self.handle_failure(CallFailure.MALFORMED, f"the upstream failed with {status}")
+        self.handle_failure(CallFailure.MALFORMED, f"upstream failed with status {status}")
--- a/tests/relay/upstreams/__init__.py
+++ b/tests/relay/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of upstreams."""
+"""Tests of the upstreams package."""
--- a/tests/relay/upstreams/test_departures.py
+++ b/tests/relay/upstreams/test_departures.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave, whoever says so, in whatever order."""
+"""Departures of upstreams, whatever their source and order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return Upstream(ID, SERVICE, Address("a", 1), "a", draining, Phase.PLAIN, 9, born=born)
 
 
-def test_it_holds_for_one_life_and_no_word_of_the_store_about_that_undoes_it() -> None:
+def test_departure_holds_for_one_incarnation_and_is_not_reverted_by_the_store() -> None:
     listing = Listing()
     listing.apply(Entry(ID, 1, make(1)), NOW)
     assert listing.record_departure(Life(ID, 1), NOW)
@@ -33,7 +33,7 @@
     assert listing.list_usable(SERVICE, NOW) == []
 
 
-def test_it_is_not_used_as_one_whose_entry_lapsed() -> None:
+def test_departed_upstream_is_not_used_after_its_entry_is_removed() -> None:
     listing = Listing()
     listing.apply(Entry(ID, 1, make(1)), NOW)
     listing.record_departure(Life(ID, 1), NOW)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(4))))
-def test_whatever_order_the_news_come_in_the_same_is_believed(order: tuple[int, ...]) -> None:
+def test_order_of_updates_does_not_matter(order: tuple[int, ...]) -> None:
     listing = Listing()
     steps = [
         lambda: listing.apply(Entry(ID, 1, make(1)), NOW),
@@ -57,7 +57,7 @@
     assert listing.list_leaving(SERVICE) == []
 
 
-def test_it_is_heard_of_before_the_upstream_is_listed() -> None:
+def test_departure_can_be_recorded_before_the_upstream_is_listed() -> None:
     listing = Listing()
     listing.record_departure(Life(ID, 1), NOW)
     listing.apply(Entry(ID, 1, make(1)), NOW)
@@ -65,7 +65,7 @@
     assert listing.list_leaving(SERVICE) == [make(1)]
 
 
-def test_what_the_store_has_told_is_not_told_to_peers() -> None:
+def test_departures_in_the_store_are_not_listed_as_unstored() -> None:
     departures = Departures()
     departures.record(Life(ID, 1), NOW)
     departures.record(Life(ID, 2), NOW, by_store=True)
@@ -74,7 +74,7 @@
     assert departures.list_unstored() == []
 
 
-def test_old_ones_are_dropped_once_nobody_lists_them_and_the_oldest_where_there_are_too_many() -> None:
+def test_expired_and_excess_departures_are_dropped() -> None:
     listing = Listing()
     listing.apply(Entry(ID, 1, make(1)), NOW)
     listing.record_departure(Life(ID, 1), NOW)
--- a/tests/relay/upstreams/test_events.py
+++ b/tests/relay/upstreams/test_events.py
@@ -1,4 +1,4 @@
-"""Cut and check the events of a stream."""
+"""Splitting and checking of event streams."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 
 
 @pytest.mark.parametrize("ids", [[1, 3], [1, 1], [2, 1]])
-def test_an_event_that_is_not_the_next_breaks_the_stream(ids: list[int]) -> None:
+def test_event_out_of_sequence_raises(ids: list[int]) -> None:
     checker = EventChecker(None)
     with pytest.raises(StreamError):
         checker.feed(b"".join(make_stream(number, number) for number in ids))
 
 
-def test_a_resumed_stream_starts_behind_what_the_caller_has() -> None:
+def test_resumed_stream_starts_after_the_last_event_of_the_caller() -> None:
     checker = EventChecker(4)
     with pytest.raises(StreamError):
         checker.feed(make_stream(4, 4))
 
 
-def test_an_event_cut_in_the_middle_is_not_whole() -> None:
+def test_partial_event_is_not_complete() -> None:
     checker = EventChecker(None)
     assert checker.feed(make_stream(1, 1) + b"id: 2\nda").last_id == 1
     assert not checker.is_complete
--- a/tests/relay/upstreams/test_http_client.py
+++ b/tests/relay/upstreams/test_http_client.py
@@ -1,4 +1,4 @@
-"""What the client makes of answers that upstreams should not give."""
+"""Reuse of connections, and handling of invalid responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RawServer(Protocol):
-    """Answers each piece of a request by a script."""
+    """Server that runs the next action of a script for each received piece of data."""
 
     def __init__(self, script: list[Callable[[Any], None]]) -> None:
         self.script = script
@@ -76,10 +76,10 @@
         self.client.start()
 
     def ask(self, **options: Any) -> RecordingSink:
-        keeper = RecordingSink()
-        self.client.open(ADDRESS, Call("GET", "/", [("Host", "up")]), keeper, **options)
+        sink = RecordingSink()
+        self.client.open(ADDRESS, Call("GET", "/", [("Host", "up")]), sink, **options)
         self.network.run(0.05)
-        return keeper
+        return sink
 
 
 def write(data: bytes) -> Callable[[Any], None]:
@@ -109,7 +109,7 @@
     assert bench.server.connections == 1
 
 
-def test_a_call_that_may_not_be_repeated_takes_no_connection_that_was_idle_for_long() -> None:
+def test_max_idle_time_prevents_reuse() -> None:
     bench = ClientBench(write(WHOLE), write(WHOLE))
     bench.ask()
     bench.network.run(1.5)
@@ -125,14 +125,14 @@
     assert len(bench.client.list_open(ADDRESS)) == 0
 
 
-def test_bytes_behind_a_whole_answer_end_the_connection_and_belong_to_nobody() -> None:
+def test_bytes_after_a_complete_response_close_the_connection() -> None:
     bench = ClientBench(write(WHOLE + WHOLE), write(WHOLE))
     assert bench.ask().body == b"ok"
     assert bench.ask().body == b"ok"
     assert bench.server.connections == 2
 
 
-def test_late_bytes_on_an_idle_connection_end_it() -> None:
+def test_bytes_on_an_idle_connection_close_it() -> None:
     bench = ClientBench(write(WHOLE))
     bench.ask()
     connection = next(iter(bench.client._idle[ADDRESS]))
@@ -141,38 +141,38 @@
     assert len(bench.client.list_open(ADDRESS)) == 0
 
 
-def test_an_answer_to_another_request_is_skipped() -> None:
+def test_response_to_another_request_is_skipped() -> None:
     assert ClientBench(write(FOREIGN + WHOLE)).ask().body == b"ok"
     assert ClientBench(write_then_close(FOREIGN)).ask().outcome is CallFailure.BROKEN
 
 
 @pytest.mark.parametrize("cut", range(1, len(WHOLE), 7))
-def test_an_answer_that_ends_early_is_broken(cut: int) -> None:
+def test_truncated_response_is_broken(cut: int) -> None:
     assert ClientBench(write_then_close(WHOLE[:cut])).ask().outcome is CallFailure.BROKEN
     assert ClientBench(write_then_reset(WHOLE[:cut])).ask().outcome is CallFailure.BROKEN
 
 
-def test_an_answer_without_a_length_is_whole_only_with_a_clean_end() -> None:
+def test_response_without_length_is_complete_only_after_a_clean_close() -> None:
     assert ClientBench(write_then_close(UNFRAMED)).ask().outcome == "whole"
     assert ClientBench(write_then_reset(UNFRAMED)).ask().outcome is CallFailure.BROKEN
 
 
-def test_what_is_no_answer_is_malformed() -> None:
+def test_invalid_response_is_malformed() -> None:
     assert ClientBench(write(b"\x00\x01nonsense\r\n\r\n")).ask().outcome is CallFailure.MALFORMED
 
 
-def test_a_dead_port_is_told_from_a_broken_answer() -> None:
+def test_refused_connection_is_unreached() -> None:
     bench = ClientBench()
-    keeper = RecordingSink()
-    bench.client.open(Address("nowhere", 1), Call("GET", "/", [("Host", "up")]), keeper)
+    sink = RecordingSink()
+    bench.client.open(Address("nowhere", 1), Call("GET", "/", [("Host", "up")]), sink)
     bench.network.run(1.0)
-    assert keeper.outcome is CallFailure.UNREACHED
-    assert not keeper.sent
+    assert sink.outcome is CallFailure.UNREACHED
+    assert not sink.sent
 
 
-def test_a_silent_host_is_given_up_in_bounded_time() -> None:
+def test_connecting_to_an_unresponsive_host_times_out() -> None:
     bench = ClientBench(write(WHOLE))
     bench.network.cut("up")
-    keeper = bench.ask()
+    sink = bench.ask()
     bench.network.run(0.6)
-    assert keeper.outcome is CallFailure.UNREACHED
+    assert sink.outcome is CallFailure.UNREACHED
--- a/tests/relay/upstreams/test_listing.py
+++ b/tests/relay/upstreams/test_listing.py
@@ -1,4 +1,4 @@
-"""Which upstreams are thought to be there."""
+"""Which upstreams are usable or expected back."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return listing
 
 
-def go(listing: Listing, name: str, now: float) -> None:
+def remove(listing: Listing, name: str, now: float) -> None:
     listing.apply(Entry(UpstreamId(name), listing.newest_revision + 1, None), now)
 
 
@@ -28,40 +28,40 @@
     return "".join(sorted(one.id for one in listing.list_usable(SERVICE, now)))
 
 
-def test_one_that_went_is_not_used_while_most_are_listed() -> None:
+def test_removed_upstream_is_not_used_while_most_are_listed() -> None:
     listing = make_listing("abcd")
-    go(listing, "a", NOW)
+    remove(listing, "a", NOW)
     assert list_names(listing, NOW) == "bcd"
 
 
-def test_those_that_went_all_at_once_are_used_for_a_moment_also_when_the_first_are_back() -> None:
+def test_upstreams_removed_together_are_used_during_the_grace_period() -> None:
     listing = make_listing("abcd")
     for name in "abcd":
-        go(listing, name, NOW)
+        remove(listing, name, NOW)
     assert list_names(listing, NOW + 0.5) == "abcd"
     listing.apply(Entry(UpstreamId("a"), listing.newest_revision + 1, make("a")), NOW + 0.6)
     assert list_names(listing, NOW + 0.7) == "abcd"
     assert list_names(listing, NOW + listing.gone_grace_s + 0.1) == "a"
 
 
-def test_one_that_said_that_it_leaves_is_never_used_again() -> None:
+def test_departed_upstream_is_never_used_again() -> None:
     listing = make_listing("ab")
     listing.apply(Entry(UpstreamId("a"), 9, make("a", draining=True)), NOW)
-    go(listing, "a", NOW + 0.1)
-    go(listing, "b", NOW + 0.1)
+    remove(listing, "a", NOW + 0.1)
+    remove(listing, "b", NOW + 0.1)
     assert list_names(listing, NOW + 0.2) == "b"
     assert listing.count_departed(SERVICE) == 1
 
 
-def test_one_that_went_is_expected_back_for_a_while_but_one_that_leaves_is_not() -> None:
+def test_removed_upstream_is_expected_back_for_a_while_but_a_departed_one_is_not() -> None:
     listing = make_listing("abc")
-    go(listing, "a", NOW)
+    remove(listing, "a", NOW)
     listing.apply(Entry(UpstreamId("b"), 9, make("b", draining=True)), NOW)
     assert {one.id for one in listing.list_expected(SERVICE, NOW + 4.9)} == {"a", "c"}
     assert {one.id for one in listing.list_expected(SERVICE, NOW + 5.1)} == {"c"}
 
 
-def test_one_that_does_not_answer_and_its_successor_count_as_one() -> None:
+def test_unresponsive_upstream_and_its_replacement_count_as_one() -> None:
     listing = make_listing("abc")
     listing.apply(Entry(UpstreamId("d"), 9, make("d")), NOW + 2.0)
     silent = {UpstreamId("a")}
@@ -69,6 +69,6 @@
     assert {one.id for one in listing.list_expected(SERVICE, NOW + 2.1)} == {"a", "b", "c", "d"}
 
 
-def test_one_that_does_not_answer_is_awaited_as_long_as_nobody_succeeds_it() -> None:
+def test_unresponsive_upstream_is_expected_back_until_it_is_replaced() -> None:
     listing = make_listing("abc")
     assert {one.id for one in listing.list_expected(SERVICE, NOW + 9.0, {UpstreamId("a")})} == {"a", "b", "c"}
--- a/tests/relay/upstreams/test_retry_after.py
+++ b/tests/relay/upstreams/test_retry_after.py
@@ -1,4 +1,4 @@
-"""What is made of a ``Retry-After``, whatever stands in it."""
+"""Parsing of valid and invalid ``Retry-After`` values."""
 
 from __future__ import annotations
 
@@ -34,9 +34,7 @@
         (None, None),
     ],
 )
-def test_seconds_are_obeyed_up_to_ten_minutes_and_what_is_none_asks_nothing(
-    text: str | None, seconds: float | None
-) -> None:
+def test_seconds_are_limited_and_invalid_values_ignored(text: str | None, seconds: float | None) -> None:
     assert parse_retry_after(text, NOW) == seconds
 
 
@@ -51,12 +49,12 @@
         ("Thu, 03 Dec 2026 03:00:04 -0000", None),
     ],
 )
-def test_a_date_is_read_against_the_answers_own_clock(text: str, seconds: float | None) -> None:
+def test_date_is_compared_with_the_date_of_the_response(text: str, seconds: float | None) -> None:
     assert parse_retry_after(text, NOW) == seconds
 
 
 @pytest.mark.parametrize("date", [None, "", "now", "Thu, 03 Dec 2026 03:00:00 -0000"])
-def test_a_date_asks_nothing_where_the_answer_does_not_tell_its_own(date: str | None) -> None:
+def test_date_is_ignored_without_a_valid_date_of_the_response(date: str | None) -> None:
     assert parse_retry_after("Thu, 03 Dec 2026 03:00:04 GMT", date) is None
 
 
