--- a/src/beamhatch/relay/callers/headers.py
+++ b/src/beamhatch/relay/callers/headers.py
@@ -36,11 +36,11 @@
 def strip_hop_by_hop(headers: Headers, *, keep: frozenset[str] = frozenset()) -> Headers:
     """Return the headers to forward; names in ``keep`` are forwarded even if ``Connection`` lists them."""
     connection_options = {
-        word.strip().lower()
+        part.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
-        for word in value.split(",")
-        if word.strip()
+        for part in value.split(",")
+        if part.strip()
     }
     dropped = HOP_BY_HOP | FRAMING | (connection_options - keep)
     return [(name, value) for name, value in headers if name.lower() not in dropped]
@@ -54,14 +54,14 @@
 def wants_close(headers: Headers) -> bool:
     """Return whether the connection closes after this message."""
     value = get_header(headers, "connection")
-    return value is not None and "close" in {word.strip().lower() for word in value.split(",")}
+    return value is not None and "close" in {part.strip().lower() for part in value.split(",")}
 
 
 def parse_keep_alive_timeout(headers: Headers) -> float:
     """Return the seconds for which the peer keeps an idle connection open."""
     value = get_header(headers, "keep-alive")
-    for word in (value or "").split(","):
-        name, _, number = word.partition("=")
+    for part in (value or "").split(","):
+        name, _, number = part.partition("=")
         if name.strip().lower() == "timeout" and number.strip().isdigit():
             return float(number)
     return DEFAULT_KEEP_ALIVE_S
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -43,7 +43,7 @@
     listing: Listing
     backoffs: Rests = field(default_factory=Rests)
     limits: Limits = field(default_factory=Limits)
-    on_restriction: Callable[[Life], None] = lambda life: None
+    on_restriction: Callable[[Life], None] = lambda incarnation: None
     """Called when an upstream newly announces a departure, a back-off or a limit."""
     on_departure: Callable[[], None] = lambda: None
     """Called when a response announces a departure that was not known before."""
@@ -65,16 +65,16 @@
             self._apply_limit(upstream.life, facts.limit, sent_at, clears=ran)
         return facts
 
-    def _apply(self, life: Life, facts: AnswerFacts) -> None:
-        if facts.leaving and self.apply_departure(life, "its answer"):
+    def _apply(self, incarnation: Life, facts: AnswerFacts) -> None:
+        if facts.leaving and self.apply_departure(incarnation, "its answer"):
             self.on_departure()
         if facts.rest is not None:
             self.tally.count("announcements_total", "rest")
-            if self.backoffs.take(life, facts.rest, self.clock.now()):
-                self.journal.write("LISTING", "asks for rest", upstream=life.id, seconds=facts.rest)
-                self.on_restriction(life)
+            if self.backoffs.take(incarnation, facts.rest, self.clock.now()):
+                self.journal.write("LISTING", "asks for rest", upstream=incarnation.id, seconds=facts.rest)
+                self.on_restriction(incarnation)
 
-    def _apply_limit(self, life: Life, limit: NamedLimit | None, sent_at: float, *, clears: bool) -> None:
+    def _apply_limit(self, incarnation: Life, limit: NamedLimit | None, sent_at: float, *, clears: bool) -> None:
         """Apply the limit that an upstream announces; a limit that can't be parsed changes nothing.
 
         :param clears: whether a response without a limit clears the known one, as that of a request that ran does
@@ -83,9 +83,9 @@
             self.tally.count("announcements_total", "limit" if limit.rate is not None else "unclear_limit")
         if (limit is None and not clears) or (limit is not None and limit.rate is None):
             return
-        before = self.limits.find(life)
-        if self.limits.take(life, None if limit is None else limit.rate, sent_at, self.clock.now()):
-            self._record_limit_change(life, before, "its answer")
+        before = self.limits.find(incarnation)
+        if self.limits.take(incarnation, None if limit is None else limit.rate, sent_at, self.clock.now()):
+            self._record_limit_change(incarnation, before, "its answer")
 
     def apply_limit_state(self, state: LimitWord, source: str) -> bool:
         """Apply the state of an upstream's limit that a peer sent; return whether it changed anything."""
@@ -95,26 +95,30 @@
         self._record_limit_change(state.life, before, source)
         return True
 
-    def _record_limit_change(self, life: Life, before: float | None, source: str) -> None:
+    def _record_limit_change(self, incarnation: Life, before: float | None, source: str) -> None:
         """Log a changed limit, rate-limited per incarnation, and report a new one to ``on_restriction``."""
-        rate = self.limits.find(life)
+        rate = self.limits.find(incarnation)
         now = self.clock.now()
-        is_turn = (rate is None) != (before is None)
-        if is_turn or now - self._limit_logged_at.get(life, -math.inf) >= LIMIT_LOG_INTERVAL_S:
-            self._limit_logged_at[life] = now
+        appears_or_ends = (rate is None) != (before is None)
+        if appears_or_ends or now - self._limit_logged_at.get(incarnation, -math.inf) >= LIMIT_LOG_INTERVAL_S:
+            self._limit_logged_at[incarnation] = now
             event = "names a limit" if rate is not None else "names no limit any more"
-            part = self.limits.describe(life)
-            self.journal.write("LIMIT", event, upstream=life.id, rate=rate, before=before, source=source, **part)
+            state = self.limits.describe(incarnation)
+            self.journal.write(
+                "LIMIT", event, upstream=incarnation.id, rate=rate, before=before, source=source, **state
+            )
         if before is None and rate is not None:
-            self.on_restriction(life)
+            self.on_restriction(incarnation)
 
-    def apply_departure(self, life: Life, source: str) -> bool:
+    def apply_departure(self, incarnation: Life, source: str) -> bool:
         """Record that an upstream announced its departure; return whether that is new."""
-        if not self.listing.record_departure(life, self.clock.now()):
+        if not self.listing.record_departure(incarnation, self.clock.now()):
             return False
         self.tally.count("announcements_total", "leaving")
-        self.journal.write("LISTING", "says that it leaves", upstream=life.id, born=life.born, source=source)
-        self.on_restriction(life)
+        self.journal.write(
+            "LISTING", "says that it leaves", upstream=incarnation.id, born=incarnation.born, source=source
+        )
+        self.on_restriction(incarnation)
         return True
 
     def list_unstored(self) -> list[Life]:
@@ -136,9 +140,9 @@
             self.tally.count("sent_in_spite_total", "rest")
         return fields
 
-    def describe_limit(self, life: Life) -> dict[str, float]:
+    def describe_limit(self, incarnation: Life) -> dict[str, float]:
         """Return the upstream's limit as log fields; empty if it has none."""
-        rate = self.limits.find(life)
+        rate = self.limits.find(incarnation)
         return {} if rate is None else {"limit": rate}
 
     def drop_unlisted(self, listed: Collection[UpstreamId]) -> None:
@@ -146,7 +150,9 @@
         self.backoffs.keep_only(listed)
         self.limits.keep_only(listed)
         self.limits.forget_old(self.clock.now())
-        self._limit_logged_at = {life: at for life, at in self._limit_logged_at.items() if life.id in listed}
+        self._limit_logged_at = {
+            incarnation: at for incarnation, at in self._limit_logged_at.items() if incarnation.id in listed
+        }
 
 
 class AnnouncementSink(ResponseSink):
@@ -167,5 +173,5 @@
     def handle_end(self) -> None:
         """Do nothing."""
 
-    def handle_failure(self, fault: CallFailure, detail: str) -> None:
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
         """Do nothing."""
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -149,13 +149,13 @@
         if self._probe is not None:
             self._probe.end(now, answered=not self.has_not_run())
 
-    def handle_failure(self, fault: CallFailure, detail: str) -> None:
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
         """Record the failure, and let the exchange try another upstream."""
         if self._ended:
             return
         self._end()
         now = self.core.clock.now()
-        if fault is CallFailure.UNREACHED:
+        if failure is CallFailure.UNREACHED:
             self.stats.note_silence(now)
         else:
             self.stats.note_fault(now)
@@ -163,7 +163,7 @@
         self.exchange.write_log(
             "send failed",
             to=self.send.upstream.id,
-            fault=fault.value,
+            fault=failure.value,
             detail=detail,
             sent=self._sent,
             stage=self.send.stage.value,
@@ -171,8 +171,8 @@
             ran=round(now - self._started_at, 4),
             fingerprint=self.exchange.fingerprint.hex(),
         )
-        self.core.tally.count("send_faults_total", fault.value)
-        if fault is CallFailure.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
+        self.core.tally.count("send_faults_total", failure.value)
+        if failure is CallFailure.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
             self._report_broken_run(now - self._started_at)
         if self._sent:
             self.request.note_broken(self.send)
--- a/src/beamhatch/relay/upstreams/departures.py
+++ b/src/beamhatch/relay/upstreams/departures.py
@@ -34,14 +34,14 @@
     _ids: set[UpstreamId] = field(default_factory=set)
     """Ids of the upstreams in ``_known``, for a fast check of the many that have no departure."""
 
-    def record(self, life: Life, now: float, *, by_store: bool = False) -> bool:
+    def record(self, incarnation: Life, now: float, *, by_store: bool = False) -> bool:
         """Record a departure; return whether it was unknown."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         if known is not None:
             known.by_store = known.by_store or by_store
             return False
-        self._known[life] = _Departure(now, by_store)
-        self._ids.add(life.id)
+        self._known[incarnation] = _Departure(now, by_store)
+        self._ids.add(incarnation.id)
         if len(self._known) > MAX_DEPARTURES:
             del self._known[next(iter(self._known))]
             self._ids = {one.id for one in self._known}
@@ -51,9 +51,9 @@
         """Return whether any incarnation of the upstream is departing."""
         return upstream in self._ids
 
-    def has(self, life: Life) -> bool:
+    def has(self, incarnation: Life) -> bool:
         """Return whether the incarnation is departing."""
-        return life in self._known
+        return incarnation in self._known
 
     def __len__(self) -> int:
         """Return the number of departing incarnations."""
@@ -61,13 +61,13 @@
 
     def list_unstored(self) -> list[Life]:
         """Return the departing incarnations that the store does not list as departing yet, oldest first."""
-        return [life for life, departure in self._known.items() if not departure.by_store]
+        return [incarnation for incarnation, departure in self._known.items() if not departure.by_store]
 
     def drop_expired(self, listed: Collection[UpstreamId], before: float) -> None:
         """Drop departures recorded before a time, in monotonic seconds, of upstreams not in ``listed``."""
         self._known = {
-            life: departure
-            for life, departure in self._known.items()
-            if life.id in listed or departure.received_at >= before
+            incarnation: departure
+            for incarnation, departure in self._known.items()
+            if incarnation.id in listed or departure.received_at >= before
         }
-        self._ids = {life.id for life in self._known}
+        self._ids = {incarnation.id for incarnation in self._known}
--- a/src/beamhatch/relay/upstreams/http_client.py
+++ b/src/beamhatch/relay/upstreams/http_client.py
@@ -91,7 +91,7 @@
         """Handle the end of a complete response."""
 
     @abstractmethod
-    def handle_failure(self, fault: CallFailure, detail: str) -> None:
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
         """Handle a failure: no complete response will follow."""
 
 
@@ -124,11 +124,11 @@
             self.connection.paused = False
             self.connection.transport.resumeProducing()
 
-    def report_failure(self, fault: CallFailure, detail: str) -> None:
+    def report_failure(self, failure: CallFailure, detail: str) -> None:
         """Report a failure to the sink, unless the exchange has ended."""
         sink, self.sink = self.sink, None
         if sink is not None:
-            sink.handle_failure(fault, detail)
+            sink.handle_failure(failure, detail)
 
 
 class Connection(Protocol):
@@ -223,32 +223,32 @@
 
     def _restart(self, exchange: HttpExchange) -> None:
         """Reset the parser to wait for the response to this call after a response to another."""
-        rest, closed = self._state.trailing_data
+        trailing, closed = self._state.trailing_data
         self._skipping = False
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._encode(exchange.call)
-        if rest:
-            self._state.receive_data(rest)
+        if trailing:
+            self._state.receive_data(trailing)
         if closed:
             self._fail(CallFailure.BROKEN, "connection closed after a response to another request")
 
     def _release(self) -> None:
         """Keep the connection for reuse, or close it if it can't be reused."""
-        rest, closed = self._state.trailing_data
+        trailing, closed = self._state.trailing_data
         head = self._head
         reusable = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
-        if rest or closed or not reusable or head is None or wants_close(head.headers):
+        if trailing or closed or not reusable or head is None or wants_close(head.headers):
             self.transport.loseConnection()
             return
         self._state.start_next_cycle()
         self._client.add_idle(self, parse_keep_alive_timeout(head.headers))
 
-    def _fail(self, fault: CallFailure, detail: str) -> None:
+    def _fail(self, failure: CallFailure, detail: str) -> None:
         exchange, self._exchange = self._exchange, None
         if exchange is None:
             return
         self.transport.abortConnection()
-        exchange.report_failure(fault, detail)
+        exchange.report_failure(failure, detail)
 
     def _encode(self, call: Call) -> bytes:
         headers = list(call.headers)
--- a/src/beamhatch/relay/upstreams/http_fetch.py
+++ b/src/beamhatch/relay/upstreams/http_fetch.py
@@ -39,8 +39,8 @@
         assert self._head is not None
         self._finish(WholeAnswer(self._head, bytes(self._body)))
 
-    def handle_failure(self, fault: CallFailure, detail: str) -> None:
-        self._finish(f"{fault.value}: {detail}")
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
+        self._finish(f"{failure.value}: {detail}")
 
     def _handle_timeout(self) -> None:
         self._cancel()
--- a/src/beamhatch/relay/upstreams/listing.py
+++ b/src/beamhatch/relay/upstreams/listing.py
@@ -64,7 +64,10 @@
         return replace(self.entry, upstream=replace(upstream, cold_left=max(0.0, self.cold_until - now)))
 
     def may_replace(self, other: _Record) -> bool:
-        """Return whether this may be the other restarted: same hall, first seen later and not long before its removal."""
+        """Return whether this may be the other upstream, restarted under another id.
+
+        It must be in the same hall and first seen later, at most ``RETURN_TIMEOUT_S`` before the other's last change.
+        """
         assert self.last_upstream is not None
         assert other.last_upstream is not None
         newer = self.first_seen_at > max(other.first_seen_at, other.changed_at - RETURN_TIMEOUT_S)
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -94,8 +94,8 @@
         self._end()
         now = self.core.clock.now()
         upstream = self._step.upstream
-        standing = self.core.standings.get(upstream.id)
-        standing.note_alive(now)
+        stats = self.core.standings.get(upstream.id)
+        stats.note_alive(now)
         found = self.core.dialect.read_reservation(bytes(self._body)) if self._head.status == GRANTED else None
         self.core.tally.count("reservations_total", str(self._head.status))
         if found is not None:
@@ -103,14 +103,14 @@
             self._exchange.note_memory()
             self._exchange.request.note_reserved(Reservation(found, upstream, now + self._step.lifetime))
         elif self._head.status == MISDIRECTED:
-            standing.note_misdirected(now)
+            stats.note_misdirected(now)
             self._exchange.request.note_no_reservation(upstream.id)
         else:
             self._exchange.request.note_full(upstream.id)
         self._exchange.write_log("reserved" if found else "not reserved", to=upstream.id, status=self._head.status)
         self._exchange.go_on_elsewhere(self)
 
-    def handle_failure(self, fault: CallFailure, detail: str) -> None:
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
         """Record the failure, and let the exchange try another upstream."""
         if self._ended:
             return
@@ -118,7 +118,7 @@
         upstream = self._step.upstream
         self.core.standings.get(upstream.id).note_silence(self.core.clock.now())
         self._exchange.request.note_no_reservation(upstream.id)
-        self._exchange.write_log("not reserved", to=upstream.id, fault=fault.value, detail=detail)
+        self._exchange.write_log("not reserved", to=upstream.id, fault=failure.value, detail=detail)
         self._exchange.go_on_elsewhere(self)
 
     def _handle_timeout(self) -> None:
--- a/tests/relay/upstreams/test_http_client.py
+++ b/tests/relay/upstreams/test_http_client.py
@@ -62,8 +62,8 @@
     def handle_end(self) -> None:
         self.outcome = "whole"
 
-    def handle_failure(self, fault: CallFailure, detail: str) -> None:
-        self.outcome = fault
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
+        self.outcome = failure
 
 
 class ClientBench:
--- a/tests/relay/upstreams/test_listing.py
+++ b/tests/relay/upstreams/test_listing.py
@@ -64,8 +64,8 @@
 def test_unresponsive_upstream_and_its_replacement_count_as_one() -> None:
     listing = make_listing("abc")
     listing.apply(Entry(UpstreamId("d"), 9, make("d")), NOW + 2.0)
-    silent = {UpstreamId("a")}
-    assert {one.id for one in listing.list_expected(SERVICE, NOW + 2.1, silent)} == {"b", "c", "d"}
+    unresponsive = {UpstreamId("a")}
+    assert {one.id for one in listing.list_expected(SERVICE, NOW + 2.1, unresponsive)} == {"b", "c", "d"}
     assert {one.id for one in listing.list_expected(SERVICE, NOW + 2.1)} == {"a", "b", "c", "d"}
 
 
