--- a/src/beamhatch/relay/callers/headers.py
+++ b/src/beamhatch/relay/callers/headers.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP/1.1 that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Parsing and filtering of HTTP/1.1 headers, hop-by-hop headers above all (RFC 9110, section 7.6.1)."""
 
 from __future__ import annotations
 
@@ -24,44 +24,44 @@
     }
 )
 FRAMING = frozenset({"content-length"})
-DEFAULT_IDLE = 4.0
-"""Seconds for which an upstream that does not tell is thought to keep an idle connection."""
+DEFAULT_KEEP_ALIVE_S = 4.0
+"""Seconds an upstream is assumed to keep an idle connection open if it sends no ``Keep-Alive`` timeout."""
 
 
 def decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as text."""
+    """Decode raw header names and values as Latin-1."""
     return [(name.decode("latin-1"), value.decode("latin-1")) for name, value in raw]
 
 
 def strip_hop_by_hop(headers: Headers, *, keep: frozenset[str] = frozenset()) -> Headers:
-    """Return the headers that are passed on; ``keep`` are names that ``Connection`` can't take away."""
-    named = {
-        word.strip().lower()
+    """Return the headers to forward; names in ``keep`` are forwarded even if ``Connection`` lists them."""
+    connection_options = {
+        part.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
-        for word in value.split(",")
-        if word.strip()
+        for part in value.split(",")
+        if part.strip()
     }
-    dropped = HOP_BY_HOP | FRAMING | (named - keep)
+    dropped = HOP_BY_HOP | FRAMING | (connection_options - keep)
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
-def find_header(headers: Headers, wanted: str) -> str | None:
-    """Return the first value of a header, by its name in lower case."""
-    return next((value for name, value in headers if name.lower() == wanted), None)
+def get_header(headers: Headers, name: str) -> str | None:
+    """Return the first value of the header with this name, given in lower case."""
+    return next((value for key, value in headers if key.lower() == name), None)
 
 
 def wants_close(headers: Headers) -> bool:
-    """Tell whether the connection ends behind this message."""
-    value = find_header(headers, "connection")
-    return value is not None and "close" in {word.strip().lower() for word in value.split(",")}
+    """Return whether the connection closes after this message."""
+    value = get_header(headers, "connection")
+    return value is not None and "close" in {part.strip().lower() for part in value.split(",")}
 
 
-def read_idle_limit(headers: Headers) -> float:
-    """Return the seconds for which the other side keeps the connection open when idle."""
-    value = find_header(headers, "keep-alive")
-    for word in (value or "").split(","):
-        name, _, number = word.partition("=")
+def parse_keep_alive_timeout(headers: Headers) -> float:
+    """Return the seconds for which the peer keeps an idle connection open."""
+    value = get_header(headers, "keep-alive")
+    for part in (value or "").split(","):
+        name, _, number = part.partition("=")
         if name.strip().lower() == "timeout" and number.strip().isdigit():
             return float(number)
-    return DEFAULT_IDLE
+    return DEFAULT_KEEP_ALIVE_S
--- a/src/beamhatch/relay/callers/http_server.py
+++ b/src/beamhatch/relay/callers/http_server.py
@@ -1,4 +1,7 @@
-"""The HTTP/1.1 server that callers use, over h11: bounded, and strict about framing."""
+"""HTTP/1.1 server for callers, built on h11.
+
+Sizes and times are bounded, and requests with ambiguous framing are rejected.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 import h11
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 
-from beamhatch.relay.callers.headers import decode_headers, find_header
+from beamhatch.relay.callers.headers import decode_headers, get_header
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,161 +24,161 @@
     from beamhatch.relay.api import Headers
     from beamhatch.relay.model import CallerLimits
 
-MOST_PIPELINED = 64 * 1024
-"""Bytes of further requests that wait behind one under way."""
+MAX_PIPELINED_BYTES = 64 * 1024
+"""Bytes of pipelined requests buffered during a request before reading pauses."""
 
-LINGER = 1.0
-"""Seconds for which an unread body is read on behind an error, so that the caller gets the answer and no reset."""
+LINGER_S = 1.0
+"""Seconds for which an unread body is discarded after an error, so that the caller gets the response and no reset."""
 
-SMALLEST_HEAD = 4096
-"""Bytes of a head that are read whatever the operators' bound is, so that it can be answered."""
+MIN_HEAD_BYTES = 4096
+"""Bytes of a head that are always parsed, even if the configured limit is lower, so that an error can be sent."""
 
-MOST_HELD = 32 * 1024 * 1024
-"""Bytes of bodies that all callers together may have here; the smallest VMs have 128 MB in all."""
+MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024
+"""Bytes of request bodies held in memory for all callers together."""
 
-FULL_RETRY = 1.0
-"""Seconds after which a caller may come back whose body did not fit."""
+BODY_LIMIT_RETRY_AFTER_S = 1.0
+"""Seconds in ``Retry-After`` when the limit on held bodies is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A caller's whole request."""
+    """A complete request from a caller."""
 
     method: str
     target: str
     headers: Headers
     body: bytes
-    arrived: float
-    """Monotonic seconds at which its head had come."""
+    arrived_at: float
+    """Monotonic seconds when the head was complete."""
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """The request target without its query."""
         return self.target.partition("?")[0]
 
     @property
     def host(self) -> str:
-        """Return the host that is asked for, in lower case and without a port."""
-        value = (find_header(self.headers, "host") or "").strip().lower()
+        """The requested host, in lower case and without a port."""
+        value = (get_header(self.headers, "host") or "").strip().lower()
         name, _, port = value.rpartition(":")
         return name if name and port.isdigit() else value
 
 
 class RequestHandler(ABC):
-    """Whoever serves one request."""
+    """Handler of one request."""
 
     @abstractmethod
-    def lose_caller(self) -> None:
-        """Note that the caller closed its connection."""
+    def handle_caller_lost(self) -> None:
+        """Handle the loss of the caller's connection."""
 
     @abstractmethod
     def pause(self) -> None:
-        """Note that the caller reads too slowly."""
+        """Pause the response: the caller reads too slowly."""
 
     @abstractmethod
-    def go_on(self) -> None:
-        """Note that the caller reads again."""
+    def resume(self) -> None:
+        """Resume the response: the caller reads again."""
 
 
 class Responder:
-    """The way back to the caller of one request."""
+    """Writer of the response to one request."""
 
     def __init__(self, connection: CallerConnection) -> None:
         self._connection: CallerConnection | None = connection
-        self.begun = False
+        self.started = False
 
-    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer and its end."""
+    def send_response(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
-        self.begun = True
+        self.started = True
         connection.write_head(status, [*headers, ("Content-Length", str(len(body)))])
         connection.write_end(body)
 
-    def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known."""
+    def send_head(self, status: int, headers: Headers) -> None:
+        """Send the head of a response of unknown length."""
         if self._connection is not None:
-            self.begun = True
+            self.started = True
             self._connection.start_stream()
             self._connection.write_head(status, headers)
 
     def write(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send body data."""
         if self._connection is not None and data:
             self._connection.write_data(data)
 
-    def interject(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer to another request first, as a faulty server does; for stand-ins."""
+    def send_unsolicited(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a response that nobody asked for, as a faulty server does; for stand-ins only."""
         if self._connection is not None:
-            self._connection.write_foreign(status, headers, body)
+            self._connection.write_unsolicited(status, headers, body)
 
     def end(self) -> None:
-        """Say that the answer is whole."""
+        """Complete the response."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.write_end(b"")
 
     def abort(self) -> None:
-        """Break the answer off so that nobody takes it as whole."""
+        """Reset the connection, so that the caller sees a truncated response."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.abort()
 
 
 class CallerConnection(Protocol):
-    """One caller's connection; requests on it are served one after the other."""
+    """Connection of a caller; its requests are served one at a time."""
 
     def __init__(self, server: CallerServer) -> None:
         self._server = server
-        self._limits = server.find_limits()
+        self._limits = server.get_limits()
         self._state = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=max(SMALLEST_HEAD, self._limits.header_bytes)
+            h11.SERVER, max_incomplete_event_size=max(MIN_HEAD_BYTES, self._limits.header_bytes)
         )
         self._head: h11.Request | None = None
         self._head_at = 0.0
         self._body: list[bytes] = []
         self._received = 0
-        self._held = 0
-        """Bytes of the body that count towards what all callers have here."""
+        self._held_bytes = 0
+        """Bytes of this request's body counted in ``CallerServer.held_bytes``."""
         self._handler: RequestHandler | None = None
         self._serving = False
         self._closing = False
         self._discarding = False
         self._streaming = False
-        self._head_awaited = False
-        """True once a part of a head has come."""
+        self._head_started = False
+        """True once a part of a head has been received."""
         self._timer: Any = None
 
     @property
-    def idle(self) -> bool:
-        """Tell whether no request is under way or on its way in."""
+    def is_idle(self) -> bool:
+        """Whether no request is being served or received."""
         return not self._serving and self._head is None and not self._state.trailing_data[0]
 
     def connectionMade(self) -> None:
-        """Start to wait for a request."""
+        """Register the connection and start the idle timer."""
         self.transport.setTcpNoDelay(True)
         self._server.connections.add(self)
-        self._wait(self._limits.idle_timeout)
+        self._restart_timer(self._limits.idle_timeout)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
-        """Tell whoever serves the caller that it is gone."""
+        """Release the connection's resources and notify the handler."""
         self._server.connections.discard(self)
         self._stop_timer()
-        self._let_go()
+        self._release_body()
         handler, self._handler = self._handler, None
         if handler is not None:
-            handler.lose_caller()
+            handler.handle_caller_lost()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes of a request."""
+        """Parse received bytes."""
         if self._discarding:
             return
         try:
             self._state.receive_data(data)
             self._read()
         except h11.RemoteProtocolError as problem:
-            self._refuse(problem.error_status_hint, str(problem))
+            self._reject(problem.error_status_hint, str(problem))
 
     # --- reading -----------------------------------------------------------------------------------------------------
 
@@ -183,61 +186,61 @@
         while not self._serving and not self._discarding:
             event = self._state.next_event()
             if event is h11.NEED_DATA:
-                self._note_partial()
+                self._start_head_timer()
                 return
             if event is h11.PAUSED:
                 return
             if isinstance(event, h11.ConnectionClosed):
                 self.transport.loseConnection()
                 return
-            self._take_event(event)
-        if self._serving and len(self._state.trailing_data[0]) > MOST_PIPELINED:
+            self._handle_event(event)
+        if self._serving and len(self._state.trailing_data[0]) > MAX_PIPELINED_BYTES:
             self.transport.pauseProducing()
 
-    def _take_event(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         if isinstance(event, h11.Request):
-            self._take_head(event)
+            self._handle_head(event)
         elif isinstance(event, h11.Data):
-            self._take_body(bytes(event.data))
+            self._handle_body(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._submit()
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _handle_head(self, head: h11.Request) -> None:
         if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > self._limits.header_bytes:
-            self._refuse(431, f"the head has more than {self._limits.header_bytes} bytes")
+            self._reject(431, f"request head exceeds {self._limits.header_bytes} bytes")
             return
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            self._refuse(400, "both a length and chunks")
+            self._reject(400, "both Content-Length and Transfer-Encoding are set")
             return
         length = next((int(value) for name, value in head.headers if name == b"content-length"), 0)
         if length > self._limits.body_bytes:
-            self._refuse(413, f"the body has more than {self._limits.body_bytes} bytes")
+            self._reject(413, f"request body exceeds {self._limits.body_bytes} bytes")
             return
         self._head = head
-        self._head_awaited = False
+        self._head_started = False
         self._head_at = self._server.clock.now()
-        self._wait(self._limits.header_timeout)
+        self._restart_timer(self._limits.header_timeout)
         if self._state.they_are_waiting_for_100_continue:
             self.transport.write(self._state.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
 
-    def _take_body(self, data: bytes) -> None:
+    def _handle_body(self, data: bytes) -> None:
         self._received += len(data)
         if self._received > self._limits.body_bytes:
-            self._refuse(413, f"the body has more than {self._limits.body_bytes} bytes")
+            self._reject(413, f"request body exceeds {self._limits.body_bytes} bytes")
             return
-        if self._server.held_bytes + len(data) > MOST_HELD:
-            self._refuse(503, "too many bytes of bodies are held", FULL_RETRY)
+        if self._server.held_bytes + len(data) > MAX_TOTAL_BODY_BYTES:
+            self._reject(503, "too many request bodies in memory", BODY_LIMIT_RETRY_AFTER_S)
             return
-        self._held += len(data)
+        self._held_bytes += len(data)
         self._server.held_bytes += len(data)
         self._body.append(data)
-        self._wait(self._limits.header_timeout)
+        self._restart_timer(self._limits.header_timeout)
 
-    def _note_partial(self) -> None:
-        if self._head is None and not self._head_awaited and self._state.trailing_data[0]:
-            self._head_awaited = True
-            self._wait(self._limits.header_timeout)
+    def _start_head_timer(self) -> None:
+        if self._head is None and not self._head_started and self._state.trailing_data[0]:
+            self._head_started = True
+            self._restart_timer(self._limits.header_timeout)
 
     def _submit(self) -> None:
         head = self._head
@@ -259,7 +262,7 @@
     # --- writing -----------------------------------------------------------------------------------------------------
 
     def write_head(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer."""
+        """Write the head of a response, with ``Connection: close`` if the server or the connection is closing."""
         if self._server.closing or self._closing:
             self._closing = True
             headers = [*headers, ("Connection", "close")]
@@ -267,39 +270,39 @@
         self.transport.write(self._state.send(h11.Response(status_code=status, headers=encoded)) or b"")
 
     def start_stream(self) -> None:
-        """Have the transport tell when the caller reads too slowly."""
+        """Register for flow control, so that the handler is paused while the caller reads too slowly."""
         self._streaming = True
         self.transport.registerProducer(self, True)
 
     def write_data(self, data: bytes) -> None:
-        """Write a part of the body."""
+        """Write body data."""
         self.transport.write(self._state.send(h11.Data(data=data)) or b"")
 
-    def write_foreign(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer without regard to what was asked; for stand-ins."""
+    def write_unsolicited(self, status: int, headers: Headers, body: bytes) -> None:
+        """Write a complete response regardless of the protocol state; for stand-ins only."""
         lines = [f"HTTP/1.1 {status} Interjected", *(f"{name}: {value}" for name, value in headers)]
         lines.append(f"Content-Length: {len(body)}")
         self.transport.write("\r\n".join([*lines, "", ""]).encode("latin-1") + body)
 
     def write_end(self, data: bytes) -> None:
-        """Write the last part of the body and its end, and go on to the next request."""
+        """Write the rest of the body, complete the response and prepare for the next request."""
         if data:
             self.write_data(data)
         self.transport.write(self._state.send(h11.EndOfMessage()) or b"")
         self._handler = None
         self._serving = False
-        self._let_go()
+        self._release_body()
         if self._streaming:
             self._streaming = False
             self.transport.unregisterProducer()
         if self._state.our_state is not h11.DONE or self._state.their_state is not h11.DONE or self._closing:
-            self._close_gently()
+            self._close_gracefully()
             return
         self._state.start_next_cycle()
-        self._limits = self._server.find_limits()
-        self._wait(self._limits.idle_timeout)
+        self._limits = self._server.get_limits()
+        self._restart_timer(self._limits.idle_timeout)
         self.transport.resumeProducing()
-        self._server.clock.call_later(0, self._read_on)
+        self._server.clock.call_later(0, self._resume_reading)
 
     def abort(self) -> None:
         """Reset the connection."""
@@ -307,48 +310,48 @@
         self.transport.abortConnection()
 
     def close_if_idle(self) -> None:
-        """Close the connection if no request is on it; a request that crosses the close was not read."""
-        if self.idle:
+        """Close the connection if it carries no request."""
+        if self.is_idle:
             self.transport.loseConnection()
 
-    # --- the caller reads slowly -------------------------------------------------------------------------------------
+    # --- flow control ------------------------------------------------------------------------------------------------
 
     def pauseProducing(self) -> None:
-        """Pass on that the caller reads too slowly."""
+        """Pause the handler: the transport's buffer is full."""
         if self._handler is not None:
             self._handler.pause()
 
     def resumeProducing(self) -> None:
-        """Pass on that the caller reads again."""
+        """Resume the handler: the transport's buffer has drained."""
         if self._handler is not None:
-            self._handler.go_on()
+            self._handler.resume()
 
     def stopProducing(self) -> None:
-        """Note nothing; the loss of the connection is told otherwise."""
+        """Do nothing; ``connectionLost`` handles the loss of the connection."""
 
     # --- errors and timers -------------------------------------------------------------------------------------------
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if not self.transport.connected:
             return
         try:
             self._read()
         except h11.RemoteProtocolError as problem:
-            self._refuse(problem.error_status_hint, str(problem))
+            self._reject(problem.error_status_hint, str(problem))
 
-    def _let_go(self) -> None:
-        """Count the body no longer: the request has ended."""
-        self._server.held_bytes -= self._held
-        self._held = 0
+    def _release_body(self) -> None:
+        """Remove the body from the server's count of held bytes."""
+        self._server.held_bytes -= self._held_bytes
+        self._held_bytes = 0
 
-    def _refuse(self, status: int, detail: str, retry_after: float | None = None) -> None:
-        """Answer a request that can't be read, and close."""
+    def _reject(self, status: int, detail: str, retry_after: float | None = None) -> None:
+        """Send an error response to a request that can't be accepted, and close the connection."""
         if self._serving or self._discarding:
             self.transport.abortConnection()
             return
         self._head, self._body = None, []
-        self._let_go()
-        self._server.note_refused(status, detail)
+        self._release_body()
+        self._server.record_rejection(status, detail)
         body = json.dumps({"error": detail}).encode()
         if self._state.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._closing = True
@@ -358,25 +361,25 @@
             self.write_head(status, headers)
             self.write_data(body)
             self.transport.write(self._state.send(h11.EndOfMessage()) or b"")
-        self._close_gently()
+        self._close_gracefully()
 
-    def _close_gently(self) -> None:
-        """Close when the caller has had time to read the answer."""
+    def _close_gracefully(self) -> None:
+        """Close the connection once the caller has had time to read the response."""
         if self._state.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED):
             self._stop_timer()
             self.transport.loseConnection()
             return
         self._discarding = True
-        self._wait(LINGER)
+        self._restart_timer(LINGER_S)
 
-    def _wait(self, seconds: float) -> None:
+    def _restart_timer(self, seconds: float) -> None:
         self._stop_timer()
-        self._timer = self._server.clock.call_later(seconds, self._run_out)
+        self._timer = self._server.clock.call_later(seconds, self._handle_timeout)
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
-        if self._head is not None or self._head_awaited:
-            self._refuse(408, "the request came too slowly")
+        if self._head is not None or self._head_started:
+            self._reject(408, "request not received in time")
         else:
             self.transport.loseConnection()
 
@@ -387,7 +390,7 @@
 
 
 class CallerServer(Factory):
-    """Accepts callers."""
+    """Server that accepts the connections of callers."""
 
     noisy = False
 
@@ -395,24 +398,24 @@
         self,
         clock: Clock,
         serve: Callable[[IncomingRequest, Responder], RequestHandler | None],
-        find_limits: Callable[[], CallerLimits],
-        note_refused: Callable[[int, str], None],
+        get_limits: Callable[[], CallerLimits],
+        record_rejection: Callable[[int, str], None],
     ) -> None:
         self.clock = clock
         self.serve = serve
-        self.find_limits = find_limits
-        self.note_refused = note_refused
+        self.get_limits = get_limits
+        self.record_rejection = record_rejection
         self.closing = False
-        """True during a planned stop: each answer says that its connection ends."""
+        """True during shutdown: responses carry ``Connection: close``."""
         self.connections: set[CallerConnection] = set()
         self.held_bytes = 0
-        """Bytes of bodies that callers have here."""
+        """Bytes of request bodies held in memory."""
 
     def buildProtocol(self, _: Any) -> CallerConnection:
-        """Return the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return CallerConnection(self)
 
     def close_idle(self) -> None:
-        """Close connections without a request."""
+        """Close the connections that carry no request."""
         for connection in list(self.connections):
             connection.close_if_idle()
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -107,12 +107,12 @@
                 self._evaluate(service, now)
 
     def _evaluate(self, service: Service, now: float) -> None:
-        listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_unresponsive(now))
+        listed = self.core.listing.list_expected(service.name, now, self.core.standings.list_unresponsive(now))
         available = self.core.eligibility.evacuations.exclude_evacuated(listed)
         engines = [
             one for one in self.core.changes.with_expected_phases(available, now) if one.phase is not Phase.PLAIN
         ]
-        leaving = self.core.listing.count_left(service.name)
+        leaving = self.core.listing.count_departed(service.name)
         if leaving > self._leaving_counts.get(service.name, 0):
             self._last_ordered.pop(service.name, None)  # the last order was for another set of engines
         self._leaving_counts[service.name] = leaving
@@ -186,7 +186,7 @@
         answer = await fetch(self.core.client, self.core.clock, upstream.address, call, ORDER_TIMEOUT_S)
         answered = not isinstance(answer, str)
         if not isinstance(answer, str):
-            self.core.announcements.read(upstream, answer.head, ordered_at)
+            self.core.announcements.handle_head(upstream, answer.head, ordered_at)
         if isinstance(answer, str) or answer.head.status == STATUS_ACCEPTED:
             self.core.take_change(
                 upstream.id, PhaseChangeUpdate(change.phase, MAX_CHANGE_S, confirmed=answered), "order"
--- a/src/beamhatch/relay/fleet/departure_talk.py
+++ b/src/beamhatch/relay/fleet/departure_talk.py
@@ -44,7 +44,7 @@
     def send_pending(self, connection: PeerConnection) -> None:
         """Send a peer the departures that were neither sent to it nor received from it."""
         sent = connection.sent.departures
-        pending = [one for one in self._announcements.list_untold()[-MAX_DEPARTURES:] if one not in sent]
+        pending = [one for one in self._announcements.list_unstored()[-MAX_DEPARTURES:] if one not in sent]
         if pending:
             sent.update(pending)
             connection.send(DepartureUpdate(pending))
@@ -53,7 +53,7 @@
         """Apply a peer's departures and schedule forwarding the new ones."""
         incarnations = message.lives[:MAX_DEPARTURES]
         connection.sent.departures.update(incarnations)
-        new = [one for one in incarnations if self._announcements.take_departure(one, f"peer {connection.vm}")]
+        new = [one for one in incarnations if self._announcements.apply_departure(one, f"peer {connection.vm}")]
         if new:
             self._schedule_send(FORWARD_DELAY_S)
 
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -343,7 +343,7 @@
         return {name: tokens for name, tokens in backlog.items() if self._get_hall_of(name) == hall}
 
     def _get_hall_of(self, upstream: str) -> str:
-        found = self.core.listing.find(UpstreamId(upstream))
+        found = self.core.listing.get(UpstreamId(upstream))
         return "" if found is None else found.hall
 
     # --- fleet-wide figures ------------------------------------------------------------------------------------------
@@ -407,7 +407,7 @@
             case ListingRequest():
                 if self.core.listing.complete:
                     entries = self.core.listing.list_since(message.after, self.clock.now())
-                    connection.send(ListingPart(message.after, self.core.listing.newest, entries))
+                    connection.send(ListingPart(message.after, self.core.listing.newest_revision, entries))
             case ListingPart():
                 update = ListingNews(message.entries, message.revision)
                 self.core.take_listing(update, f"peer {connection.vm}", whole=message.after == 0)
--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -223,7 +223,7 @@
 
     async def read(self) -> int | StoreLost:
         """Read and apply the listing."""
-        listing = await self.store.read_listing(self.core.listing.find_oldest())
+        listing = await self.store.read_listing(self.core.listing.get_oldest_revision())
         if isinstance(listing, StoreLost):
             return listing
         # a store that was just restored may lack upstreams that peers know: do not remove those
--- a/src/beamhatch/relay/limits/talk.py
+++ b/src/beamhatch/relay/limits/talk.py
@@ -70,7 +70,7 @@
         now = self._clock.now()
         source = f"peer {connection.vm}"
         received_states = message.words[:MAX_LIMITS]
-        states = [state for state in received_states if self._announcements.take_limit_word(state, source)]
+        states = [state for state in received_states if self._announcements.apply_limit_state(state, source)]
         applied = (self._limits.apply_count(one, now) for one in message.spent[:MAX_LIMITS])
         counts = [one for one in applied if one is not None]
         if not self.forwards_counts():
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -8,9 +8,9 @@
 from typing import TYPE_CHECKING, Any
 
 from beamhatch.relay.api import SendTerms
+from beamhatch.relay.callers.error_response import send_error
 from beamhatch.relay.callers.headers import strip_hop_by_hop
 from beamhatch.relay.callers.http_server import RequestHandler
-from beamhatch.relay.callers.own_answer import send_error
 from beamhatch.relay.choosing.eligibility import Obstacle
 from beamhatch.relay.choosing.lack import compute_retry_delay
 from beamhatch.relay.choosing.spill import SpillReason, get_spill_reason
@@ -35,7 +35,7 @@
     from beamhatch.relay.core import Core
     from beamhatch.relay.model import Fingerprint, Life, Regions, RequestFacts, Route, Service, Table, Upstream
     from beamhatch.relay.requests.line import MemoryQueue
-    from beamhatch.relay.upstreams.http_client import Head
+    from beamhatch.relay.upstreams.http_client import ResponseHead
     from beamhatch.relay.workspaces.admission import Admitted
 
 RESPONSE_MARGIN_S = 0.03
@@ -101,7 +101,7 @@
     ) -> None:
         self.core = core
         self._admitted = admitted
-        on_time_until = incoming.arrived + FIRST_EVENT_SHARE * route.target_latency
+        on_time_until = incoming.arrived_at + FIRST_EVENT_SHARE * route.target_latency
         if Mechanism.WHOLE_RUNS in core.without:
             on_time_until = float("inf")
         self.request = RelayRequest(
@@ -304,7 +304,7 @@
             fingerprint=self.fingerprint.hex(),
             stage=send.stage.value,
             to=send.upstream.id,
-            revision=self.core.listing.newest,
+            revision=self.core.listing.newest_revision,
             version=self.core.version,
             running=standing.running,
             others=round(standing.estimate_other_requests(now), 1),
@@ -359,7 +359,7 @@
                 freed_per_second=queue.compute_freed_rate(now),
                 workspace=self._claim.workspace,
             )
-        on_time_until = self._incoming.arrived + max_wait_s
+        on_time_until = self._incoming.arrived_at + max_wait_s
         options = QueueOptions(on_time_until, now + self.request.max_memory_wait_s, late_with_precedence, self._claim)
         self.core.lines.enqueue(self, QueueKey(self.request.service.name, self.request.regions), options)
 
@@ -420,10 +420,10 @@
     @property
     def deadline(self) -> float:
         """Return the monotonic time in seconds at which the request times out."""
-        limit = self._incoming.arrived + self.request.route.timeout
+        limit = self._incoming.arrived_at + self.request.route.timeout
         time_left = self.request.facts.time_left
         if time_left is not None:
-            limit = min(limit, self._incoming.arrived + time_left - RESPONSE_MARGIN_S)
+            limit = min(limit, self._incoming.arrived_at + time_left - RESPONSE_MARGIN_S)
         return limit
 
     # --- responses ---------------------------------------------------------------------------------------------------
@@ -432,14 +432,14 @@
         """Send a buffered upstream response to the caller."""
         self.write_log("answered", status=response.head.status, seconds=self.compute_elapsed_s())
         self._record_outcome(f"upstream_{response.head.status // 100}xx")
-        self._responder.send_whole(response.head.status, strip_hop_by_hop(response.head.headers), response.body)
+        self._responder.send_response(response.head.status, strip_hop_by_hop(response.head.headers), response.body)
         self._end()
 
-    def begin_stream(self, head: Head) -> None:
+    def begin_stream(self, head: ResponseHead) -> None:
         """Send the status and headers of a stream to the caller."""
         self._first_event_s = self.compute_elapsed_s()
         self.core.tally.note_latency("first_event", self.request.route.kind.value, self._first_event_s)
-        self._responder.begin(head.status, strip_hop_by_hop(head.headers))
+        self._responder.send_head(head.status, strip_hop_by_hop(head.headers))
 
     def send_events(self, data: bytes) -> None:
         """Send complete events to the caller."""
@@ -522,7 +522,7 @@
         """Return the monotonic time up to which the request may wait for a cold upstream."""
         if self.request.response_begun and self._cold_wait_began_at is not None:
             return self._cold_wait_began_at + self.request.max_memory_wait_s
-        return self._incoming.arrived + ON_TIME_SHARE * self.request.route.target_latency
+        return self._incoming.arrived_at + ON_TIME_SHARE * self.request.route.target_latency
 
     def _stop_cold_timer(self) -> None:
         timer, self._cold_timer = self._cold_timer, None
@@ -551,7 +551,7 @@
         return min(residence_s * random.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER), MAX_RETRY_AFTER_SHARE * time_left)
 
     def _fail(self, step: Fail) -> None:
-        if self._upstream_failure is not None and not self._responder.begun:
+        if self._upstream_failure is not None and not self._responder.started:
             self.send_response(self._upstream_failure)
         else:
             self._end_with_error(MAY_HAVE_RUN_STATUS, step.reason, None)
@@ -567,7 +567,7 @@
         if self._ended:
             return
         self.write_log(
-            "broken off" if self._responder.begun else "given up",
+            "broken off" if self._responder.started else "given up",
             status=status,
             reason=reason,
             doubt=self.request.may_have_run,
@@ -576,7 +576,7 @@
         )
         self._record_outcome(f"own_{status}")
         self._stop_attempt()
-        if self._responder.begun:
+        if self._responder.started:
             self._responder.abort()
         else:
             send_error(self._responder, status, reason, retry_after_s)
@@ -681,15 +681,15 @@
 
     def compute_elapsed_s(self) -> float:
         """Return the seconds since the request arrived."""
-        return round(self.core.clock.now() - self._incoming.arrived, 4)
+        return round(self.core.clock.now() - self._incoming.arrived_at, 4)
 
     # --- events from the caller and configuration changes ------------------------------------------------------------
 
-    def lose_caller(self) -> None:
+    def handle_caller_lost(self) -> None:
         """Stop all work for a caller that disconnected."""
         if self._ended:
             return
-        self.write_log("caller gone", begun=self._responder.begun, seconds=self.compute_elapsed_s())
+        self.write_log("caller gone", begun=self._responder.started, seconds=self.compute_elapsed_s())
         self._record_outcome("caller_gone")
         self._end()
 
@@ -698,10 +698,10 @@
         if self._attempt is not None:
             self._attempt.pause()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume reading from the upstream."""
         if self._attempt is not None:
-            self._attempt.go_on()
+            self._attempt.resume()
 
     def apply_table(self, table: Table) -> None:
         """Apply the timeouts and regions of a new configuration to this request."""
--- a/src/beamhatch/relay/requests/response.py
+++ b/src/beamhatch/relay/requests/response.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from beamhatch.relay.upstreams.http_client import Head
+    from beamhatch.relay.upstreams.http_client import ResponseHead
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses of responses which guarantee that the request has not run."""
@@ -16,5 +16,5 @@
 class BufferedResponse:
     """A complete response of an upstream."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""What all sends to an upstream have in common: what is entered, what a fault leads to, how long to wait for a sign."""
+"""Base of all attempts to send a request to an upstream: accounting, failures and timeouts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from beamhatch.relay.model import Stage
 from beamhatch.relay.upstreams.announcements import MISDIRECTED
-from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
+from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
     from beamhatch.relay.api import AnswerFacts
@@ -17,86 +17,86 @@
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Send
-    from beamhatch.relay.upstreams.http_client import Call, Exchange, Head
+    from beamhatch.relay.upstreams.http_client import Call, HttpExchange, ResponseHead
 
 
-class Attempt(AnswerSink):
-    """One send; it ends by telling the exchange what to do next."""
+class Attempt(ResponseSink):
+    """Attempt to send a request to one upstream; at its end, the exchange takes the next step."""
 
     def __init__(self, exchange: RelayExchange, send: Send) -> None:
         self.exchange = exchange
         self.send = send
         self.core = exchange.core
         self.request = exchange.request
-        self.standing = self.core.standings.get(send.upstream.id)
-        self.head: Head | None = None
+        self.stats = self.core.standings.get(send.upstream.id)
+        self.head: ResponseHead | None = None
         self.facts: AnswerFacts | None = None
         self.body = bytearray()
         self.permit: SendPermit | None = None
-        """Room at an upstream that is cold or names a limit, held until the request goes out."""
-        self._trial: BackoffProbe | None = None
-        """Tells whether the upstream is back behind a rest."""
-        self._http: Exchange | None = None
+        """Permit to send to an upstream that is cold or has a limit, held until the request is sent."""
+        self._probe: BackoffProbe | None = None
+        """Probe of an upstream after its back-off, if this attempt is one."""
+        self._http: HttpExchange | None = None
         self._sent = False
         self._ended = False
         self._timer: Any = None
         self._started_at = self.core.clock.now()
         need = self.request.need
         self._tokens = need.prompt_tokens if send.stage is Stage.PREFILL else need.total_tokens
-        self._unread = 0
-        """Tokens of the prompt that the engine has still to read."""
+        self._pending_prefill_tokens = 0
+        """Prompt tokens that the engine has still to process."""
         self._tokens_ahead = 0
-        """Tokens of other prompts that it had to read first, as far as they were known at the start."""
+        """Tokens of other prompts pending at the engine, as known when the attempt started."""
 
     @property
     def sent(self) -> bool:
-        """Tell whether the request was written, or begun to be."""
+        """Whether any part of the request was written."""
         return self._sent
 
-    def start(self, call: Call, most_idle: float) -> None:
-        """Send the request."""
+    def start(self, call: Call, max_idle_s: float) -> None:
+        """Send the request on a connection idle for at most ``max_idle_s``."""
         now = self.core.clock.now()
-        self.standing.record_start(self._tokens, now)
-        self._trial = self.core.eligibility.backoffs.begin_request(self.send.upstream.life, now)
-        if self._reads:
-            self._begin_reading()
-        self._wait(self.get_patience())
-        http = self.core.client.open(self.send.upstream.address, call, self, most_idle=most_idle)
+        self.stats.record_start(self._tokens, now)
+        self._probe = self.core.eligibility.backoffs.begin_request(self.send.upstream.life, now)
+        if self._needs_prefill:
+            self._start_prefill()
+        self._restart_timer(self.get_timeout())
+        http = self.core.client.open(self.send.upstream.address, call, self, max_idle_s=max_idle_s)
         if not self._ended:
             self._http = http
 
     @property
     def upstream(self) -> Upstream:
-        """Return whom it is sent to."""
+        """The upstream that the request is sent to."""
         return self.send.upstream
 
     @property
-    def _reads(self) -> bool:
-        """Tell whether the upstream has to read the prompt."""
+    def _needs_prefill(self) -> bool:
+        """Whether the upstream has to process the prompt."""
         return self.request.split and self.send.stage in (Stage.PREFILL, Stage.WHOLE)
 
-    def _begin_reading(self) -> None:
+    def _start_prefill(self) -> None:
         upstream = self.send.upstream.id
-        self._tokens_ahead = self.standing.pending_prefill_tokens + self.core.work.count_tokens(
+        self._tokens_ahead = self.stats.pending_prefill_tokens + self.core.work.count_tokens(
             upstream, self.core.clock.now()
         )
-        self._unread = self.request.need.prompt_tokens
-        self.standing.pending_prefill_tokens += self._unread
+        self._pending_prefill_tokens = self.request.need.prompt_tokens
+        self.stats.pending_prefill_tokens += self._pending_prefill_tokens
         self.core.on_work()
 
-    def _end_reading(self) -> None:
-        if self._unread:
-            self.standing.pending_prefill_tokens -= self._unread
-            self._unread = 0
+    def _end_prefill(self) -> None:
+        if self._pending_prefill_tokens:
+            self.stats.pending_prefill_tokens -= self._pending_prefill_tokens
+            self._pending_prefill_tokens = 0
             self.core.on_work()
 
-    def _note_reading(self, pace: PrefillEstimator) -> None:
-        """Learn from a prompt that was read, unless it had to wait for others."""
+    def _record_prefill(self, estimator: PrefillEstimator) -> None:
+        """Add a sample to the estimator, unless other prompts were pending before this one."""
         if not self._tokens_ahead:
-            pace.record_own(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
+            estimator.record_own(self.request.need.prompt_tokens, self.core.clock.now() - self._started_at)
 
     def cancel(self) -> None:
-        """Close the connection; the upstream ends its work."""
+        """Close the connection, which cancels the upstream's work."""
         if self._ended:
             return
         self._end()
@@ -104,35 +104,35 @@
             self._http.cancel()
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Stop reading the response, and stop the timeout."""
         self._stop_timer()
         if self._http is not None:
             self._http.pause()
 
-    def go_on(self) -> None:
-        """Read again."""
+    def resume(self) -> None:
+        """Resume reading the response, and restart the timeout."""
         if self._http is not None and not self._ended:
-            self._http.go_on()
-            self._wait(self.get_patience())
+            self._http.resume()
+            self._restart_timer(self.get_timeout())
 
-    # --- what comes back ---------------------------------------------------------------------------------------------
+    # --- response ----------------------------------------------------------------------------------------------------
 
-    def note_sent(self) -> None:
-        """Enter the send where it counts."""
+    def handle_sent(self) -> None:
+        """Record that the request is being sent."""
         self._sent = True
         now = self.core.clock.now()
-        told = self.core.announcements.note_sent(self.send.upstream)
-        if told:
+        fields = self.core.announcements.record_send(self.send.upstream)
+        if fields:
             planned = round(now - self._started_at, 3)
-            self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **told)
+            self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **fields)
         self.request.record_sent(self.send, self.core.find_budget(self.request.service.name), now)
         if self.permit is not None:
             self.permit.use(now)
         else:
             self.core.eligibility.record_send(self.send.upstream, self.request.service.cold, now)
 
-    def is_own(self, head: Head) -> bool:
-        """Tell whether an answer is to this request."""
+    def matches(self, head: ResponseHead) -> bool:
+        """Return whether a response is to this request."""
         facts = self.core.dialect.read_answer(head.status, head.headers)
         own = facts.request is None or facts.request == self.request.facts.id
         if not own:
@@ -140,32 +140,32 @@
             self.exchange.write_log("foreign answer dropped", to=self.send.upstream.id, of=facts.request)
         return own
 
-    def take_head(self, head: Head) -> None:
-        """Take the head of the answer."""
+    def handle_head(self, head: ResponseHead) -> None:
+        """Apply the head of the response."""
         self.head = head
-        self.facts = self.core.announcements.read(self.send.upstream, head, self._started_at, of_request=True)
+        self.facts = self.core.announcements.handle_head(self.send.upstream, head, self._started_at, is_request=True)
         now = self.core.clock.now()
-        self.standing.record_response(now)
+        self.stats.record_response(now)
         if self.facts.load is not None:
-            self.standing.record_load(self.facts.load, now)
-        if self._trial is not None:
-            self._trial.end(now, answered=not self.has_not_run())
+            self.stats.record_load(self.facts.load, now)
+        if self._probe is not None:
+            self._probe.end(now, answered=not self.has_not_run())
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
-        """Go on elsewhere, as far as that is allowed."""
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
+        """Record the failure, and let the exchange try another upstream."""
         if self._ended:
             return
         self._end()
         now = self.core.clock.now()
-        if fault is Fault.UNREACHED:
-            self.standing.record_no_response(now)
+        if failure is CallFailure.UNREACHED:
+            self.stats.record_no_response(now)
         else:
-            self.standing.record_failure(now)
+            self.stats.record_failure(now)
         self.core.on_fault()
         self.exchange.write_log(
             "send failed",
             to=self.send.upstream.id,
-            fault=fault.value,
+            fault=failure.value,
             detail=detail,
             sent=self._sent,
             stage=self.send.stage.value,
@@ -173,8 +173,8 @@
             ran=round(now - self._started_at, 4),
             fingerprint=self.exchange.fingerprint.hex(),
         )
-        self.core.tally.count("send_faults_total", fault.value)
-        if fault is Fault.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
+        self.core.tally.count("send_faults_total", failure.value)
+        if failure is CallFailure.BROKEN and self._sent and self.send.stage is not Stage.PREFILL:
             self._report_broken_run(now - self._started_at)
         if self._sent:
             self.request.record_failed(self.send)
@@ -183,21 +183,21 @@
         self.exchange.replan_after(self)
 
     def _report_broken_run(self, ran: float) -> None:
-        """Tell of a run whose upstream may have ended; a prompt that is only read runs nothing."""
+        """Report a run that may have ended with a crash of the upstream."""
         begun = self.head is not None
         self.core.tally.count("broken_runs_total", "begun" if begun else "unanswered")
         self.core.quarantine_talk.record_broken_run(self.send.upstream, self.exchange.fingerprint, ran, answering=begun)
 
-    def take_not_run(self) -> None:
-        """Go on elsewhere behind an upstream that turned the request away."""
+    def handle_not_run(self) -> None:
+        """Record that the upstream rejected the request, and let the exchange try another."""
         self._end()
         now = self.core.clock.now()
         assert self.head is not None
         if self.head.status == MISDIRECTED:
-            self.standing.record_misdirected(now)
+            self.stats.record_misdirected(now)
             self.core.client.close_idle(self.send.upstream.address)
         else:
-            self.standing.record_busy(now)
+            self.stats.record_busy(now)
         self.exchange.write_log(
             "turned away",
             to=self.send.upstream.id,
@@ -209,50 +209,50 @@
         if self.head.status != MISDIRECTED:
             self.core.note_turned_away(self.send.upstream.id)
         self.request.record_not_run(self.send)
-        self.note_turned_away(now)
+        self.handle_rejection(now)
         self.exchange.replan_after(self)
 
-    def note_turned_away(self, now: float) -> None:
-        """Take in what a refusal says beside that nothing ran."""
+    def handle_rejection(self, now: float) -> None:
+        """Handle a rejection beyond recording that the request has not run."""
 
     def has_not_run(self) -> bool:
-        """Tell whether the answer proves that the request has not run."""
+        """Return whether the response proves that the request has not run."""
         assert self.head is not None
         assert self.facts is not None
         return self.facts.not_run or self.head.status == MISDIRECTED
 
     def succeed(self) -> None:
-        """Enter that the work was done."""
+        """Record the success of the attempt."""
         self._end()
         now = self.core.clock.now()
-        self.standing.record_success(now - self._started_at, now)
+        self.stats.record_success(now - self._started_at, now)
         if self.send.stage is not Stage.PREFILL:
             self.core.quarantine_talk.record_success(self.exchange.fingerprint)
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
 
     def fail(self, detail: str) -> None:
-        """Take the answer as broken, and close the connection."""
+        """Treat the response as malformed, and close the connection."""
         if self._http is not None:
             self._http.cancel()
-        self.take_fault(Fault.MALFORMED, detail)
+        self.handle_failure(CallFailure.MALFORMED, detail)
 
-    # --- silence -----------------------------------------------------------------------------------------------------
+    # --- timeouts ----------------------------------------------------------------------------------------------------
 
     @abstractmethod
-    def get_patience(self) -> float:
-        """Return the seconds without a sign after which the upstream is taken to be silent."""
+    def get_timeout(self) -> float:
+        """Return the seconds without data after which the upstream is considered unresponsive."""
 
     @abstractmethod
     def may_abandon(self) -> bool:
-        """Tell whether the request may go elsewhere although this upstream may be at work on it."""
+        """Return whether the request may be sent to another upstream although this one may still run it."""
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
         now = self.core.clock.now()
-        if self.standing.responded_at > self._started_at:
-            self.standing.record_failure(now)
+        if self.stats.responded_at > self._started_at:
+            self.stats.record_failure(now)
         else:
-            self.standing.record_no_response(now)
+            self.stats.record_no_response(now)
             self.core.on_fault()
         abandoned = self.may_abandon()
         self.exchange.write_log(
@@ -265,7 +265,7 @@
         self.core.tally.count("silences_total", self.send.stage.value)
         if not abandoned:
             if self.send.stage is Stage.PREFILL:
-                self._wait(self.get_patience())
+                self._restart_timer(self.get_timeout())
             return
         self.cancel()
         if self._sent:
@@ -274,9 +274,9 @@
             self.request.record_unreachable(self.send)
         self.exchange.replan_after(self)
 
-    def _wait(self, seconds: float) -> None:
+    def _restart_timer(self, seconds: float) -> None:
         self._stop_timer()
-        self._timer = self.core.clock.call_later(seconds, self._run_out)
+        self._timer = self.core.clock.call_later(seconds, self._handle_timeout)
 
     def _stop_timer(self) -> None:
         timer, self._timer = self._timer, None
@@ -289,10 +289,10 @@
             now = self.core.clock.now()
             if self.permit is not None:
                 self.permit.drop(now)
-            if self._trial is not None:
-                self._trial.end(now, answered=False)
+            if self._probe is not None:
+                self._probe.end(now, answered=False)
             self._stop_timer()
-            self._end_reading()
-            self.standing.record_end(self._tokens)
+            self._end_prefill()
+            self.stats.record_end(self._tokens)
             if self._sent and self.send.stage is not Stage.PREFILL and self.request.split:
                 self.core.lines.record_freed(self.request.service.name, self.send.upstream.hall)
--- a/src/beamhatch/relay/upstreams/http_client.py
+++ b/src/beamhatch/relay/upstreams/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 connections to upstreams and to the store, over h11, kept and used again.
+"""HTTP/1.1 client for upstreams and the store, built on h11, with reuse of connections.
 
-An exchange tells apart what matters for a repeat: whether anything was sent, and whether the answer is whole and the
-own one.
+Its failures distinguish what decides whether a call may be retried: whether anything may have been sent, and whether
+the response was complete. Responses to other requests are skipped.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from twisted.internet import error
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 
-from beamhatch.relay.callers.headers import decode_headers, read_idle_limit, wants_close
+from beamhatch.relay.callers.headers import decode_headers, parse_keep_alive_timeout, wants_close
 from beamhatch.relay.model import Address
 
 if TYPE_CHECKING:
@@ -27,32 +27,32 @@
     from beamhatch.clock import Clock
     from beamhatch.relay.api import Headers
 
-MOST_HEAD_BYTES = 64 * 1024
-"""Bytes of an answer's head at the most."""
+MAX_HEAD_BYTES = 64 * 1024
+"""Maximum size of the head of a response."""
 
-SWEEP_INTERVAL = 1.0
-"""Seconds between two looks for idle connections that are too old."""
+SWEEP_INTERVAL_S = 1.0
+"""Time between sweeps that close expired idle connections."""
 
 USER_TIMEOUT_MS = 5000
-"""Milliseconds after which unacknowledged bytes end a connection."""
+"""Time after which unacknowledged data closes a connection."""
 
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 
 
-class Fault(Enum):
-    """Why an exchange ended without a whole answer."""
+class CallFailure(Enum):
+    """Reason why an exchange ended without a complete response."""
 
     UNREACHED = "unreached"
-    """No connection came up; nothing was sent."""
+    """No connection was established; nothing was sent."""
     BROKEN = "broken"
-    """The connection ended; the request may have run."""
+    """The connection was lost; the request may have run."""
     MALFORMED = "malformed"
-    """What came is no answer; the request may have run."""
+    """The response was invalid; the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request to send, whole."""
+    """Complete HTTP request to send."""
 
     method: str
     target: str
@@ -61,51 +61,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """The head of an answer."""
+class ResponseHead:
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
 
 
-class AnswerSink(ABC):
-    """Takes in the answer to one call, in order; after an end or a fault nothing more comes."""
+class ResponseSink(ABC):
+    """Receiver of the response to one call; ``handle_end`` or ``handle_failure`` is the last call to it."""
 
-    def note_sent(self) -> None:  # noqa: B027 - most sinks need not know
-        """Note that the request is being written."""
+    def handle_sent(self) -> None:  # noqa: B027 - most sinks need not know
+        """Handle the start of writing the request."""
 
-    def is_own(self, head: Head) -> bool:
-        """Tell whether an answer is the one to this call, and not a late one to another."""
+    def matches(self, head: ResponseHead) -> bool:
+        """Return whether a response is to this call, not a late one to another call."""
         return True
 
     @abstractmethod
-    def take_head(self, head: Head) -> None:
-        """Take the head of the answer."""
+    def handle_head(self, head: ResponseHead) -> None:
+        """Handle the head of the response."""
 
     @abstractmethod
-    def take_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+    def handle_data(self, data: bytes) -> None:
+        """Handle body data."""
 
     @abstractmethod
-    def take_end(self) -> None:
-        """Note that the answer is whole."""
+    def handle_end(self) -> None:
+        """Handle the end of a complete response."""
 
     @abstractmethod
-    def take_fault(self, fault: Fault, detail: str) -> None:
-        """Note that there will be no whole answer."""
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
+        """Handle a failure: no complete response will follow."""
 
 
-class Exchange:
-    """One call under way."""
+class HttpExchange:
+    """Call in progress."""
 
-    def __init__(self, call: Call, sink: AnswerSink) -> None:
+    def __init__(self, call: Call, sink: ResponseSink) -> None:
         self.call = call
-        self.sink: AnswerSink | None = sink
+        self.sink: ResponseSink | None = sink
         self.connection: Connection | None = None
         self.connector: Any = None
 
     def cancel(self) -> None:
-        """End the call by closing its connection; the sink hears nothing more."""
+        """Close the connection without notifying the sink."""
         self.sink = None
         if self.connection is not None:
             self.connection.abort()
@@ -113,142 +113,142 @@
             self.connector.disconnect()
 
     def pause(self) -> None:
-        """Stop reading for a while."""
+        """Stop reading the response."""
         if self.connection is not None and self.connection.transport is not None:
             self.connection.paused = True
             self.connection.transport.pauseProducing()
 
-    def go_on(self) -> None:
-        """Read again."""
+    def resume(self) -> None:
+        """Resume reading the response."""
         if self.connection is not None and self.connection.transport is not None:
             self.connection.paused = False
             self.connection.transport.resumeProducing()
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
-        """Tell the sink of a fault, once."""
+    def report_failure(self, failure: CallFailure, detail: str) -> None:
+        """Report a failure to the sink, unless the exchange has ended."""
         sink, self.sink = self.sink, None
         if sink is not None:
-            sink.take_fault(fault, detail)
+            sink.handle_failure(failure, detail)
 
 
 class Connection(Protocol):
-    """One connection; it carries one call at a time."""
+    """Connection that carries one call at a time."""
 
     def __init__(self, client: HttpClient, address: Address) -> None:
         self.address = address
         self.idle_until = 0.0
         self.idle_since = 0.0
         self.paused = False
-        """True while nothing is read, so that its end is not seen."""
+        """True while reading is paused and the end of the connection can't be seen."""
         self._client = client
-        self._exchange: Exchange | None = None
-        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD_BYTES)
+        self._exchange: HttpExchange | None = None
+        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._skipping = False
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
 
     def connectionMade(self) -> None:
-        """Set up the socket."""
+        """Set the socket options."""
         self.transport.setTcpNoDelay(True)
         self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
-    def send(self, exchange: Exchange) -> None:
-        """Write a call."""
+    def send(self, exchange: HttpExchange) -> None:
+        """Write a call's request."""
         self._exchange = exchange
         exchange.connection = self
         if exchange.sink is not None:
-            exchange.sink.note_sent()
+            exchange.sink.handle_sent()
         self.transport.write(self._encode(exchange.call))
 
     def abort(self) -> None:
-        """Close at once."""
+        """Reset the connection."""
         self._exchange = None
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes of an answer; bytes that nobody waits for end the connection."""
+        """Parse received bytes; reset the connection if no call is in progress."""
         if self._exchange is None:
             self.abort()
             return
         self._feed(data)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
-        """End the answer that was under way, whole if it ends with its connection."""
-        self._client.forget(self)
+        """End the call in progress; a response delimited by a clean close is complete."""
+        self._client.remove(self)
         if self._exchange is not None and reason.check(error.ConnectionDone):
             self._feed(b"")
-        self._end_with_fault(Fault.BROKEN, reason.getErrorMessage())
+        self._fail(CallFailure.BROKEN, reason.getErrorMessage())
 
     # --- reading -----------------------------------------------------------------------------------------------------
 
     def _feed(self, data: bytes) -> None:
         try:
             self._state.receive_data(data)
-            self._take_events()
+            self._handle_events()
         except h11.RemoteProtocolError as problem:
-            self._end_with_fault(Fault.BROKEN if not data else Fault.MALFORMED, str(problem))
+            self._fail(CallFailure.BROKEN if not data else CallFailure.MALFORMED, str(problem))
 
-    def _take_events(self) -> None:
+    def _handle_events(self) -> None:
         while self._exchange is not None:
             event = self._state.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         exchange = self._exchange
         assert exchange is not None
         if isinstance(event, h11.Response):
-            self._take_head(exchange, Head(event.status_code, decode_headers(event.headers)))
+            self._handle_head(exchange, ResponseHead(event.status_code, decode_headers(event.headers)))
         elif isinstance(event, h11.Data) and not self._skipping:
             if exchange.sink is not None:
-                exchange.sink.take_data(bytes(event.data))
+                exchange.sink.handle_data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._take_end(exchange)
+            self._handle_end(exchange)
 
-    def _take_head(self, exchange: Exchange, head: Head) -> None:
+    def _handle_head(self, exchange: HttpExchange, head: ResponseHead) -> None:
         self._head = head
-        self._skipping = exchange.sink is not None and not exchange.sink.is_own(head)
+        self._skipping = exchange.sink is not None and not exchange.sink.matches(head)
         if not self._skipping and exchange.sink is not None:
-            exchange.sink.take_head(head)
+            exchange.sink.handle_head(head)
 
-    def _take_end(self, exchange: Exchange) -> None:
+    def _handle_end(self, exchange: HttpExchange) -> None:
         if self._skipping:
             self._restart(exchange)
             return
         self._exchange = None
         sink, exchange.sink = exchange.sink, None
-        self._give_back()
+        self._release()
         if sink is not None:
-            sink.take_end()
+            sink.handle_end()
 
-    def _restart(self, exchange: Exchange) -> None:
-        """Go on waiting for the own answer behind a foreign one."""
-        rest, closed = self._state.trailing_data
+    def _restart(self, exchange: HttpExchange) -> None:
+        """Reset the parser to wait for the response to this call after a response to another."""
+        trailing, closed = self._state.trailing_data
         self._skipping = False
-        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD_BYTES)
+        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._encode(exchange.call)
-        if rest:
-            self._state.receive_data(rest)
+        if trailing:
+            self._state.receive_data(trailing)
         if closed:
-            self._end_with_fault(Fault.BROKEN, "the connection ended behind an answer to another request")
+            self._fail(CallFailure.BROKEN, "connection closed after a response to another request")
 
-    def _give_back(self) -> None:
-        """Keep the connection for another call, if both sides can."""
-        rest, closed = self._state.trailing_data
+    def _release(self) -> None:
+        """Keep the connection for reuse, or close it if it can't be reused."""
+        trailing, closed = self._state.trailing_data
         head = self._head
         reusable = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
-        if rest or closed or not reusable or head is None or wants_close(head.headers):
+        if trailing or closed or not reusable or head is None or wants_close(head.headers):
             self.transport.loseConnection()
             return
         self._state.start_next_cycle()
-        self._client.keep(self, read_idle_limit(head.headers))
+        self._client.add_idle(self, parse_keep_alive_timeout(head.headers))
 
-    def _end_with_fault(self, fault: Fault, detail: str) -> None:
+    def _fail(self, failure: CallFailure, detail: str) -> None:
         exchange, self._exchange = self._exchange, None
         if exchange is None:
             return
         self.transport.abortConnection()
-        exchange.take_fault(fault, detail)
+        exchange.report_failure(failure, detail)
 
     def _encode(self, call: Call) -> bytes:
         headers = list(call.headers)
@@ -262,39 +262,39 @@
 
 
 class _Connector(ClientFactory):
-    """Brings up a connection for one exchange."""
+    """Factory of the connection for one exchange."""
 
     noisy = False
 
-    def __init__(self, client: HttpClient, address: Address, exchange: Exchange) -> None:
+    def __init__(self, client: HttpClient, address: Address, exchange: HttpExchange) -> None:
         self._client = client
         self._address = address
         self._exchange = exchange
 
     def buildProtocol(self, _: Any) -> Connection | None:
-        """Return the protocol, which starts with the exchange."""
+        """Create the protocol, unless the exchange was cancelled."""
         if self._exchange.sink is None:
             return None
-        connection = _FirstConnection(self._client, self._address, self._exchange)
-        self._client.count(connection)
+        connection = _NewConnection(self._client, self._address, self._exchange)
+        self._client.add_open(connection)
         return connection
 
     def clientConnectionFailed(self, _: Any, reason: TwistedFailure) -> None:
-        """Tell that nothing was sent."""
-        self._exchange.take_fault(Fault.UNREACHED, reason.getErrorMessage())
+        """Report that nothing was sent."""
+        self._exchange.report_failure(CallFailure.UNREACHED, reason.getErrorMessage())
 
 
-class _FirstConnection(Connection):
-    """A connection that sends its first call as soon as it is up."""
+class _NewConnection(Connection):
+    """Connection that sends its first call as soon as it is established."""
 
-    def __init__(self, client: HttpClient, address: Address, exchange: Exchange) -> None:
+    def __init__(self, client: HttpClient, address: Address, exchange: HttpExchange) -> None:
         super().__init__(client, address)
-        self._waiting: Exchange | None = exchange
+        self._first_exchange: HttpExchange | None = exchange
 
     def connectionMade(self) -> None:
-        """Send the first call."""
+        """Send the first call, unless it was cancelled."""
         super().connectionMade()
-        exchange, self._waiting = self._waiting, None
+        exchange, self._first_exchange = self._first_exchange, None
         if exchange is not None and exchange.sink is not None:
             self.send(exchange)
         else:
@@ -302,31 +302,31 @@
 
 
 class HttpClient:
-    """All connections, by address."""
+    """HTTP client with a pool of connections per address."""
 
     def __init__(self, clock: Clock, *, connect_timeout: float = 0.5) -> None:
         self._clock = clock
         self._connect_timeout = connect_timeout
         self._idle: dict[Address, list[Connection]] = {}
         self._open: dict[Address, set[Connection]] = {}
-        self.opened = 0
-        """Connections opened so far."""
+        self.opened_count = 0
+        """Number of connection attempts so far."""
 
     def start(self) -> None:
-        """Begin to close connections that are idle for too long."""
-        self._clock.call_later(SWEEP_INTERVAL, self._sweep)
+        """Start the periodic sweep of idle connections."""
+        self._clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def open(self, address: Address, call: Call, sink: AnswerSink, *, most_idle: float = 1e9) -> Exchange:
-        """Send a call on a kept connection that was idle for a short enough time, or else on a new one.
+    def open(self, address: Address, call: Call, sink: ResponseSink, *, max_idle_s: float = 1e9) -> HttpExchange:
+        """Send a call on the last used idle connection if it is recent enough, otherwise on a new one.
 
-        :param most_idle: seconds; a call that may not be repeated rather takes a new connection than an old one
+        :param max_idle_s: limit on the idle time; low for calls that must not be retried after a stale connection
         """
-        exchange = Exchange(call, sink)
-        connection = self._take_idle(address, most_idle)
+        exchange = HttpExchange(call, sink)
+        connection = self._pop_idle(address, max_idle_s)
         if connection is not None:
             connection.send(exchange)
             return exchange
-        self.opened += 1
+        self.opened_count += 1
         connector = _Connector(self, address, exchange)
         exchange.connector = self._clock.reactor.connectTCP(
             address.host, address.port, connector, timeout=self._connect_timeout
@@ -334,22 +334,22 @@
         return exchange
 
     def list_open(self, address: Address) -> Set[Connection]:
-        """Return the connections to an address that are open."""
+        """Return the open connections to an address."""
         return frozenset(self._open.get(address, ()))
 
-    def keep(self, connection: Connection, idle_limit: float) -> None:
-        """Keep an idle connection, for less than the other side does."""
+    def add_idle(self, connection: Connection, idle_timeout: float) -> None:
+        """Add an idle connection to the pool, to expire before the peer closes it."""
         now = self._clock.now()
         connection.idle_since = now
-        connection.idle_until = now + max(0.0, min(idle_limit - 1.0, idle_limit * 0.7))
+        connection.idle_until = now + max(0.0, min(idle_timeout - 1.0, idle_timeout * 0.7))
         self._idle.setdefault(connection.address, []).append(connection)
 
-    def count(self, connection: Connection) -> None:
-        """Count a connection that came up."""
+    def add_open(self, connection: Connection) -> None:
+        """Add a connection to the open ones."""
         self._open.setdefault(connection.address, set()).add(connection)
 
-    def forget(self, connection: Connection) -> None:
-        """Drop a connection that ended."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a closed connection."""
         left = self._open.get(connection.address, set())
         left.discard(connection)
         if not left:
@@ -361,17 +361,17 @@
                 del self._idle[connection.address]
 
     def close_idle(self, address: Address) -> None:
-        """Close what is kept to an address."""
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.transport.loseConnection()
 
-    def _take_idle(self, address: Address, most_idle: float) -> Connection | None:
+    def _pop_idle(self, address: Address, max_idle_s: float) -> Connection | None:
         now = self._clock.now()
         idle = self._idle.get(address)
         if not idle:
             return None
         newest = idle[-1]
-        if now >= newest.idle_until or now - newest.idle_since > most_idle:
+        if now >= newest.idle_until or now - newest.idle_since > max_idle_s:
             return None
         idle.pop()
         if not idle:
@@ -383,4 +383,4 @@
         for connections in list(self._idle.values()):
             for connection in [one for one in connections if now >= one.idle_until]:
                 connection.transport.loseConnection()
-        self._clock.call_later(SWEEP_INTERVAL, self._sweep)
+        self._clock.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/src/beamhatch/relay/upstreams/http_fetch.py
+++ b/src/beamhatch/relay/upstreams/http_fetch.py
@@ -1,4 +1,4 @@
-"""Ask for one whole answer and wait for it, as calls to the store do."""
+"""Calls that return a complete response as a deferred, as used for the store."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 from twisted.internet import defer
 
 from beamhatch.relay.requests.response import BufferedResponse
-from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
+from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
     from beamhatch.clock import Clock
     from beamhatch.relay.model import Address
-    from beamhatch.relay.upstreams.http_client import Call, Exchange, Head, HttpClient
+    from beamhatch.relay.upstreams.http_client import Call, HttpClient, HttpExchange, ResponseHead
 
-MOST_BYTES = 8 * 1024 * 1024
-"""Bytes of a fetched answer at the most: some pages of the store's lists."""
+MAX_BODY_BYTES = 8 * 1024 * 1024
+"""Maximum size of the body of a fetched response."""
 
 
-class _Fetch(AnswerSink):
+class _Fetch(ResponseSink):
     def __init__(self, clock: Clock, timeout: float) -> None:
-        self.done: defer.Deferred[BufferedResponse | str] = defer.Deferred(self._stop)
-        self.exchange: Exchange | None = None
-        self._head: Head | None = None
+        self.done: defer.Deferred[BufferedResponse | str] = defer.Deferred(self._handle_cancel)
+        self.exchange: HttpExchange | None = None
+        self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._timer: Any = clock.call_later(timeout, self._run_out)
+        self._timer: Any = clock.call_later(timeout, self._handle_timeout)
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         self._head = head
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         self._body += data
-        if len(self._body) > MOST_BYTES:
+        if len(self._body) > MAX_BODY_BYTES:
             self._cancel()
-            self._finish("the answer is too long")
+            self._finish("response body too large")
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         assert self._head is not None
         self._finish(BufferedResponse(self._head, bytes(self._body)))
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
-        self._finish(f"{fault.value}: {detail}")
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
+        self._finish(f"{failure.value}: {detail}")
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._cancel()
-        self._finish("no answer in time")
+        self._finish("no response in time")
 
-    def _stop(self, _: Any) -> None:
+    def _handle_cancel(self, _: Any) -> None:
         self._cancel()
         if self._timer.active():
             self._timer.cancel()
@@ -65,7 +65,7 @@
 def fetch(
     client: HttpClient, clock: Clock, address: Address, call: Call, timeout: float
 ) -> defer.Deferred[BufferedResponse | str]:
-    """Send a call; the deferred fires with its answer, or with what went wrong.
+    """Send a call; the deferred fires with the response, or with the error as text.
 
     Cancelling the deferred closes the connection.
 
--- a/src/beamhatch/relay/upstreams/plain_attempt.py
+++ b/src/beamhatch/relay/upstreams/plain_attempt.py
@@ -1,52 +1,52 @@
-"""Have a plain service answer a whole request."""
+"""Attempt to send a request to a plain service."""
 
 from __future__ import annotations
 
 from beamhatch.relay.requests.response import NOT_RUN_STATUSES, BufferedResponse
 from beamhatch.relay.upstreams.attempt import Attempt
-from beamhatch.relay.upstreams.http_client import Fault
+from beamhatch.relay.upstreams.http_client import CallFailure
 
-MOST_HELD_BYTES = 1024 * 1024
-"""Bytes of an answer that are held until it is whole."""
+MAX_BODY_BYTES = 1024 * 1024
+"""Maximum size of the body of a buffered response."""
 
-SHORTEST_PATIENCE = 0.25
-"""Seconds: four times what plain services took in the mean on the measured deployments."""
+MIN_TIMEOUT_S = 0.25
+"""Lower bound of the timeout."""
 
-PATIENCE_FACTOR = 4.0
-"""Times the upstream's mean that an answer may take before the upstream is taken to be silent."""
+TIMEOUT_FACTOR = 4.0
+"""Timeout as a multiple of the upstream's mean latency."""
 
 
 class PlainAttempt(Attempt):
-    """Has a plain service answer the whole request; the answer is held until it is whole."""
+    """Attempt at a plain service; the response is buffered until it is complete."""
 
-    def take_data(self, data: bytes) -> None:
-        """Take a part of the answer."""
+    def handle_data(self, data: bytes) -> None:
+        """Buffer body data."""
         self.body += data
-        if len(self.body) > MOST_HELD_BYTES:
-            self.fail("the answer is too long")
+        if len(self.body) > MAX_BODY_BYTES:
+            self.fail("response body too large")
 
-    def take_end(self) -> None:
-        """Pass the answer on, or go on elsewhere."""
+    def handle_end(self) -> None:
+        """Forward the response, or let the exchange try another upstream."""
         assert self.head is not None
         assert self.facts is not None
         status = self.head.status
         if self.has_not_run():
-            self.take_not_run()
+            self.handle_not_run()
             return
         answer = BufferedResponse(self.head, bytes(self.body))
         if 200 <= status < 300 and (not self.facts.signed or self.facts.encoded):
-            self.take_fault(Fault.MALFORMED, "the answer does not bear the upstream's signature")
+            self.handle_failure(CallFailure.MALFORMED, "response is unsigned or encoded")
         elif status >= 500 or status in NOT_RUN_STATUSES:
             self.exchange.keep_upstream_failure(answer)
-            self.take_fault(Fault.MALFORMED, f"the upstream failed with {status}")
+            self.handle_failure(CallFailure.MALFORMED, f"upstream failed with status {status}")
         else:
             self.succeed()
             self.exchange.send_response(answer)
 
-    def get_patience(self) -> float:
-        """Return the patience: some times what this upstream takes at present."""
-        return max(SHORTEST_PATIENCE, PATIENCE_FACTOR * self.standing.latency)
+    def get_timeout(self) -> float:
+        """Return the timeout: a multiple of the upstream's mean latency."""
+        return max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * self.stats.latency)
 
     def may_abandon(self) -> bool:
-        """Tell whether the request may run again."""
+        """Return whether the request may run again."""
         return not self._sent or self.request.may_run_again
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -1,4 +1,4 @@
-"""Ask a decode engine to set memory aside."""
+"""Attempt to reserve memory at a decode engine."""
 
 from __future__ import annotations
 
@@ -6,96 +6,96 @@
 
 from beamhatch.relay.model import Reservation
 from beamhatch.relay.upstreams.announcements import MISDIRECTED
-from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
+from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
     from beamhatch.relay.choosing.rests import BackoffProbe
     from beamhatch.relay.model import Upstream
     from beamhatch.relay.requests.exchange import RelayExchange
     from beamhatch.relay.requests.request import Reserve
-    from beamhatch.relay.upstreams.http_client import Call, Exchange, Head
+    from beamhatch.relay.upstreams.http_client import Call, HttpExchange, ResponseHead
 
-MOST_BODY_BYTES = 64 * 1024
-"""Bytes of an answer about memory at the most; it has less than a hundred."""
+MAX_BODY_BYTES = 64 * 1024
+"""Maximum size of each piece of body data that is kept."""
 
 GRANTED = 200
-"""The status of an engine that has set memory aside."""
+"""HTTP status of a granted reservation."""
 
-PATIENCE = 0.12
-"""Seconds: the answer takes milliseconds, and a new request has a quarter of its target to be refused in."""
+TIMEOUT_S = 0.12
+"""Short, as engines respond within milliseconds and the request has to be rejected early if there is no memory."""
 
 
-class ReserveAttempt(AnswerSink):
-    """Asks a decode engine to set memory aside; it runs nothing, and counts as no send."""
+class ReserveAttempt(ResponseSink):
+    """Attempt to reserve memory at a decode engine; it runs nothing and does not count as a send."""
 
     def __init__(self, exchange: RelayExchange, step: Reserve) -> None:
         self.core = exchange.core
         self._exchange = exchange
         self._step = step
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._http: Exchange | None = None
+        self._http: HttpExchange | None = None
         self._ended = False
         self.sent = False
-        """True once the call was written, or begun to be."""
+        """True once any part of the call was written."""
         self._started_at = self.core.clock.now()
-        self._trial: BackoffProbe | None = None
-        """Tells whether the engine is back behind a rest."""
-        self._timer: Any = self.core.clock.call_later(PATIENCE, self._run_out)
+        self._probe: BackoffProbe | None = None
+        """Probe of the engine after its back-off, if this attempt is one."""
+        self._timer: Any = self.core.clock.call_later(TIMEOUT_S, self._handle_timeout)
 
     @property
     def upstream(self) -> Upstream:
-        """Return who is asked."""
+        """The engine that is asked for memory."""
         return self._step.upstream
 
     def start(self, call: Call) -> None:
-        """Ask."""
+        """Send the call."""
         now = self.core.clock.now()
         self.core.standings.get(self._step.upstream.id).sent_at = now
-        self._trial = self.core.eligibility.backoffs.begin_request(self._step.upstream.life, now)
+        self._probe = self.core.eligibility.backoffs.begin_request(self._step.upstream.life, now)
         http = self.core.client.open(self._step.upstream.address, call, self)
         if not self._ended:
             self._http = http
 
     def cancel(self) -> None:
-        """Ask no longer; what was set aside meanwhile lapses."""
+        """Cancel the call; memory reserved meanwhile expires at the engine."""
         if not self._ended:
             self._end()
             if self._http is not None:
                 self._http.cancel()
 
     def pause(self) -> None:
-        """Read on: there is nothing to hold up."""
+        """Do nothing: the response is not forwarded to the caller."""
 
-    def go_on(self) -> None:
-        """Read on."""
+    def resume(self) -> None:
+        """Do nothing."""
 
-    def note_sent(self) -> None:
-        """Note where memory is asked for in spite of what the engine said."""
+    def handle_sent(self) -> None:
+        """Record the send, and log it if it goes against the engine's announcements."""
         self.sent = True
-        told = self.core.announcements.note_sent(self._step.upstream)
-        if told:
-            self._exchange.write_log("asked in spite of its word", to=self._step.upstream.id, **told)
+        fields = self.core.announcements.record_send(self._step.upstream)
+        if fields:
+            self._exchange.write_log("asked in spite of its word", to=self._step.upstream.id, **fields)
 
-    def take_head(self, head: Head) -> None:
-        """Take the head of the answer."""
+    def handle_head(self, head: ResponseHead) -> None:
+        """Apply the announcements in the head of the response."""
         self._head = head
-        self.core.announcements.read(self._step.upstream, head, self._started_at)
+        self.core.announcements.handle_head(self._step.upstream, head, self._started_at)
 
-    def take_data(self, data: bytes) -> None:
-        """Take a part of the answer."""
-        self._body += data[:MOST_BODY_BYTES]
+    def handle_data(self, data: bytes) -> None:
+        """Buffer body data."""
+        self._body += data[:MAX_BODY_BYTES]
 
-    def take_end(self) -> None:
-        """Tell the request what was set aside."""
+    def handle_end(self) -> None:
+        """Record the result, and let the exchange go on."""
         assert self._head is not None
         if self._ended:
             return
         self._end()
         now = self.core.clock.now()
         upstream = self._step.upstream
-        standing = self.core.standings.get(upstream.id)
-        standing.record_response(now)
+        stats = self.core.standings.get(upstream.id)
+        stats.record_response(now)
         found = self.core.dialect.read_reservation(bytes(self._body)) if self._head.status == GRANTED else None
         self.core.tally.count("reservations_total", str(self._head.status))
         if found is not None:
@@ -103,33 +103,33 @@
             self._exchange.record_memory_acquired()
             self._exchange.request.record_reserved(Reservation(found, upstream, now + self._step.lifetime_s))
         elif self._head.status == MISDIRECTED:
-            standing.record_misdirected(now)
+            stats.record_misdirected(now)
             self._exchange.request.record_reserve_failed(upstream.id)
         else:
             self._exchange.request.record_full(upstream.id)
         self._exchange.write_log("reserved" if found else "not reserved", to=upstream.id, status=self._head.status)
         self._exchange.replan_after(self)
 
-    def take_fault(self, fault: Fault, detail: str) -> None:
-        """Go on elsewhere."""
+    def handle_failure(self, failure: CallFailure, detail: str) -> None:
+        """Record the failure, and let the exchange try another upstream."""
         if self._ended:
             return
         self._end()
         upstream = self._step.upstream
         self.core.standings.get(upstream.id).record_no_response(self.core.clock.now())
         self._exchange.request.record_reserve_failed(upstream.id)
-        self._exchange.write_log("not reserved", to=upstream.id, fault=fault.value, detail=detail)
+        self._exchange.write_log("not reserved", to=upstream.id, fault=failure.value, detail=detail)
         self._exchange.replan_after(self)
 
-    def _run_out(self) -> None:
+    def _handle_timeout(self) -> None:
         if self._http is not None:
             self._http.cancel()
-        self.take_fault(Fault.UNREACHED, "no answer in time")
+        self.handle_failure(CallFailure.UNREACHED, "no response in time")
 
     def _end(self) -> None:
         self._ended = True
         if self._timer.active():
             self._timer.cancel()
-        if self._trial is not None:
+        if self._probe is not None:
             answered = self._head is not None and self._head.status == GRANTED
-            self._trial.end(self.core.clock.now(), answered=answered)
+            self._probe.end(self.core.clock.now(), answered=answered)
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -28,14 +28,14 @@
 
 def make_eligibility(upstreams: list[Upstream]) -> Eligibility:
     listing = Listing()
-    listing.take_whole([Entry(one.id, 1, one) for one in upstreams], 1, NOW)
+    listing.apply_snapshot([Entry(one.id, 1, one) for one in upstreams], 1, NOW)
     return Eligibility(listing)
 
 
 def test_there_is_no_shortage_while_one_upstream_may_be_sent_requests() -> None:
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.note_leaving(upstreams[0].life, NOW)
+    eligibility.listing.record_departure(upstreams[0].life, NOW)
     assert detect_shortage(eligibility, upstreams, None, None, NOW) is None
     assert detect_shortage(eligibility, [], None, None, NOW) is None
 
@@ -44,7 +44,7 @@
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     for one in upstreams:
-        eligibility.listing.note_leaving(one.life, NOW)
+        eligibility.listing.record_departure(one.life, NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW)
     assert shortage is not None
     assert (shortage.obstacle, shortage.wait) == (Obstacle.LEAVING, LEAVING_RETRY_S)
@@ -58,7 +58,7 @@
 def test_the_wait_lasts_until_the_first_backoff_ends() -> None:
     upstreams = make_upstreams("abc")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.note_leaving(upstreams[0].life, NOW)
+    eligibility.listing.record_departure(upstreams[0].life, NOW)
     eligibility.backoffs.record(upstreams[1].life, 5.0, NOW)
     eligibility.backoffs.record(upstreams[2].life, 3.0, NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 1.0)
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -169,14 +169,14 @@
             self.deleted_at[name] = self.now
         self.expected_entries[name] = entry
         self.updates.append(entry)
-        self.in_order.take(entry, self.now)
+        self.in_order.apply(entry, self.now)
 
     @precondition(lambda self: self.updates)
     @rule(data=st.data())
     def receive_update(self, data: st.DataObject) -> None:
         """Deliver any earlier update, possibly again, late or out of order."""
         entry = data.draw(st.sampled_from(self.updates))
-        self.out_of_order.take(entry, self.now)
+        self.out_of_order.apply(entry, self.now)
         newest = self.newest_received.get(entry.id)
         if newest is None or newest.revision < entry.revision:
             self.newest_received[entry.id] = entry
@@ -184,19 +184,19 @@
     @rule()
     def receive_snapshot(self) -> None:
         listed = [entry for entry in self.expected_entries.values() if entry.upstream is not None]
-        self.out_of_order.take_whole(listed, self.revision, self.now)
+        self.out_of_order.apply_snapshot(listed, self.revision, self.now)
         self.newest_received = {entry.id: entry for entry in self.expected_entries.values()}
         assert {entry.id for entry in listed} == {
-            name for name in self.out_of_order.list_ids() if self.out_of_order.find(name) is not None
+            name for name in self.out_of_order.list_ids() if self.out_of_order.get(name) is not None
         }
 
     @rule()
     def catch_up(self) -> None:
         for entry in self.in_order.list_since(0, 0.0):
-            self.out_of_order.take(entry, self.now)
+            self.out_of_order.apply(entry, self.now)
         self.newest_received = {entry.id: entry for entry in self.expected_entries.values()}
         for name in self.expected_entries:
-            assert self.out_of_order.find(UpstreamId(name)) == self.in_order.find(UpstreamId(name))
+            assert self.out_of_order.get(UpstreamId(name)) == self.in_order.get(UpstreamId(name))
 
     @rule(elapsed=st.floats(0, 4))
     def wait(self, elapsed: float) -> None:
@@ -205,7 +205,7 @@
     @invariant()
     def keeps_newest_received_entry(self) -> None:
         for name, entry in self.newest_received.items():
-            assert self.out_of_order.find(name) == entry.upstream
+            assert self.out_of_order.get(name) == entry.upstream
 
     @invariant()
     def lists_only_usable_upstreams(self) -> None:
@@ -213,7 +213,7 @@
         assert not usable & self.drained
         available = {name for name, entry in self.expected_entries.items() if entry.upstream is not None} - self.drained
         recently_deleted = {
-            name for name, at in self.deleted_at.items() if self.now - at < self.in_order.gone_grace
+            name for name, at in self.deleted_at.items() if self.now - at < self.in_order.gone_grace_s
         } - self.drained
         assert usable == (available | recently_deleted if len(recently_deleted) >= len(available) else available)
 
