--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from beamhatch.decide.call import Priority
-from beamhatch.decide.ledger import Facts
+from beamhatch.decide.ledger import UpstreamConfig
 from beamhatch.ids import HallName, UpstreamName
 from benchmarks.fakes import _VMS, Asked, Events, FakeEngine, FakeVm, World, describe, kill, vms_of
 
@@ -102,7 +102,7 @@
             name = UpstreamName(f"{role}-{number}")
             hall = HallName(deployment.halls[number % len(deployment.halls)])
             memory = deployment.memory if role == "decode" else 10**9
-            facts = Facts(name, "", hall, role, {}, memory, deployment.prefill_rate, deployment.link_rate)
+            facts = UpstreamConfig(name, "", hall, role, {}, memory, deployment.prefill_rate, deployment.link_rate)
             engines[name] = FakeEngine(facts, deployment.pace)
     return engines
 
--- a/benchmarks/fakes.py
+++ b/benchmarks/fakes.py
@@ -13,35 +13,35 @@
 
 from beamhatch.decide.call import Priority
 from beamhatch.decide.effect import (
-    AskLanding,
-    AskPlacement,
     CancelRun,
-    Finish,
-    FreePlacement,
+    ChooseDecode,
+    ChooseFirst,
+    FinishRequest,
+    ReleasePlacement,
     StartDecode,
     StartPrefill,
 )
 from beamhatch.decide.fact import (
-    Begin,
-    Broke,
-    CallerGone,
-    Ended,
-    FirstFrame,
-    Landed,
-    Placed,
-    PlacementRefused,
-    PrefillEnded,
-    Refused,
+    CallerDisconnected,
+    DecodeChosen,
+    DecodeStarted,
+    FirstChosen,
+    PlacementFailed,
+    PrefillCompleted,
+    RequestValidated,
+    ResponseCompleted,
     Stage,
+    UpstreamFailed,
+    UpstreamRefused,
 )
 from beamhatch.decide.fleet import Fleet
-from beamhatch.decide.ledger import Facts, Report, Share
+from beamhatch.decide.ledger import LoadSnapshot, UpstreamConfig, VmLoad
 from beamhatch.decide.outcome import Answered, Failed, NotRun, Outcome, Unknown
-from beamhatch.decide.policy.api import Need
+from beamhatch.decide.policy.api import ResourceNeed
 from beamhatch.decide.policy.make import make_policy
 from beamhatch.decide.policy.reserving import BLOCK_TOKENS
-from beamhatch.decide.pool import Landing, Pool, Started
-from beamhatch.decide.request import Request, Terms
+from beamhatch.decide.pool import HandoffDecision, Pool, StartDecision
+from beamhatch.decide.request import Request, RequestTerms
 from beamhatch.ids import HallName, RequestId, UpstreamName, WorkspaceName
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
 class FakeEngine:
     """A prefill or decode engine."""
 
-    facts: Facts
+    facts: UpstreamConfig
     pace: float
     alive: bool = True
     busy_until: float = 0.0
@@ -163,9 +163,9 @@
         self.clairvoyant = clairvoyant
         self.one_way = one_way
         self.policy = make_policy(algorithm)
-        fleet = Fleet(HallName(hall), age_limit=3.0 + world.lag)
+        fleet = Fleet(HallName(hall), max_report_age=3.0 + world.lag)
         fleet.set_upstreams([engine.facts for engine in world.engines.values()])
-        self.pool = Pool(fleet, lambda need: self.policy, most_waiting=2000)
+        self.pool = Pool(fleet, lambda need: self.policy, max_queue_length=2000)
         self.tasks: dict[RequestId, Task] = {}
         self._seen: dict[UpstreamName, int] = {}
         self.world.events.at(0.0, self.read_reports)
@@ -181,31 +181,31 @@
             at = now - self.world.lag
             old = [entry for entry in engine.history if entry[0] <= at] or [(at, 0, 0)]
             _, held, jobs = old[-1]
-            self.pool.fleet.take_report(name, Report(at, held, engine.facts.capacity_tokens, jobs))
-        self.carry(self.pool.serve(now))
+            self.pool.fleet.apply_report(name, LoadSnapshot(at, held, engine.facts.capacity_tokens, jobs))
+        self.carry(self.pool.dispatch_waiting(now))
         self.world.events.at(REPORT_PERIOD, self.read_reports)
 
     def share(self) -> None:
         """Tell the other VMs what this one has at each engine, in batches, as the daemon does."""
-        changed = self.pool.fleet.take_changed()
+        changed = self.pool.fleet.pop_changed_loads()
         for vm in vms_of(self.world) if changed and self.world.shares else ():
             if vm is not self and self.world.cut_hall not in (vm.hall, self.hall):
                 self.world.events.at(self.one_way, vm.take_shares, f"vm-{id(self)}", changed)
         self.world.events.at(SHARE_PERIOD, self.share)
 
-    def take_shares(self, vm: str, shares: dict[UpstreamName, Share]) -> None:
+    def take_shares(self, vm: str, shares: dict[UpstreamName, VmLoad]) -> None:
         """Take in what another VM has."""
         for name, share in shares.items():
-            self.pool.fleet.take_share(name, vm, share, self.world.events.now)
-        self.carry(self.pool.serve(self.world.events.now))
+            self.pool.fleet.apply_vm_load(name, vm, share, self.world.events.now)
+        self.carry(self.pool.dispatch_waiting(self.world.events.now))
 
     def learn_blocks(self, name: UpstreamName, blocks: tuple[int, ...]) -> None:
         """Take in late cache events, with gaps."""
         if self.world.rng.random() < self.world.gap_share:
-            self.pool.fleet.forget_blocks(name)
+            self.pool.fleet.drop_blocks(name)
             return
         for block in blocks:
-            self.pool.fleet.note_block(name, block, stored=True, now=self.world.events.now)
+            self.pool.fleet.record_block(name, block, stored=True, now=self.world.events.now)
 
     def expire(self) -> None:
         """Give up what waited for too long."""
@@ -217,9 +217,9 @@
         task = Task(self, asked)
         self.tasks[task.need.request] = task
         self.world.results.append(task.result)
-        task.feed(Begin())
+        task.feed(RequestValidated())
         if asked.leaves is not None:
-            self.world.events.at(asked.leaves, task.feed, CallerGone())
+            self.world.events.at(asked.leaves, task.feed, CallerDisconnected())
 
     def carry(self, decisions: list[Any]) -> None:
         """Carry decisions to their requests."""
@@ -227,12 +227,12 @@
             task = self.tasks.get(decision.request)
             if task is None:
                 continue
-            if isinstance(decision, Started):
-                task.feed(Placed(decision.upstream))
-            elif isinstance(decision, Landing):
-                task.feed(Landed(decision.upstream))
+            if isinstance(decision, StartDecision):
+                task.feed(FirstChosen(decision.upstream))
+            elif isinstance(decision, HandoffDecision):
+                task.feed(DecodeChosen(decision.upstream))
             else:
-                task.feed(PlacementRefused(decision.reason, decision.detail, decision.retry_after))
+                task.feed(PlacementFailed(decision.reason, decision.detail, decision.retry_after))
 
 
 class Task:
@@ -244,13 +244,13 @@
         self.asked = asked
         self.result = Result(asked)
         request = RequestId(f"r{asked.number}")
-        self.request = Request(Terms(request, streamed=True))
-        self.need = Need(
+        self.request = Request(RequestTerms(request, streamed=True))
+        self.need = ResourceNeed(
             request=request,
             workspace=WorkspaceName("w"),
             prompt_tokens=asked.prompt,
             output_tokens=asked.output if vm.clairvoyant else asked.limit,
-            arrived=self.world.events.now,
+            arrival_time=self.world.events.now,
             priority=asked.priority,
             first_token_target=asked.target,
             blocks=asked.blocks,
@@ -266,27 +266,27 @@
             return
         self._feeding = True
         while self._facts:
-            for effect in self.request.step(self._facts.pop(0)):
+            for effect in self.request.handle(self._facts.pop(0)):
                 self._do(effect)
         self._feeding = False
 
     def _do(self, effect: Any) -> None:
         now = self.world.events.now
         pool = self.vm.pool
-        if isinstance(effect, AskPlacement):
+        if isinstance(effect, ChooseFirst):
             self.need.exclude = effect.exclude
-            self.vm.carry(pool.ask_start(self.need, now))
-        elif isinstance(effect, AskLanding):
-            self.vm.carry(pool.ask_landing(self.need.request, effect.exclude, now))
-        elif isinstance(effect, FreePlacement):
-            self.vm.carry(pool.free(self.need.request, now))
+            self.vm.carry(pool.request_start(self.need, now))
+        elif isinstance(effect, ChooseDecode):
+            self.vm.carry(pool.request_handoff(self.need.request, effect.exclude, now))
+        elif isinstance(effect, ReleasePlacement):
+            self.vm.carry(pool.release(self.need.request, now))
         elif isinstance(effect, StartPrefill):
             self._prefill(effect)
         elif isinstance(effect, StartDecode):
             self._decode(effect)
         elif isinstance(effect, CancelRun):
             self._cancel(effect.run, effect.upstream)
-        elif isinstance(effect, Finish):
+        elif isinstance(effect, FinishRequest):
             self._finish(effect.outcome)
 
     # --- prefill ---------------------------------------------------------------------------------------------------
@@ -295,7 +295,7 @@
         engine = self.world.engines[effect.upstream]
         events = self.world.events
         if not engine.alive or not self.world.reaches(self.vm.hall, engine):
-            events.at(self.vm.one_way, self.feed, Refused(Stage.PREFILL, "gone", True))
+            events.at(self.vm.one_way, self.feed, UpstreamRefused(Stage.PREFILL, "gone", True))
             return
         cached = min(self.asked.prompt - 1, engine.find_cached(self.asked.blocks))
         work = self.asked.prompt - cached
@@ -321,7 +321,7 @@
             return
         self._exported = self.world.events.now
         self._work = work
-        self.feed(PrefillEnded())
+        self.feed(PrefillCompleted())
 
     # --- decode ----------------------------------------------------------------------------------------------------
 
@@ -333,14 +333,14 @@
         if self.vm.clairvoyant:
             need = self.asked.prompt + self.asked.output
         if not engine.alive or not self.world.reaches(self.vm.hall, engine):
-            events.at(trip, self.feed, Refused(Stage.DECODE, "gone", True))
+            events.at(trip, self.feed, UpstreamRefused(Stage.DECODE, "gone", True))
             return
         if self._exported is None or events.now - self._exported > EXPORT_LIFE:
             self.world.wasted += self._work
-            events.at(trip, self.feed, Refused(Stage.DECODE, "export lost", True, export_lost=True))
+            events.at(trip, self.feed, UpstreamRefused(Stage.DECODE, "export lost", True, export_lost=True))
             return
         if engine.held + need > engine.facts.capacity_tokens:
-            events.at(2 * trip, self.feed, Refused(Stage.DECODE, "full", True))
+            events.at(2 * trip, self.feed, UpstreamRefused(Stage.DECODE, "full", True))
             return
         engine.held += need
         engine.jobs += 1
@@ -355,7 +355,7 @@
 
     def _stall(self, effect: StartDecode) -> None:
         self.world.engines[effect.upstream].transfers -= 1
-        self.feed(Broke(Stage.DECODE, "stalled", True))
+        self.feed(UpstreamFailed(Stage.DECODE, "stalled", True))
 
     def _first_token(self, effect: StartDecode) -> None:
         engine = self.world.engines[effect.upstream]
@@ -364,9 +364,9 @@
             return
         if self.result.first_token is None:
             self.result.first_token = self.world.events.now - self.asked.at
-        self.vm.pool.note_landed(self.need.request)
+        self.vm.pool.record_transfer_end(self.need.request)
         self._exported = None
-        self.feed(FirstFrame())
+        self.feed(DecodeStarted())
         self.world.events.at(self.asked.output * engine.pace, self._end_decode, effect)
 
     def _end_decode(self, effect: StartDecode) -> None:
@@ -374,8 +374,8 @@
         if effect.run not in engine.runs:
             return
         free(engine, effect.run, self.world.events.now)
-        self.vm.pool.fleet.rates.note_answer(self.asked.output, self.asked.output * engine.pace)
-        self.feed(Ended())
+        self.vm.pool.fleet.workload.record_output(self.asked.output, self.asked.output * engine.pace)
+        self.feed(ResponseCompleted())
 
     # --- ends ------------------------------------------------------------------------------------------------------
 
@@ -393,7 +393,7 @@
     def break_stream(self) -> None:
         """Lose the engine: resumes fail too, so the request goes on as the aggregate says."""
         for _ in range(3):
-            self.feed(Broke(Stage.DECODE, "the engine died", True))
+            self.feed(UpstreamFailed(Stage.DECODE, "the engine died", True))
 
     def _distance(self, engine: FakeEngine) -> float:
         return 0.0001 if engine.facts.hall == self.vm.hall else self.vm.one_way
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -19,9 +19,9 @@
 
 from beamhatch.clock import Clock
 from beamhatch.decide.fleet import Fleet
-from beamhatch.decide.idempotency import KeptAnswer, RecordStore
-from beamhatch.decide.ledger import Facts, Report, Share
-from beamhatch.decide.policy.api import Need
+from beamhatch.decide.idempotency import RecordStore, StoredResponse
+from beamhatch.decide.ledger import LoadSnapshot, UpstreamConfig, VmLoad
+from beamhatch.decide.policy.api import ResourceNeed
 from beamhatch.decide.policy.make import make_policy
 from beamhatch.decide.pool import Pool
 from beamhatch.edge.http import HttpClient
@@ -60,15 +60,15 @@
 def make_pool(candidates: int) -> Pool:
     """Return a pool with so many engines of each role, half full of other VMs' work."""
     rng = random.Random(candidates)
-    fleet = Fleet(HallName("h"), age_limit=1e9)
+    fleet = Fleet(HallName("h"), max_report_age=1e9)
     facts = [
-        Facts(UpstreamName(f"{role}-{n}"), "", HallName("h"), role, {}, 24_000, 20_000, 100_000)
+        UpstreamConfig(UpstreamName(f"{role}-{n}"), "", HallName("h"), role, {}, 24_000, 20_000, 100_000)
         for role in ("prefill", "decode")
         for n in range(candidates)
     ]
     fleet.set_upstreams(facts)
     for item in facts:
-        fleet.take_report(item.name, Report(0.0, rng.randrange(12_000), 24_000, rng.randrange(2)))
+        fleet.apply_report(item.name, LoadSnapshot(0.0, rng.randrange(12_000), 24_000, rng.randrange(2)))
     policy = make_policy("predicted")
     return Pool(fleet, lambda need: policy)
 
@@ -83,13 +83,13 @@
         for number in range(DECISIONS):
             now = number * 0.001
             request = RequestId(f"r{number}")
-            need = Need(request, WorkspaceName("w"), 800, 120, now)
+            need = ResourceNeed(request, WorkspaceName("w"), 800, 120, now)
             before = time.perf_counter()
-            pool.ask_start(need, now)
+            pool.request_start(need, now)
             started += time.perf_counter() - before
-            pool.ask_landing(request, frozenset(), now)
-            pool.note_landed(request)
-            pool.free(request, now)
+            pool.request_handoff(request, frozenset(), now)
+            pool.record_transfer_end(request)
+            pool.release(request, now)
         starts.append(started / DECISIONS * 1e6)
         times.append((time.process_time() - start) / DECISIONS * 1e6)
     return {
@@ -118,10 +118,10 @@
     for number in range(count):
         key, request = RecordKey(f"order-desk/{number:032d}"), RequestId(f"kl-a-1.1796205094331.{number}")
         store.put(key, "0" * 64, VmName("kl-a-1"), Boot(1796205094331), request, 0.0)
-        store.end(
+        store.complete(
             key,
             request,
-            KeptAnswer("answered", "answered", "", 200, (("Content-Type", "application/json"),), b"x" * 200),
+            StoredResponse("answered", "answered", "", 200, (("Content-Type", "application/json"),), b"x" * 200),
         )
     return store
 
@@ -130,8 +130,10 @@
     """Return a pool with waiting requests."""
     pool = make_pool(1)
     for number in range(count):
-        need = Need(RequestId(f"kl-a-1.1796205094331.{number}"), WorkspaceName(f"w{number % 330}"), 23_000, 900, 0.0)
-        pool.waiting.add(need, late=False)
+        need = ResourceNeed(
+            RequestId(f"kl-a-1.1796205094331.{number}"), WorkspaceName(f"w{number % 330}"), 23_000, 900, 0.0
+        )
+        pool.queue.add(need, late=False)
     return pool
 
 
@@ -255,7 +257,7 @@
             "waiting_request": measure_memory(make_waiting),
             "workspace": measure_memory(make_workspaces),
             "upstream": round(measure_memory(make_pool) / 2, 1),
-            "share": measure_memory(lambda count: [(f"vm-{n}", Share(n * 1000, n, n % 7)) for n in range(count)]),
+            "share": measure_memory(lambda count: [(f"vm-{n}", VmLoad(n * 1000, n, n % 7)) for n in range(count)]),
         },
         "message_bytes": measure_messages(),
         "message_us": await measure_message(),
--- a/src/beamhatch/decide/call.py
+++ b/src/beamhatch/decide/call.py
@@ -18,7 +18,7 @@
     LOW = 2
 
 
-PRIORITY_WORDS = {"high": Priority.HIGH, "normal": Priority.NORMAL, "low": Priority.LOW}
+PRIORITY_NAMES = {"high": Priority.HIGH, "normal": Priority.NORMAL, "low": Priority.LOW}
 
 
 @dataclass(slots=True)
@@ -48,12 +48,12 @@
     identity: str = ""
     """What slices are cut by: the caller's key, or the request."""
     priority: Priority = Priority.NORMAL
-    arrived: float = 0.0
+    arrival_time: float = 0.0
     """Monotonic seconds."""
     deadline: float | None = None
     """Monotonic seconds."""
     first_token_target: float = 0.32
-    pace_target: float = 0.076
+    token_interval_target: float = 0.076
     drop_if_late: bool = False
     """True where the caller would rather have a refusal than a late answer."""
     prompt_tokens: int = 1
--- a/src/beamhatch/decide/comparison.py
+++ b/src/beamhatch/decide/comparison.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-KEPT_SAMPLES = 5000
-SURE = 1.96
+MAX_SAMPLES = 5000
+Z_SCORE = 1.96
 """Standard errors that make a difference real, at 95 in 100."""
-SAMPLES_TO_TELL = 30
+MIN_SAMPLES = 30
 
 
 class Verdict(Enum):
@@ -26,12 +26,12 @@
 class Sample:
     """How one request went."""
 
-    good: bool
+    met_targets: bool
     """Within both latency targets."""
     first_token: float | None
     pace: float | None
-    prefilled: int
-    wasted: int
+    prefilled_tokens: int
+    wasted_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,32 +44,32 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class PolicyStats:
     """The last requests that a policy served."""
 
-    samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=KEPT_SAMPLES))
+    samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
 
     def add(self, sample: Sample) -> None:
         """Take in one request."""
         self.samples.append(sample)
 
-    def measure_goodput(self) -> Interval:
+    def compute_goodput(self) -> Interval:
         """Return the share of requests within both targets."""
-        return _measure_share(sum(sample.good for sample in self.samples), len(self.samples))
+        return _compute_share(sum(sample.met_targets for sample in self.samples), len(self.samples))
 
-    def measure_waste(self) -> Interval:
+    def compute_waste(self) -> Interval:
         """Return the share of prefilled tokens that were wasted; the interval counts requests, not tokens."""
-        prefilled = sum(sample.prefilled for sample in self.samples)
-        wasted = sum(sample.wasted for sample in self.samples)
+        prefilled = sum(sample.prefilled_tokens for sample in self.samples)
+        wasted = sum(sample.wasted_tokens for sample in self.samples)
         share = wasted / prefilled if prefilled else 0.0
-        requests = sum(1 for sample in self.samples if sample.prefilled)
-        spread = SURE * math.sqrt(share * (1 - share) / requests) if requests else 0.0
+        requests = sum(1 for sample in self.samples if sample.prefilled_tokens)
+        spread = Z_SCORE * math.sqrt(share * (1 - share) / requests) if requests else 0.0
         return Interval(share, max(0.0, share - spread), min(1.0, share + spread))
 
-    def find_percentile(self, name: str, part: float) -> float | None:
+    def compute_percentile(self, name: str, fraction: float) -> float | None:
         """Return a percentile of ``first_token`` or ``pace`` in seconds."""
         values = sorted(value for sample in self.samples if (value := getattr(sample, name)) is not None)
-        return values[min(len(values) - 1, int(len(values) * part))] if values else None
+        return values[min(len(values) - 1, int(len(values) * fraction))] if values else None
 
 
 @dataclass(slots=True)
@@ -84,18 +84,18 @@
 
 
 @dataclass(slots=True)
-class Comparison:
+class PolicyComparison:
     """All tallies of this VM."""
 
-    tallies: dict[str, Tally] = field(default_factory=dict)
+    stats: dict[str, PolicyStats] = field(default_factory=dict)
     agreements: dict[tuple[str, str], Agreement] = field(default_factory=dict)
     """By serving and compared policy."""
 
-    def note_served(self, policy: str, sample: Sample) -> None:
+    def record_served(self, policy: str, sample: Sample) -> None:
         """Take in how a request of a policy went."""
-        self.tallies.setdefault(policy, Tally()).add(sample)
+        self.stats.setdefault(policy, PolicyStats()).add(sample)
 
-    def note_decision(self, serving: str, compared: str, same: bool | None, sooner: float) -> None:
+    def record_decision(self, serving: str, compared: str, same: bool | None, sooner: float) -> None:
         """Take in a decision without effect; ``same`` is None where the compared policy would have waited."""
         agreement = self.agreements.setdefault((serving, compared), Agreement())
         agreement.asked += 1
@@ -104,23 +104,25 @@
         agreement.sooner += sooner
 
 
-def judge(first: Interval, second: Interval, first_count: int, second_count: int, *, more_is_better: bool) -> Verdict:
+def compare_shares(
+    first: Interval, second: Interval, first_count: int, second_count: int, *, more_is_better: bool
+) -> Verdict:
     """Tell whether the second of two shares is really better than the first."""
-    if min(first_count, second_count) < SAMPLES_TO_TELL:
+    if min(first_count, second_count) < MIN_SAMPLES:
         return Verdict.TOO_FEW
     error = math.sqrt(first.value * (1 - first.value) / first_count + second.value * (1 - second.value) / second_count)
     difference = second.value - first.value
-    if abs(difference) <= SURE * error or difference == 0:
+    if abs(difference) <= Z_SCORE * error or difference == 0:
         return Verdict.NO_DIFFERENCE
     return Verdict.BETTER if (difference > 0) == more_is_better else Verdict.WORSE
 
 
-def _measure_share(hits: int, count: int) -> Interval:
+def _compute_share(hits: int, count: int) -> Interval:
     """Return a share with its Wilson interval."""
     if count == 0:
         return Interval(0.0, 0.0, 1.0)
     share = hits / count
-    square = SURE**2
-    middle = (share + square / (2 * count)) / (1 + square / count)
-    spread = SURE * math.sqrt(share * (1 - share) / count + square / (4 * count**2)) / (1 + square / count)
-    return Interval(share, max(0.0, middle - spread), min(1.0, middle + spread))
+    square = Z_SCORE**2
+    center = (share + square / (2 * count)) / (1 + square / count)
+    spread = Z_SCORE * math.sqrt(share * (1 - share) / count + square / (4 * count**2)) / (1 + square / count)
+    return Interval(share, max(0.0, center - spread), min(1.0, center + spread))
--- a/src/beamhatch/decide/configuration.py
+++ b/src/beamhatch/decide/configuration.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-KEPT_CHANGES = 100
+MAX_HEAD_CHANGES = 100
 """Changes that the head remembers; an operator who asks later is told that it is not known any more."""
 
 
@@ -101,11 +101,11 @@
     loaded: bool = False
     """True once a configuration came from the settings, the platform or a peer."""
 
-    def find_missing(self, head: Head) -> list[str]:
+    def list_missing_hashes(self, head: Head) -> list[str]:
         """Return the hashes of a head whose bodies are not here."""
         return sorted({digest for digest in head.documents.values() if digest not in self.bodies})
 
-    def take(self, head: Head, bodies: dict[str, bytes]) -> bool:
+    def apply(self, head: Head, bodies: dict[str, bytes]) -> bool:
         """Put a configuration in force if it is newer and whole; return whether it was."""
         if self.loaded and head.sequence <= self.head.sequence:
             return False
@@ -138,9 +138,9 @@
         if problems:
             return Invalid(tuple(f"{problem.path}: {problem.message}. {problem.remedy}" for problem in problems))
         sequence = head.sequence + 1
-        touched = sorted([*change.put, *change.remove])
-        note = ChangeNote(change.change, sequence, change.operator, now, change.reason, touched)
-        return NextHead(Head(sequence, documents, [*head.changes, note][-KEPT_CHANGES:]))
+        changed_names = sorted([*change.put, *change.remove])
+        note = ChangeNote(change.change, sequence, change.operator, now, change.reason, changed_names)
+        return NextHead(Head(sequence, documents, [*head.changes, note][-MAX_HEAD_CHANGES:]))
 
     # --- reading ---------------------------------------------------------------------------------------------------
 
@@ -162,7 +162,7 @@
         return sorted(slices, key=lambda item: (-item.rank, item.name))
 
 
-def make_first(documents: Iterable[Document]) -> tuple[Head, dict[str, bytes]]:
+def make_initial_head(documents: Iterable[Document]) -> tuple[Head, dict[str, bytes]]:
     """Return the head and bodies of documents that a settings file carries; its sequence is 0."""
     bodies = {name_document(document): encode_document(document) for document in documents}
     names = {name: digest_document(body) for name, body in bodies.items()}
--- a/src/beamhatch/decide/effect.py
+++ b/src/beamhatch/decide/effect.py
@@ -11,26 +11,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskRecord:
+class WriteRecord:
     """Record the caller's key on its holders."""
 
 
 @dataclass(frozen=True, slots=True)
-class AskPlacement:
+class ChooseFirst:
     """Choose upstreams for the request, leaving out those that failed it."""
 
     exclude: frozenset[UpstreamName]
 
 
 @dataclass(frozen=True, slots=True)
-class AskLanding:
+class ChooseDecode:
     """Choose a decode engine for the export that is held."""
 
     exclude: frozenset[UpstreamName]
 
 
 @dataclass(frozen=True, slots=True)
-class FreePlacement:
+class ReleasePlacement:
     """Give back queue place and reservations."""
 
 
@@ -40,7 +40,7 @@
 
     run: RunId
     upstream: UpstreamName
-    behind_sent: bool
+    continues_output: bool
     """True where what the caller already has is to be prefilled behind the prompt."""
 
 
@@ -50,7 +50,7 @@
 
     run: RunId
     upstream: UpstreamName
-    behind_sent: bool
+    continues_output: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartCall:
+class StartServiceCall:
     """Send the request to a plain service."""
 
     run: RunId
@@ -78,21 +78,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class FinishRequest:
     """Tell the caller how it ended; the last effect of every request."""
 
     outcome: Outcome
 
 
-Effect = (
-    AskRecord
-    | AskPlacement
-    | AskLanding
-    | FreePlacement
+RequestEffect = (
+    WriteRecord
+    | ChooseFirst
+    | ChooseDecode
+    | ReleasePlacement
     | StartPrefill
     | StartDecode
     | ResumeDecode
-    | StartCall
+    | StartServiceCall
     | CancelRun
-    | Finish
+    | FinishRequest
 )
--- a/src/beamhatch/decide/fact.py
+++ b/src/beamhatch/decide/fact.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class RequestValidated:
     """The request is whole and valid."""
 
 
@@ -37,21 +37,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class FirstChosen:
     """The upstream for the first stage was chosen; a place to land may be counted on besides."""
 
     first: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
-class Landed:
+class DecodeChosen:
     """A decode engine was chosen for a prefill that has ended."""
 
     decode: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementRefused:
+class PlacementFailed:
     """No place can be had in time."""
 
     reason: Reason
@@ -60,12 +60,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PrefillEnded:
+class PrefillCompleted:
     """The prefill engine holds the exported KV cache."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
+class RequestRejected:
     """The upstream answered that the request itself is wrong; its answer is passed on."""
 
     stage: Stage
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class UpstreamRefused:
     """The upstream refused, with proof that it did not run."""
 
     stage: Stage
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broke:
+class UpstreamFailed:
     """The exchange with the upstream broke off; it may have run."""
 
     stage: Stage
@@ -93,48 +93,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstFrame:
+class DecodeStarted:
     """The decode engine holds the KV cache and its answer has begun."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class ResponseCompleted:
     """The whole answer was passed on."""
 
     status: int = 200
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection, or stopped reading for too long."""
 
 
 @dataclass(frozen=True, slots=True)
-class DeadlinePassed:
+class DeadlineExceeded:
     """The caller's own deadline passed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class RequestAborted:
     """The VM must let go of the request now."""
 
     reason: Reason
 
 
-Fact = (
-    Begin
+RequestEvent = (
+    RequestValidated
     | RecordGranted
     | RecordSettled
-    | Placed
-    | Landed
-    | PlacementRefused
-    | PrefillEnded
-    | Rejected
-    | Refused
-    | Broke
-    | FirstFrame
-    | Ended
-    | CallerGone
-    | DeadlinePassed
-    | Cut
+    | FirstChosen
+    | DecodeChosen
+    | PlacementFailed
+    | PrefillCompleted
+    | RequestRejected
+    | UpstreamRefused
+    | UpstreamFailed
+    | DecodeStarted
+    | ResponseCompleted
+    | CallerDisconnected
+    | DeadlineExceeded
+    | RequestAborted
 )
--- a/src/beamhatch/decide/idempotency.py
+++ b/src/beamhatch/decide/idempotency.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from beamhatch.ids import Boot, RecordKey, RequestId, VmName
 
-RECORD_OVERHEAD = 400
+RECORD_OVERHEAD_BYTES = 400
 """Bytes that a record costs beside its key and its answer; measured by benchmarks/slopes.py."""
 
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class StoredResponse:
     """How a request ended, with its answer where that is short enough to keep."""
 
     outcome: str
@@ -51,71 +51,71 @@
     boot: Boot
     request: RequestId
     state: RecordState
-    written: float
+    written_at: float
     """Monotonic seconds of the holder."""
-    answer: KeptAnswer | None = None
+    response: StoredResponse | None = None
 
     @property
     def size(self) -> int:
         """Return the bytes it takes in memory, about."""
-        body = len(self.answer.body) if self.answer and self.answer.body else 0
-        return RECORD_OVERHEAD + 2 * len(self.key) + body
+        body = len(self.response.body) if self.response and self.response.body else 0
+        return RECORD_OVERHEAD_BYTES + 2 * len(self.key) + body
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class KeyGranted:
     """The key was free and is now taken by the asking request."""
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class KeyTaken:
     """The key belongs to another request."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
+class StoreFull:
     """No memory for a new record."""
 
 
-Put = Granted | Taken | Full
+PutResult = KeyGranted | KeyTaken | StoreFull
 
 
 @dataclass(slots=True)
 class RecordStore:
     """All records that one VM holds."""
 
-    most_records: int
-    most_bytes: int
+    max_records: int
+    max_bytes: int
     retention: float
     records: OrderedDict[RecordKey, Record] = field(default_factory=OrderedDict)
     """In the order in which they were written."""
     bytes_held: int = 0
 
-    def put(self, key: RecordKey, digest: str, vm: VmName, boot: Boot, request: RequestId, now: float) -> Put:
+    def put(self, key: RecordKey, digest: str, vm: VmName, boot: Boot, request: RequestId, now: float) -> PutResult:
         """Take a key for a request; asking again for the same request changes nothing."""
         self.expire(now)
         record = self.records.get(key)
         if record is not None:
-            mine = record.request == request and record.state is RecordState.RECORDED
-            return Granted() if mine else Taken(record)
+            is_repeat = record.request == request and record.state is RecordState.RECORDED
+            return KeyGranted() if is_repeat else KeyTaken(record)
         record = Record(key, digest, vm, boot, request, RecordState.RECORDED, now)
-        if len(self.records) >= self.most_records or self.bytes_held + record.size > self.most_bytes:
-            return Full()
+        if len(self.records) >= self.max_records or self.bytes_held + record.size > self.max_bytes:
+            return StoreFull()
         self._set(record)
-        return Granted()
+        return KeyGranted()
 
-    def end(self, key: RecordKey, request: RequestId, answer: KeptAnswer) -> Record | None:
+    def complete(self, key: RecordKey, request: RequestId, response: StoredResponse) -> Record | None:
         """Note how a request ended; a body that does not fit is left out."""
         record = self.records.get(key)
         if record is None or record.request != request or record.state is RecordState.ENDED:
             return None
-        if answer.body is not None and self.bytes_held + len(answer.body) > self.most_bytes:
-            answer = replace(answer, body=None)
-        ended = replace(record, state=RecordState.ENDED, answer=answer)
-        self._set(ended)
-        return ended
+        if response.body is not None and self.bytes_held + len(response.body) > self.max_bytes:
+            response = replace(response, body=None)
+        completed = replace(record, state=RecordState.ENDED, response=response)
+        self._set(completed)
+        return completed
 
     def drop(self, key: RecordKey, request: RequestId) -> bool:
         """Free a key because its request is proved not to have run."""
@@ -125,7 +125,7 @@
         self._remove(key)
         return True
 
-    def lose_owner(self, vm: VmName, boot: Boot) -> list[Record]:
+    def mark_owner_lost(self, vm: VmName, boot: Boot) -> list[Record]:
         """Note that a VM is gone, up to one of its starts; return the records that are lost by that."""
         lost = [
             record
@@ -139,14 +139,14 @@
     def merge(self, record: Record) -> None:
         """Take in another holder's record; what is further on wins."""
         known = self.records.get(record.key)
-        if known is None or _RANK[record.state] > _RANK[known.state]:
+        if known is None or _STATE_RANKS[record.state] > _STATE_RANKS[known.state]:
             self._set(record)
 
     def expire(self, now: float) -> None:
         """Forget records whose retention has passed and whose request has ended or is lost."""
         while self.records:
             record = next(iter(self.records.values()))
-            if now - record.written < self.retention or record.state is RecordState.RECORDED:
+            if now - record.written_at < self.retention or record.state is RecordState.RECORDED:
                 return
             self._remove(record.key)
 
@@ -159,4 +159,4 @@
         self.bytes_held -= self.records.pop(key).size
 
 
-_RANK = {RecordState.RECORDED: 0, RecordState.LOST: 1, RecordState.ENDED: 2}
+_STATE_RANKS = {RecordState.RECORDED: 0, RecordState.LOST: 1, RecordState.ENDED: 2}
--- a/src/beamhatch/decide/ledger.py
+++ b/src/beamhatch/decide/ledger.py
@@ -11,16 +11,16 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from beamhatch.decide.circuit import Breaker
+from beamhatch.decide.circuit import CircuitBreaker
 
 if TYPE_CHECKING:
     from beamhatch.ids import HallName, RequestId, UpstreamName
 
-KEPT_MOMENTS = 5.0
+HISTORY_S = 5.0
 """Seconds for which it is remembered what was known; reports lag by less."""
 
 
-class Standing(Enum):
+class UpstreamState(Enum):
     """Whether an upstream takes new work."""
 
     SERVING = "serving"
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class UpstreamConfig:
     """What the configuration says of an upstream."""
 
     name: UpstreamName
@@ -43,10 +43,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadSnapshot:
     """A load report, with its moment moved to this VM's monotonic clock."""
 
-    at: float
+    time: float
     held_tokens: int
     capacity_tokens: int
     jobs: int
@@ -54,18 +54,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class VmLoad:
     """What one other entry VM has at an upstream."""
 
-    held: int
-    promised: int
+    held_tokens: int
+    reserved_tokens: int
     jobs: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Moment:
-    at: float
-    held: int
+class _KnownLoad:
+    time: float
+    held_tokens: int
     jobs: int
 
 
@@ -73,134 +73,134 @@
 class Ledger:
     """Load and standing of one upstream, as this VM sees it."""
 
-    facts: Facts
-    standing: Standing = Standing.SERVING
-    breaker: Breaker = field(default_factory=Breaker)
-    report: Report | None = None
-    own: dict[RequestId, int] = field(default_factory=dict)
+    config: UpstreamConfig
+    state: UpstreamState = UpstreamState.SERVING
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
+    report: LoadSnapshot | None = None
+    own_runs: dict[RequestId, int] = field(default_factory=dict)
     """KV tokens of this VM's own work there."""
-    promises: dict[RequestId, int] = field(default_factory=dict)
+    reservations: dict[RequestId, int] = field(default_factory=dict)
     """Memory that this VM counts on for prefills that have not landed yet."""
-    shares: dict[str, Share] = field(default_factory=dict)
+    vm_loads: dict[str, VmLoad] = field(default_factory=dict)
     """By the other entry VMs."""
     own_tokens: int = 0
-    own_promised: int = 0
+    own_reserved: int = 0
     _others_held: int = 0
-    _others_promised: int = 0
+    _others_reserved: int = 0
     _others_jobs: int = 0
-    _unknown_held: int = 0
-    _unknown_jobs: int = 0
-    _moments: deque[_Moment] = field(default_factory=deque)
+    _unattributed_held: int = 0
+    _unattributed_jobs: int = 0
+    _history: deque[_KnownLoad] = field(default_factory=deque)
 
     @property
-    def capacity(self) -> int:
+    def capacity_tokens(self) -> int:
         """Return the KV tokens that fit."""
         return (
-            self.report.capacity_tokens if self.report and self.report.capacity_tokens else self.facts.capacity_tokens
+            self.report.capacity_tokens if self.report and self.report.capacity_tokens else self.config.capacity_tokens
         )
 
     @property
-    def held(self) -> int:
+    def held_tokens(self) -> int:
         """Return the KV tokens that are held, as far as is known."""
-        return self.own_tokens + self._others_held + self._unknown_held
+        return self.own_tokens + self._others_held + self._unattributed_held
 
     @property
-    def promised_tokens(self) -> int:
+    def reserved_tokens(self) -> int:
         """Return the KV tokens that all entry VMs count on for prefills under way."""
-        return self.own_promised + self._others_promised
+        return self.own_reserved + self._others_reserved
 
     @property
     def jobs(self) -> int:
         """Return the number of requests there, as far as is known."""
-        return len(self.own) + self._others_jobs + self._unknown_jobs
+        return len(self.own_runs) + self._others_jobs + self._unattributed_jobs
 
     @property
-    def free(self) -> int:
+    def free_tokens(self) -> int:
         """Return the KV tokens that are free."""
-        return self.capacity - self.held
+        return self.capacity_tokens - self.held_tokens
 
     @property
-    def pressure(self) -> float:
+    def utilization(self) -> float:
         """Return the share of the memory that is held or promised; above 1 where promises wait for others to end."""
-        return (self.held + self.promised_tokens) / self.capacity
+        return (self.held_tokens + self.reserved_tokens) / self.capacity_tokens
 
     @property
-    def own_share(self) -> Share:
+    def own_load(self) -> VmLoad:
         """Return what this VM has there, to tell the others."""
-        return Share(self.own_tokens, self.own_promised, len(self.own))
+        return VmLoad(self.own_tokens, self.own_reserved, len(self.own_runs))
 
-    def is_usable(self, now: float, age_limit: float) -> bool:
+    def is_usable(self, now: float, max_report_age: float) -> bool:
         """Tell whether new work may go there."""
-        if self.standing is not Standing.SERVING or not self.breaker.allows(now):
+        if self.state is not UpstreamState.SERVING or not self.breaker.allows_request(now):
             return False
-        return self.report is not None and now - self.report.at <= age_limit
+        return self.report is not None and now - self.report.time <= max_report_age
 
-    def send(self, request: RequestId, tokens: int, now: float) -> None:
+    def record_dispatch(self, request: RequestId, tokens: int, now: float) -> None:
         """Enter work that goes there."""
-        self.own[request] = tokens
+        self.own_runs[request] = tokens
         self.own_tokens += tokens
-        self.breaker.note_dispatch(now)
-        self._note_moment(now)
+        self.breaker.record_dispatch(now)
+        self._record_known_load(now)
 
-    def end(self, request: RequestId, now: float) -> None:
+    def record_end(self, request: RequestId, now: float) -> None:
         """Enter that work has ended."""
-        tokens = self.own.pop(request, None)
+        tokens = self.own_runs.pop(request, None)
         if tokens is None:
             return
         self.own_tokens -= tokens
-        self.breaker.note_release()
-        self._note_moment(now)
+        self.breaker.record_release()
+        self._record_known_load(now)
 
-    def promise(self, request: RequestId, tokens: int) -> None:
+    def reserve(self, request: RequestId, tokens: int) -> None:
         """Count on memory for a prefill that is to land here."""
-        self.promises[request] = tokens
-        self.own_promised += tokens
+        self.reservations[request] = tokens
+        self.own_reserved += tokens
 
-    def withdraw(self, request: RequestId) -> None:
+    def cancel_reservation(self, request: RequestId) -> None:
         """Take back a promise."""
-        self.own_promised -= self.promises.pop(request, 0)
+        self.own_reserved -= self.reservations.pop(request, 0)
 
-    def take_share(self, vm: str, share: Share | None, now: float) -> None:
+    def apply_vm_load(self, vm: str, load: VmLoad | None, now: float) -> None:
         """Enter what another entry VM says it has there; None where it is gone."""
-        old = self.shares.pop(vm, None) or Share(0, 0, 0)
-        new = share or Share(0, 0, 0)
-        if share is not None:
-            self.shares[vm] = share
-        self._others_held += new.held - old.held
-        self._others_promised += new.promised - old.promised
+        old = self.vm_loads.pop(vm, None) or VmLoad(0, 0, 0)
+        new = load or VmLoad(0, 0, 0)
+        if load is not None:
+            self.vm_loads[vm] = load
+        self._others_held += new.held_tokens - old.held_tokens
+        self._others_reserved += new.reserved_tokens - old.reserved_tokens
         self._others_jobs += new.jobs - old.jobs
-        self._note_moment(now)
+        self._record_known_load(now)
 
-    def take_report(self, report: Report) -> None:
+    def apply_report(self, report: LoadSnapshot) -> None:
         """Enter a report; one that is older than the last changes nothing."""
-        if self.report is not None and report.at < self.report.at:
+        if self.report is not None and report.time < self.report.time:
             return
         self.report = report
-        known = self._find_moment(report.at)
-        self._unknown_held = max(0, report.held_tokens - known.held)
-        self._unknown_jobs = max(0, report.jobs - known.jobs)
+        known = self._get_known_load(report.time)
+        self._unattributed_held = max(0, report.held_tokens - known.held_tokens)
+        self._unattributed_jobs = max(0, report.jobs - known.jobs)
         if report.leaving:
-            self.standing = Standing.LEAVING
+            self.state = UpstreamState.LEAVING
 
-    def predict_free(self, seconds: float, lifetime: float) -> float:
+    def predict_free_tokens(self, seconds: float, residence: float) -> float:
         """Return the KV tokens that are expected to be free after some seconds.
 
         What is held is expected to end evenly over a lifetime. The predicted end of each single answer is no help:
         those that last longer than the mean are overdue, and would be taken as free at any moment.
         """
-        ending = self.held * min(1.0, seconds / max(lifetime, 0.001))
-        return self.free - self.promised_tokens + ending
+        ending = self.held_tokens * min(1.0, seconds / max(residence, 0.001))
+        return self.free_tokens - self.reserved_tokens + ending
 
-    def _note_moment(self, now: float) -> None:
+    def _record_known_load(self, now: float) -> None:
         held = self.own_tokens + self._others_held
-        jobs = len(self.own) + self._others_jobs
-        self._moments.append(_Moment(now, held, jobs))
-        while self._moments[0].at < now - KEPT_MOMENTS and len(self._moments) > 1:
-            self._moments.popleft()
+        jobs = len(self.own_runs) + self._others_jobs
+        self._history.append(_KnownLoad(now, held, jobs))
+        while self._history[0].time < now - HISTORY_S and len(self._history) > 1:
+            self._history.popleft()
 
-    def _find_moment(self, at: float) -> _Moment:
+    def _get_known_load(self, at: float) -> _KnownLoad:
         """Return what was known at a time."""
-        for moment in reversed(self._moments):
-            if moment.at <= at:
+        for moment in reversed(self._history):
+            if moment.time <= at:
                 return moment
-        return _Moment(at, 0, 0)
+        return _KnownLoad(at, 0, 0)
--- a/src/beamhatch/decide/outcome.py
+++ b/src/beamhatch/decide/outcome.py
@@ -67,7 +67,7 @@
 
 Outcome = Answered | NotRun | Failed | Unknown
 
-_WORDS: dict[type[Outcome], str] = {
+_OUTCOME_NAMES: dict[type[Outcome], str] = {
     Answered: "answered",
     NotRun: "not_run",
     Failed: "failed",
@@ -77,4 +77,4 @@
 
 def name_outcome(outcome: Outcome) -> str:
     """Return the word for an outcome as it stands in answers, logs and metrics."""
-    return _WORDS[type(outcome)]
+    return _OUTCOME_NAMES[type(outcome)]
--- a/src/beamhatch/decide/policy/api.py
+++ b/src/beamhatch/decide/policy/api.py
@@ -17,17 +17,17 @@
 
 
 @dataclass(slots=True)
-class Need:
+class ResourceNeed:
     """What a request needs of a pool."""
 
     request: RequestId
     workspace: WorkspaceName
     prompt_tokens: int
     output_tokens: int
-    arrived: float
+    arrival_time: float
     priority: Priority = Priority.NORMAL
     first_token_target: float = 0.32
-    pace_target: float = 0.076
+    token_interval_target: float = 0.076
     deadline: float | None = None
     drop_if_late: bool = False
     weight: float = 1.0
@@ -36,7 +36,7 @@
     labels: dict[str, str] = field(default_factory=dict)
     policy: str = ""
     """Name of the policy that serves it."""
-    lead: float = 0.0
+    first_token_delay: float = 0.0
     """Seconds that it needs from its start to its first token, with nobody before it."""
 
     @property
@@ -45,39 +45,39 @@
         return self.prompt_tokens + self.output_tokens
 
     @property
-    def due(self) -> float:
+    def first_token_due(self) -> float:
         """Return when the first token should be with the caller."""
-        return self.arrived + self.first_token_target
+        return self.arrival_time + self.first_token_target
 
     @property
     def latest_start(self) -> float:
         """Return the last moment at which a start still meets the target."""
-        return self.due - self.lead
+        return self.first_token_due - self.first_token_delay
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class UpstreamChoice:
     """Where a request goes; ``decode`` is None where that is left until the prefill has ended."""
 
     first: Ledger
     decode: Ledger | None
-    first_token_at: float
+    first_token_time: float
     """When the first token is expected."""
 
 
 class Policy(ABC):
     """Chooses upstreams. It only looks; what it chose is entered by the pool."""
 
-    queues = True
+    queues_requests = True
     """Whether requests that find no place wait for one, rather than being sent on regardless."""
 
     def __init__(self, parameters: Mapping[str, float] | None = None) -> None:
         self.parameters = dict(parameters or {})
 
     @abstractmethod
-    def start(self, need: Need, fleet: Fleet, now: float) -> Choice | None:
+    def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
         """Choose where a request begins, or return None to let it wait."""
 
     @abstractmethod
-    def land(self, need: Need, fleet: Fleet, now: float) -> Ledger | None:
+    def choose_decode(self, need: ResourceNeed, fleet: Fleet, now: float) -> Ledger | None:
         """Choose the decode engine for a prefill that has ended, or return None to let it wait."""
--- a/src/beamhatch/decide/policy/make.py
+++ b/src/beamhatch/decide/policy/make.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.decide.policy.naive import Naive, TwoChoices
-from beamhatch.decide.policy.reserving import Predicted, ReserveEnd, ReserveStart
+from beamhatch.decide.policy.naive import LeastReportedLoadPolicy, TwoChoicesPolicy
+from beamhatch.decide.policy.reserving import PredictedPolicy, ReserveEndPolicy, ReserveStartPolicy
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -13,11 +13,11 @@
     from beamhatch.decide.policy.api import Policy
 
 ALGORITHMS: dict[str, type[Policy]] = {
-    "naive": Naive,
-    "two_choices": TwoChoices,
-    "reserve_start": ReserveStart,
-    "reserve_end": ReserveEnd,
-    "predicted": Predicted,
+    "naive": LeastReportedLoadPolicy,
+    "two_choices": TwoChoicesPolicy,
+    "reserve_start": ReserveStartPolicy,
+    "reserve_end": ReserveEndPolicy,
+    "predicted": PredictedPolicy,
 }
 
 
--- a/src/beamhatch/decide/promotion.py
+++ b/src/beamhatch/decide/promotion.py
@@ -15,7 +15,7 @@
 DEFAULT_SLICE = Slice(name="default", policy=DEFAULT_POLICY)
 """What serves where no slice is configured."""
 
-Rearranged = tuple[list[Slice], list[str]]
+SliceChanges = tuple[list[Slice], list[str]]
 """Slices to put, and full names of slices to remove."""
 
 
@@ -23,7 +23,7 @@
     """The slices can't be rearranged like that."""
 
 
-def promote(slices: Sequence[Slice], policy: str, _: str | None = None) -> Rearranged:
+def promote(slices: Sequence[Slice], policy: str, _: str | None = None) -> SliceChanges:
     """Let a policy serve all traffic that no other slice takes, and compare the one before with it."""
     default = _find_default(slices)
     compared = [name for name in dict.fromkeys([default.policy, *default.compared]) if name != policy]
@@ -32,7 +32,7 @@
     return put, remove
 
 
-def withdraw(slices: Sequence[Slice], policy: str, to: str | None = None) -> Rearranged:
+def withdraw(slices: Sequence[Slice], policy: str, replacement: str | None = None) -> SliceChanges:
     """Take a policy out of all slices.
 
     :param to: what serves all traffic instead, where the policy does so now
@@ -48,10 +48,14 @@
         elif item.policy == policy and item is not default:
             remove.append(f"slice/{item.name}")
     if default.policy == policy:
-        if to is None or to == policy:
+        if replacement is None or replacement == policy:
             raise PromotionError(f"{policy!r} serves all traffic; name the policy that is to serve instead")
         put.append(
-            replace(default, policy=to, compared=[name for name in default.compared if name not in (policy, to)])
+            replace(
+                default,
+                policy=replacement,
+                compared=[name for name in default.compared if name not in (policy, replacement)],
+            )
         )
     return put, remove
 
--- a/src/beamhatch/decide/request.py
+++ b/src/beamhatch/decide/request.py
@@ -12,36 +12,36 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.decide.effect import (
-    AskLanding,
-    AskPlacement,
-    AskRecord,
     CancelRun,
-    Effect,
-    Finish,
-    FreePlacement,
+    ChooseDecode,
+    ChooseFirst,
+    FinishRequest,
+    ReleasePlacement,
+    RequestEffect,
     ResumeDecode,
-    StartCall,
     StartDecode,
     StartPrefill,
+    StartServiceCall,
+    WriteRecord,
 )
 from beamhatch.decide.fact import (
-    Begin,
-    Broke,
-    CallerGone,
-    Cut,
-    DeadlinePassed,
-    Ended,
-    Fact,
-    FirstFrame,
-    Landed,
-    Placed,
-    PlacementRefused,
-    PrefillEnded,
+    CallerDisconnected,
+    DeadlineExceeded,
+    DecodeChosen,
+    DecodeStarted,
+    FirstChosen,
+    PlacementFailed,
+    PrefillCompleted,
     RecordGranted,
     RecordSettled,
-    Refused,
-    Rejected,
+    RequestAborted,
+    RequestEvent,
+    RequestRejected,
+    RequestValidated,
+    ResponseCompleted,
     Stage,
+    UpstreamFailed,
+    UpstreamRefused,
 )
 from beamhatch.decide.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
 from beamhatch.ids import RequestId, RunId, UpstreamName
@@ -56,7 +56,7 @@
 """How often one broken stream is resumed before its engine is taken as lost."""
 
 
-class State(Enum):
+class RequestState(Enum):
     """Where a request stands."""
 
     RECEIVED = "received"
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RequestTerms:
     """What the caller asked for, as far as the states depend on it."""
 
     request: RequestId
@@ -85,8 +85,8 @@
 class Request:
     """One caller's request and its rules."""
 
-    terms: Terms
-    state: State = State.RECEIVED
+    terms: RequestTerms
+    state: RequestState = RequestState.RECEIVED
     outcome: Outcome | None = None
     first: UpstreamName | None = None
     """The prefill engine, or the replica of a plain service."""
@@ -98,143 +98,143 @@
     """True from the first dispatch on, until that dispatch is refused with proof."""
     has_run: bool = False
     """True once an upstream is known to have worked on it."""
-    began_answer: bool = False
+    response_started: bool = False
     _prefill_run: RunId | None = None
     _decode_run: RunId | None = None
     _placements: int = 0
     _resumes: int = 0
     _runs_started: int = 0
-    _in_doubt: bool = False
+    _has_unproven_run: bool = False
     """True once a run broke off: no later refusal proves that nothing ran."""
 
-    def step(self, fact: Fact) -> list[Effect]:
+    def handle(self, event: RequestEvent) -> list[RequestEffect]:
         """Take in one fact and return what follows from it; a fact that comes after the end changes nothing."""
-        if self.state is State.ENDED:
+        if self.state is RequestState.ENDED:
             return []
-        handler = _HANDLERS[type(fact)]
-        return handler(self, fact)
+        handler = _HANDLERS[type(event)]
+        return handler(self, event)
 
     # --- the way through ----------------------------------------------------------------------------------------
 
-    def _begin(self, _: Begin) -> list[Effect]:
+    def _handle_validated(self, _: RequestValidated) -> list[RequestEffect]:
         if self.terms.keyed:
-            self.state = State.RECORDING
-            return [AskRecord()]
-        return self._ask_placement()
+            self.state = RequestState.RECORDING
+            return [WriteRecord()]
+        return self._choose_first()
 
-    def _go_on_recorded(self, _: RecordGranted) -> list[Effect]:
-        if self.state is not State.RECORDING:
+    def _handle_record_granted(self, _: RecordGranted) -> list[RequestEffect]:
+        if self.state is not RequestState.RECORDING:
             return []
-        return self._ask_placement()
+        return self._choose_first()
 
-    def _settle_by_record(self, fact: RecordSettled) -> list[Effect]:
-        return self._finish(fact.outcome)
+    def _handle_record_settled(self, event: RecordSettled) -> list[RequestEffect]:
+        return self._finish(event.outcome)
 
-    def _ask_placement(self) -> list[Effect]:
-        self.state = State.QUEUED
+    def _choose_first(self) -> list[RequestEffect]:
+        self.state = RequestState.QUEUED
         self._placements += 1
-        return [AskPlacement(frozenset(self.failed_upstreams))]
+        return [ChooseFirst(frozenset(self.failed_upstreams))]
 
-    def _start_first(self, fact: Placed) -> list[Effect]:
-        if self.state is not State.QUEUED:
+    def _handle_first_chosen(self, event: FirstChosen) -> list[RequestEffect]:
+        if self.state is not RequestState.QUEUED:
             return []
         self.may_have_run = True
-        self.first = fact.first
+        self.first = event.first
         if self.terms.service:
-            self.state = State.SERVING
-            run = self._open_run(Stage.SERVICE, fact.first)
-            return [StartCall(run, fact.first)]
-        self.state = State.PREFILLING
-        self._prefill_run = self._open_run(Stage.PREFILL, fact.first)
-        return [StartPrefill(self._prefill_run, fact.first, self.began_answer)]
-
-    def _end_prefill(self, _: PrefillEnded) -> list[Effect]:
-        if self.state is not State.PREFILLING:
+            self.state = RequestState.SERVING
+            run = self._open_run(Stage.SERVICE, event.first)
+            return [StartServiceCall(run, event.first)]
+        self.state = RequestState.PREFILLING
+        self._prefill_run = self._open_run(Stage.PREFILL, event.first)
+        return [StartPrefill(self._prefill_run, event.first, self.response_started)]
+
+    def _handle_prefill_completed(self, _: PrefillCompleted) -> list[RequestEffect]:
+        if self.state is not RequestState.PREFILLING:
             return []
         self.has_run = True
-        self.state = State.LANDING
-        return [AskLanding(frozenset(self.failed_upstreams))]
+        self.state = RequestState.LANDING
+        return [ChooseDecode(frozenset(self.failed_upstreams))]
 
-    def _land(self, fact: Landed) -> list[Effect]:
-        if self.state is not State.LANDING:
+    def _handle_decode_chosen(self, event: DecodeChosen) -> list[RequestEffect]:
+        if self.state is not RequestState.LANDING:
             return []
-        self.state = State.TRANSFERRING
-        self.decode = fact.decode
-        self._decode_run = self._open_run(Stage.DECODE, fact.decode)
-        return [StartDecode(self._decode_run, fact.decode, self.began_answer)]
+        self.state = RequestState.TRANSFERRING
+        self.decode = event.decode
+        self._decode_run = self._open_run(Stage.DECODE, event.decode)
+        return [StartDecode(self._decode_run, event.decode, self.response_started)]
 
-    def _begin_answer(self, _: FirstFrame) -> list[Effect]:
-        if self.state is not State.TRANSFERRING:
+    def _handle_decode_started(self, _: DecodeStarted) -> list[RequestEffect]:
+        if self.state is not RequestState.TRANSFERRING:
             return []
-        self.state = State.DECODING
-        self.began_answer = True
-        return self._cancel(self._prefill_run)
+        self.state = RequestState.DECODING
+        self.response_started = True
+        return self._cancel_run(self._prefill_run)
 
-    def _end(self, fact: Ended) -> list[Effect]:
-        self._close(self._decode_run)
+    def _handle_response_completed(self, event: ResponseCompleted) -> list[RequestEffect]:
+        self._close_run(self._decode_run)
         if self.terms.service:
             self.open_runs.clear()
         self.has_run = True
-        return self._finish(Answered(fact.status))
+        return self._finish(Answered(event.status))
 
     # --- refusals and breaks --------------------------------------------------------------------------------------
 
-    def _refuse_placement(self, fact: PlacementRefused) -> list[Effect]:
-        if self.state not in (State.QUEUED, State.LANDING):
+    def _handle_placement_failed(self, event: PlacementFailed) -> list[RequestEffect]:
+        if self.state not in (RequestState.QUEUED, RequestState.LANDING):
             return []
-        return self._give_up(fact.reason, fact.detail, fact.retry_after)
+        return self._give_up(event.reason, event.detail, event.retry_after)
 
-    def _pass_on_rejection(self, fact: Rejected) -> list[Effect]:
-        self._close(self._run_of(fact.stage))
-        return self._finish(Answered(fact.status))
+    def _handle_request_rejected(self, event: RequestRejected) -> list[RequestEffect]:
+        self._close_run(self._get_run(event.stage))
+        return self._finish(Answered(event.status))
 
-    def _take_refusal(self, fact: Refused) -> list[Effect]:
-        if not self._is_current(fact.stage):
+    def _handle_upstream_refused(self, event: UpstreamRefused) -> list[RequestEffect]:
+        if not self._is_current(event.stage):
             return []
-        self._close(self._run_of(fact.stage))
-        if fact.stage is not Stage.DECODE:
-            self.may_have_run = self.has_run or self._in_doubt
-        if fact.export_lost:
-            return self._prefill_again(fact.detail, fact.retry_allowed)
-        if not self._exclude_current(fact.stage, allowed=fact.retry_allowed):
-            return self._give_up(Reason.UPSTREAM_REFUSED, fact.detail, fact.retry_after)
-        return self._place_again(fact.stage)
-
-    def _take_break(self, fact: Broke) -> list[Effect]:
-        if self.state is State.DECODING and fact.stage is Stage.DECODE:
-            return self._take_broken_answer(fact)
-        if not self._is_current(fact.stage):
+        self._close_run(self._get_run(event.stage))
+        if event.stage is not Stage.DECODE:
+            self.may_have_run = self.has_run or self._has_unproven_run
+        if event.export_lost:
+            return self._restart_prefill(event.detail, event.retry_allowed)
+        if not self._exclude_current(event.stage, allowed=event.retry_allowed):
+            return self._give_up(Reason.UPSTREAM_REFUSED, event.detail, event.retry_after)
+        return self._choose_again(event.stage)
+
+    def _handle_upstream_failed(self, event: UpstreamFailed) -> list[RequestEffect]:
+        if self.state is RequestState.DECODING and event.stage is Stage.DECODE:
+            return self._recover_stream(event)
+        if not self._is_current(event.stage):
             return []
-        self._in_doubt = True
-        effects = self._cancel(self._run_of(fact.stage))
+        self._has_unproven_run = True
+        effects = self._cancel_run(self._get_run(event.stage))
         if not self.terms.repeatable:
-            return effects + self._finish(Unknown(Reason.UPSTREAM_LOST, fact.detail))
-        if not self._exclude_current(fact.stage, allowed=fact.retry_allowed):
-            return effects + self._give_up(Reason.UPSTREAM_LOST, fact.detail, None)
-        return effects + self._place_again(fact.stage)
+            return effects + self._finish(Unknown(Reason.UPSTREAM_LOST, event.detail))
+        if not self._exclude_current(event.stage, allowed=event.retry_allowed):
+            return effects + self._give_up(Reason.UPSTREAM_LOST, event.detail, None)
+        return effects + self._choose_again(event.stage)
 
-    def _take_broken_answer(self, fact: Broke) -> list[Effect]:
+    def _recover_stream(self, event: UpstreamFailed) -> list[RequestEffect]:
         if self._resumes < MAX_RESUMES and self._decode_run is not None and self.decode is not None:
             self._resumes += 1
             return [ResumeDecode(self._decode_run, self.decode)]
-        effects = self._cancel(self._decode_run)
+        effects = self._cancel_run(self._decode_run)
         if self.decode is not None:
             self.failed_upstreams.add(self.decode)
-        return effects + self._prefill_again(fact.detail, fact.retry_allowed)
+        return effects + self._restart_prefill(event.detail, event.retry_allowed)
 
-    def _prefill_again(self, detail: str, retry_allowed: bool) -> list[Effect]:
+    def _restart_prefill(self, detail: str, retry_allowed: bool) -> list[RequestEffect]:
         if not self.terms.repeatable or not retry_allowed or self._placements >= MAX_PLACEMENTS:
             return self._give_up(Reason.UPSTREAM_LOST, detail, None)
-        effects = self._cancel(self._prefill_run)
+        effects = self._cancel_run(self._prefill_run)
         self._resumes = 0
-        return [*effects, FreePlacement(), *self._ask_placement()]
+        return [*effects, ReleasePlacement(), *self._choose_first()]
 
-    def _place_again(self, stage: Stage) -> list[Effect]:
+    def _choose_again(self, stage: Stage) -> list[RequestEffect]:
         if stage is not Stage.DECODE:
-            return [FreePlacement(), *self._ask_placement()]
-        self.state = State.LANDING
+            return [ReleasePlacement(), *self._choose_first()]
+        self.state = RequestState.LANDING
         self._placements += 1
-        return [AskLanding(frozenset(self.failed_upstreams))]
+        return [ChooseDecode(frozenset(self.failed_upstreams))]
 
     def _exclude_current(self, stage: Stage, *, allowed: bool) -> bool:
         upstream = self.decode if stage is Stage.DECODE else self.first
@@ -244,28 +244,28 @@
 
     # --- ends -----------------------------------------------------------------------------------------------------
 
-    def _lose_caller(self, _: CallerGone) -> list[Effect]:
+    def _handle_caller_disconnected(self, _: CallerDisconnected) -> list[RequestEffect]:
         return self._give_up(Reason.CALLER_GONE, "the caller closed its connection", None)
 
-    def _pass_deadline(self, _: DeadlinePassed) -> list[Effect]:
+    def _handle_deadline_exceeded(self, _: DeadlineExceeded) -> list[RequestEffect]:
         return self._give_up(Reason.DEADLINE, "the caller's deadline passed", None)
 
-    def _cut(self, fact: Cut) -> list[Effect]:
-        return self._give_up(fact.reason, "this entry VM let go of the request", 1.0)
+    def _handle_aborted(self, event: RequestAborted) -> list[RequestEffect]:
+        return self._give_up(event.reason, "this entry VM let go of the request", 1.0)
 
-    def _give_up(self, reason: Reason, detail: str, retry_after: float | None) -> list[Effect]:
+    def _give_up(self, reason: Reason, detail: str, retry_after: float | None) -> list[RequestEffect]:
         if self.has_run:
             return self._finish(Failed(reason, detail, retry_after))
         if self.may_have_run:
             return self._finish(Unknown(reason, detail, retry_after))
         return self._finish(NotRun(reason, detail, retry_after))
 
-    def _finish(self, outcome: Outcome) -> list[Effect]:
-        effects: list[Effect] = [CancelRun(run, upstream) for run, upstream in self.open_runs.items()]
+    def _finish(self, outcome: Outcome) -> list[RequestEffect]:
+        effects: list[RequestEffect] = [CancelRun(run, upstream) for run, upstream in self.open_runs.items()]
         self.open_runs.clear()
-        self.state = State.ENDED
+        self.state = RequestState.ENDED
         self.outcome = outcome
-        return [*effects, FreePlacement(), Finish(outcome)]
+        return [*effects, ReleasePlacement(), FinishRequest(outcome)]
 
     # --- runs -----------------------------------------------------------------------------------------------------
 
@@ -275,16 +275,16 @@
         self.open_runs[run] = upstream
         return run
 
-    def _close(self, run: RunId | None) -> None:
+    def _close_run(self, run: RunId | None) -> None:
         if run is not None:
             self.open_runs.pop(run, None)
 
-    def _cancel(self, run: RunId | None) -> list[Effect]:
+    def _cancel_run(self, run: RunId | None) -> list[RequestEffect]:
         if run is None or run not in self.open_runs:
             return []
         return [CancelRun(run, self.open_runs.pop(run))]
 
-    def _run_of(self, stage: Stage) -> RunId | None:
+    def _get_run(self, stage: Stage) -> RunId | None:
         if stage is Stage.PREFILL:
             return self._prefill_run
         if stage is Stage.DECODE:
@@ -293,27 +293,27 @@
 
     def _is_current(self, stage: Stage) -> bool:
         expected = {
-            Stage.PREFILL: State.PREFILLING,
-            Stage.DECODE: State.TRANSFERRING,
-            Stage.SERVICE: State.SERVING,
+            Stage.PREFILL: RequestState.PREFILLING,
+            Stage.DECODE: RequestState.TRANSFERRING,
+            Stage.SERVICE: RequestState.SERVING,
         }
         return self.state is expected[stage]
 
 
-_HANDLERS: dict[type[Fact], Callable[..., list[Effect]]] = {
-    Begin: Request._begin,
-    RecordGranted: Request._go_on_recorded,
-    RecordSettled: Request._settle_by_record,
-    Placed: Request._start_first,
-    Landed: Request._land,
-    PlacementRefused: Request._refuse_placement,
-    PrefillEnded: Request._end_prefill,
-    Rejected: Request._pass_on_rejection,
-    Refused: Request._take_refusal,
-    Broke: Request._take_break,
-    FirstFrame: Request._begin_answer,
-    Ended: Request._end,
-    CallerGone: Request._lose_caller,
-    DeadlinePassed: Request._pass_deadline,
-    Cut: Request._cut,
+_HANDLERS: dict[type[RequestEvent], Callable[..., list[RequestEffect]]] = {
+    RequestValidated: Request._handle_validated,
+    RecordGranted: Request._handle_record_granted,
+    RecordSettled: Request._handle_record_settled,
+    FirstChosen: Request._handle_first_chosen,
+    DecodeChosen: Request._handle_decode_chosen,
+    PlacementFailed: Request._handle_placement_failed,
+    PrefillCompleted: Request._handle_prefill_completed,
+    RequestRejected: Request._handle_request_rejected,
+    UpstreamRefused: Request._handle_upstream_refused,
+    UpstreamFailed: Request._handle_upstream_failed,
+    DecodeStarted: Request._handle_decode_started,
+    ResponseCompleted: Request._handle_response_completed,
+    CallerDisconnected: Request._handle_caller_disconnected,
+    DeadlineExceeded: Request._handle_deadline_exceeded,
+    RequestAborted: Request._handle_aborted,
 }
--- a/src/beamhatch/decide/traffic.py
+++ b/src/beamhatch/decide/traffic.py
@@ -19,59 +19,59 @@
 DEFAULT_POLICY = "predicted"
 """Serves where no slice says otherwise."""
 
-_PARTS = 10_000
+_BUCKET_COUNT = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class Serving:
+class PolicyAssignment:
     """The policies for one request."""
 
     policy: str
-    compared: tuple[str, ...] = ()
+    compared_policies: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class _Cut:
+class _SliceRule:
     selector: Selector
     salt: str
-    parts: int
-    serving: Serving
+    bucket_count: int
+    assignment: PolicyAssignment
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficSlices:
     """All slices and policies of a configuration."""
 
-    cuts: list[_Cut] = field(default_factory=list)
+    rules: list[_SliceRule] = field(default_factory=list)
     policies: dict[str, Policy] = field(default_factory=dict)
 
     def apply(self, slices: Sequence[Slice], documents: Sequence[PolicyDocument]) -> None:
         """Take the slices and policies of a configuration; a policy that did not change keeps what it learned."""
-        self.cuts = [
-            _Cut(
+        self.rules = [
+            _SliceRule(
                 parse_selector(item.selector),
                 item.name,
-                round(item.percent * _PARTS / 100),
-                Serving(item.policy, tuple(item.compared)),
+                round(item.percent * _BUCKET_COUNT / 100),
+                PolicyAssignment(item.policy, tuple(item.compared)),
             )
             for item in slices
         ]
         self.policies = {item.name: make_policy(item.algorithm, item.parameters) for item in documents}
         self.policies.setdefault(DEFAULT_POLICY, make_policy(DEFAULT_POLICY))
 
-    def find(self, labels: Mapping[str, str], identity: str) -> Serving:
+    def get_assignment(self, labels: Mapping[str, str], identity: str) -> PolicyAssignment:
         """Return the policies for a request; the same identity always gives the same ones."""
-        for cut in self.cuts:
-            if select(cut.selector, labels) and hash_part(cut.salt, identity) < cut.parts:
-                return cut.serving
-        return Serving(DEFAULT_POLICY)
+        for cut in self.rules:
+            if select(cut.selector, labels) and compute_bucket(cut.salt, identity) < cut.bucket_count:
+                return cut.assignment
+        return PolicyAssignment(DEFAULT_POLICY)
 
     def get_policy(self, name: str) -> Policy:
         """Return a policy, or the default one if it was withdrawn meanwhile."""
         return self.policies.get(name) or self.policies[DEFAULT_POLICY]
 
 
-def hash_part(salt: str, identity: str) -> int:
+def compute_bucket(salt: str, identity: str) -> int:
     """Return which of 10,000 parts an identity falls into; growing a slice keeps what was in it."""
     digest = hashlib.blake2b(f"{salt}/{identity}".encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") % _PARTS
+    return int.from_bytes(digest, "big") % _BUCKET_COUNT
--- a/src/beamhatch/decide/waiting.py
+++ b/src/beamhatch/decide/wait_queue.py
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from beamhatch.decide.policy.api import Need
+    from beamhatch.decide.policy.api import ResourceNeed
     from beamhatch.ids import RequestId, WorkspaceName
 
-LATE_TURN = 32
+LATE_TURN_PERIOD = 32
 """Every so many turns, a request that is already late goes first."""
 
 
@@ -28,7 +28,7 @@
 """A priority, and whether its requests are late."""
 
 
-class _Line:
+class _WorkspaceQueue:
     """The waiting requests of one workspace in one lane, in the order of their latest starts."""
 
     def __init__(self) -> None:
@@ -36,52 +36,52 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class WaitQueue:
     """All waiting requests of one pool."""
 
-    needs: dict[RequestId, Need] = field(default_factory=dict)
+    needs: dict[RequestId, ResourceNeed] = field(default_factory=dict)
     _tokens: dict[Lane, int] = field(default_factory=dict)
-    _lines: dict[Lane, dict[WorkspaceName, _Line]] = field(default_factory=dict)
+    _queues: dict[Lane, dict[WorkspaceName, _WorkspaceQueue]] = field(default_factory=dict)
     _served: dict[WorkspaceName, float] = field(default_factory=dict)
-    _where: dict[RequestId, Lane] = field(default_factory=dict)
-    _floor: float = 0.0
+    _lanes: dict[RequestId, Lane] = field(default_factory=dict)
+    _virtual_time: float = 0.0
     _turns: int = 0
 
     def __len__(self) -> int:
         return len(self.needs)
 
-    def add(self, need: Need, *, late: bool) -> None:
+    def add(self, need: ResourceNeed, *, late: bool) -> None:
         """Let a request wait."""
         self.needs[need.request] = need
-        self._served[need.workspace] = max(self._served.get(need.workspace, 0.0), self._floor)
-        self._enter(need, (need.priority, late))
+        self._served[need.workspace] = max(self._served.get(need.workspace, 0.0), self._virtual_time)
+        self._insert(need, (need.priority, late))
 
-    def remove(self, request: RequestId) -> Need | None:
+    def remove(self, request: RequestId) -> ResourceNeed | None:
         """Take a request out, without serving it."""
         need = self.needs.pop(request, None)
         if need is not None:
-            self._leave(need)
+            self._discard(need)
         return need
 
-    def serve(self, request: RequestId) -> None:
+    def pop_for_start(self, request: RequestId) -> None:
         """Take a request out because it is served now, and charge its workspace."""
         need = self.remove(request)
         if need is None:
             return
         self._turns += 1
-        self._floor = self._served[need.workspace]
+        self._virtual_time = self._served[need.workspace]
         self._served[need.workspace] += need.tokens / need.weight
 
-    def list_next(self) -> Iterator[Need]:
+    def iterate_next(self) -> Iterator[ResourceNeed]:
         """Yield the requests that are next, one of each line, best first."""
         for lane in self._order_lanes():
-            lines = self._lines.get(lane, {})
+            lines = self._queues.get(lane, {})
             for workspace in sorted(lines, key=lambda name: self._served[name]):
                 yield lines[workspace].needs[0]
 
-    def goes_first(self, priority: Priority) -> bool:
+    def precedes_all(self, priority: Priority) -> bool:
         """Tell whether a request that comes now goes before all that wait."""
-        return not any(self._tokens.get(lane) for lane in self._lines if lane <= (priority, False))
+        return not any(self._tokens.get(lane) for lane in self._queues if lane <= (priority, False))
 
     def count_tokens_before(self, priority: Priority) -> int:
         """Return the KV tokens of those that go before a request that comes now and is on time."""
@@ -98,35 +98,35 @@
     def move_late(self, now: float) -> None:
         """Move those that can't meet their target any more behind the others of their priority."""
         for priority in Priority:
-            for line in list(self._lines.get((priority, False), {}).values()):
+            for line in list(self._queues.get((priority, False), {}).values()):
                 while line.needs and line.needs[0].latest_start < now:
                     need = line.needs[0]
-                    self._leave(need)
-                    self._enter(need, (priority, True))
+                    self._discard(need)
+                    self._insert(need, (priority, True))
 
-    def pick_least(self) -> Need | None:
+    def get_least_urgent_late(self) -> ResourceNeed | None:
         """Return the late request that matters least: of the lowest priority, the one that came last."""
         for priority in reversed(Priority):
-            lines = self._lines.get((priority, True), {})
+            lines = self._queues.get((priority, True), {})
             if lines:
-                return max((line.needs[-1] for line in lines.values()), key=lambda need: need.arrived)
+                return max((line.needs[-1] for line in lines.values()), key=lambda need: need.arrival_time)
         return None
 
     def _order_lanes(self) -> list[Lane]:
-        late_first = self._turns % LATE_TURN == LATE_TURN - 1
+        late_first = self._turns % LATE_TURN_PERIOD == LATE_TURN_PERIOD - 1
         if late_first:
             return [(priority, late) for late in (True, False) for priority in Priority]
         return [(priority, late) for priority in Priority for late in (False, True)]
 
-    def _enter(self, need: Need, lane: Lane) -> None:
-        self._where[need.request] = lane
+    def _insert(self, need: ResourceNeed, lane: Lane) -> None:
+        self._lanes[need.request] = lane
         self._tokens[lane] = self._tokens.get(lane, 0) + need.tokens
-        self._lines.setdefault(lane, {}).setdefault(need.workspace, _Line()).needs.add(need)
+        self._queues.setdefault(lane, {}).setdefault(need.workspace, _WorkspaceQueue()).needs.add(need)
 
-    def _leave(self, need: Need) -> None:
-        lane = self._where.pop(need.request)
+    def _discard(self, need: ResourceNeed) -> None:
+        lane = self._lanes.pop(need.request)
         self._tokens[lane] -= need.tokens
-        lines = self._lines[lane]
+        lines = self._queues[lane]
         lines[need.workspace].needs.remove(need)
         if not lines[need.workspace].needs:
             del lines[need.workspace]
--- a/src/beamhatch/edge/caller/parse.py
+++ b/src/beamhatch/edge/caller/parse.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from beamhatch.decide.call import PRIORITY_WORDS, Call, Priority
+from beamhatch.decide.call import PRIORITY_NAMES, Call, Priority
 from beamhatch.decide.policy.reserving import BLOCK_TOKENS
 from beamhatch.ids import RecordKey, WorkspaceName
 
@@ -151,10 +151,10 @@
         digest=digest,
         identity=key or request,
         priority=_read_priority(headers, workspace.priority),
-        arrived=now,
+        arrival_time=now,
         deadline=None if deadline is None else now + deadline,
         first_token_target=_read_seconds(headers, FIRST_TOKEN, workspace.first_token_target) or 0,
-        pace_target=_read_seconds(headers, PACE, workspace.pace_target) or 0,
+        token_interval_target=_read_seconds(headers, PACE, workspace.pace_target) or 0,
         drop_if_late=_read_flag(headers, DROP_IF_LATE, False),
         labels={**workspace.labels, "workspace": workspace.name},
         traceparent=headers.get("traceparent"),
@@ -237,6 +237,6 @@
 
 def _read_priority(headers: Mapping[str, str], default: str) -> Priority:
     raw = headers.get(PRIORITY, default)
-    if raw not in PRIORITY_WORDS:
-        raise BadRequest(f"{PRIORITY} must be one of {', '.join(PRIORITY_WORDS)}", parameter=PRIORITY)
-    return PRIORITY_WORDS[raw]
+    if raw not in PRIORITY_NAMES:
+        raise BadRequest(f"{PRIORITY} must be one of {', '.join(PRIORITY_NAMES)}", parameter=PRIORITY)
+    return PRIORITY_NAMES[raw]
--- a/src/beamhatch/task/administration.py
+++ b/src/beamhatch/task/administration.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from beamhatch.decide.comparison import Interval, Tally, judge
+from beamhatch.decide.comparison import Interval, PolicyStats, compare_shares
 from beamhatch.decide.configuration import Change, Conflict, Invalid
 from beamhatch.decide.promotion import DEFAULT_SLICE, PromotionError, promote, withdraw
 from beamhatch.ids import ChangeId
@@ -64,7 +64,7 @@
         rows = [
             {"vm": vm, "health": note.health.name.lower(), "boot": note.boot, "address": note.address}
             for vm in members.list_registered()
-            if (note := members.find(vm)) is not None
+            if (note := members.get(vm)) is not None
         ]
         return Reply(
             200,
@@ -93,18 +93,18 @@
                     {
                         "pool": hosted.document.name,
                         "target": route,
-                        "name": ledger.facts.name,
-                        "role": ledger.facts.role,
-                        "hall": ledger.facts.hall,
-                        "address": ledger.facts.address,
-                        "standing": ledger.standing.value,
+                        "name": ledger.config.name,
+                        "role": ledger.config.role,
+                        "hall": ledger.config.hall,
+                        "address": ledger.config.address,
+                        "standing": ledger.state.value,
                         "circuit": ledger.breaker.state.value,
                         "jobs": ledger.jobs,
-                        "held_tokens": ledger.held,
-                        "promised_tokens": ledger.promised_tokens,
-                        "capacity_tokens": ledger.capacity,
-                        "report_age": round(now - ledger.report.at, 3) if ledger.report else None,
-                        "labels": ledger.facts.labels,
+                        "held_tokens": ledger.held_tokens,
+                        "promised_tokens": ledger.reserved_tokens,
+                        "capacity_tokens": ledger.capacity_tokens,
+                        "report_age": round(now - ledger.report.time, 3) if ledger.report else None,
+                        "labels": ledger.config.labels,
                     }
                 )
         return Reply(200, rows)
@@ -122,7 +122,7 @@
                 "first": exchange.request.first,
                 "decode": exchange.request.decode,
                 "frames": exchange.frames,
-                "seconds": round(now - exchange.call.arrived, 3),
+                "seconds": round(now - exchange.call.arrival_time, 3),
             }
             for exchange in self._node.router.exchanges.values()
             if asker.may_see(exchange.call.workspace)
@@ -141,12 +141,12 @@
         comparison = self._node.comparison
         policies = {document.name for document in self._node.configuring.configuration.list_policies()}
         for name in (first, second):
-            if name not in policies and name not in comparison.tallies:
+            if name not in policies and name not in comparison.stats:
                 return Reply(404, {"error": f"there is no policy {name!r}"})
-        tallies = [comparison.tallies.get(name, Tally()) for name in (first, second)]
+        tallies = [comparison.stats.get(name, PolicyStats()) for name in (first, second)]
         counts = [len(tally.samples) for tally in tallies]
-        goodput = [tally.measure_goodput() for tally in tallies]
-        waste = [tally.measure_waste() for tally in tallies]
+        goodput = [tally.compute_goodput() for tally in tallies]
+        waste = [tally.compute_waste() for tally in tallies]
         rows = [
             _describe(name, tally, good, wasted)
             for name, tally, good, wasted in zip((first, second), tallies, goodput, waste, strict=True)
@@ -160,8 +160,8 @@
             200,
             {
                 "policies": rows,
-                "goodput": judge(goodput[0], goodput[1], counts[0], counts[1], more_is_better=True).value,
-                "wasted_prefill": judge(waste[0], waste[1], counts[0], counts[1], more_is_better=False).value,
+                "goodput": compare_shares(goodput[0], goodput[1], counts[0], counts[1], more_is_better=True).value,
+                "wasted_prefill": compare_shares(waste[0], waste[1], counts[0], counts[1], more_is_better=False).value,
                 "weights": {item.name: item.goal for item in self._node.configuring.configuration.list_workspaces()},
                 "same_requests": agreements,
             },
@@ -280,15 +280,15 @@
         return Reply(200, rows)
 
 
-def _describe(name: str, tally: Tally, goodput: Interval, waste: Interval) -> dict[str, Any]:
+def _describe(name: str, tally: PolicyStats, goodput: Interval, waste: Interval) -> dict[str, Any]:
     return {
         "policy": name,
         "requests": len(tally.samples),
         "goodput": asdict(goodput),
         "wasted_prefill": asdict(waste),
-        "first_token_p50": tally.find_percentile("first_token", 0.5),
-        "first_token_p95": tally.find_percentile("first_token", 0.95),
-        "pace_p95": tally.find_percentile("pace", 0.95),
+        "first_token_p50": tally.compute_percentile("first_token", 0.5),
+        "first_token_p95": tally.compute_percentile("first_token", 0.95),
+        "pace_p95": tally.compute_percentile("pace", 0.95),
     }
 
 
--- a/src/beamhatch/task/configuring.py
+++ b/src/beamhatch/task/configuring.py
@@ -25,7 +25,7 @@
     Invalid,
     decode_body,
 )
-from beamhatch.decide.member import Health, Note
+from beamhatch.decide.member import Health, MemberUpdate
 from beamhatch.decide.rendezvous import rank
 from beamhatch.edge.peer.message import ConfigAnswer, ConfigAsk, ConfigNews, Hello, StatusAnswer, StatusAsk
 from beamhatch.edge.store.api import KvLost, Moved, Swapped
@@ -126,7 +126,7 @@
 
     def adopt(self, head: Head, bodies: dict[str, bytes]) -> bool:
         """Put a configuration in force if it is newer."""
-        if not self.configuration.take(head, bodies):
+        if not self.configuration.apply(head, bodies):
             return False
         accepted = head.changes[-1].time if head.changes else self._clock.tell_wall()
         self.took = max(0.0, self._clock.tell_wall() - accepted)
@@ -231,7 +231,7 @@
             return (own if own.sequence == 0 else Head()), 0, {}
         head = msgspec.json.decode(found.value, type=Head)
         bodies: dict[str, bytes] = {}
-        for digest in self.configuration.find_missing(head):
+        for digest in self.configuration.list_missing_hashes(head):
             body = await kv.get(BODY_PREFIX + digest)
             if isinstance(body, KvLost) or body.value is None:
                 return KvLost("a document's body can't be read")
@@ -278,7 +278,7 @@
             if vm != self._mesh.vm:
                 self._mesh.cast(vm, news)
 
-    def _take_change(self, note: Note, before: Note | None) -> None:
+    def _take_change(self, note: MemberUpdate, before: MemberUpdate | None) -> None:
         """Ask a member that has just come for its configuration, as long as this VM has none that is confirmed."""
         if note.health is Health.ALIVE and not self.confirmed:
             self._clock.call_later(0.1, self._take_sequence, note.vm, 0)
--- a/src/beamhatch/task/exchange.py
+++ b/src/beamhatch/task/exchange.py
@@ -13,38 +13,38 @@
 from twisted.python.failure import Failure
 
 from beamhatch.decide.effect import (
-    AskLanding,
-    AskPlacement,
-    AskRecord,
     CancelRun,
-    Finish,
-    FreePlacement,
+    ChooseDecode,
+    ChooseFirst,
+    FinishRequest,
+    ReleasePlacement,
     ResumeDecode,
-    StartCall,
     StartDecode,
     StartPrefill,
+    StartServiceCall,
+    WriteRecord,
 )
 from beamhatch.decide.fact import (
-    Begin,
-    Broke,
-    CallerGone,
-    Cut,
-    DeadlinePassed,
-    Ended,
-    FirstFrame,
-    Landed,
-    Placed,
-    PrefillEnded,
+    CallerDisconnected,
+    DeadlineExceeded,
+    DecodeChosen,
+    DecodeStarted,
+    FirstChosen,
+    PrefillCompleted,
     RecordGranted,
     RecordSettled,
-    Refused,
-    Rejected,
+    RequestAborted,
+    RequestRejected,
+    RequestValidated,
+    ResponseCompleted,
     Stage,
+    UpstreamFailed,
+    UpstreamRefused,
 )
-from beamhatch.decide.idempotency import KeptAnswer
+from beamhatch.decide.idempotency import StoredResponse
 from beamhatch.decide.outcome import Answered, Outcome, Reason, name_outcome
-from beamhatch.decide.policy.api import Need
-from beamhatch.decide.request import Request, State, Terms
+from beamhatch.decide.policy.api import ResourceNeed
+from beamhatch.decide.request import Request, RequestState, RequestTerms
 from beamhatch.edge.upstream.api import AnswerSink, AnswerStream, Break, Export, Refusal, Rejection, Sent, Whole
 from beamhatch.edge.upstream.frames import DONE
 from beamhatch.task.sent import SentFrames
@@ -53,8 +53,8 @@
     from collections.abc import Callable, Coroutine
 
     from beamhatch.decide.call import Call
-    from beamhatch.decide.effect import Effect
-    from beamhatch.decide.fact import Fact
+    from beamhatch.decide.effect import RequestEffect
+    from beamhatch.decide.fact import RequestEvent
     from beamhatch.edge.caller.api import CallerAnswer
     from beamhatch.observe.trace import Span
     from beamhatch.task.router import Router
@@ -75,9 +75,9 @@
         self.frames = 0
         self._router = router
         self._answer = answer
-        terms = Terms(call.request, call.service, call.streamed, call.repeatable, keyed=call.key is not None)
+        terms = RequestTerms(call.request, call.service, call.streamed, call.repeatable, keyed=call.key is not None)
         self.request = Request(terms)
-        self._facts: deque[Fact] = deque()
+        self._facts: deque[RequestEvent] = deque()
         self._feeding = False
         self._export: Export | None = None
         self._stream: AnswerStream | None = None
@@ -87,7 +87,7 @@
         self._stage_began = 0.0
         self._sent = SentFrames(router.settings.limits.stream_bytes)
         self._sent_before: Sent | None = None
-        self._kept: KeptAnswer | None = None
+        self._kept: StoredResponse | None = None
         self._whole: Whole | Rejection | None = None
         self._slow_since: float | None = None
         self.trace, self._root = router.tracer.begin(call.request, call.traceparent)
@@ -99,21 +99,21 @@
         self._root.attributes.update(workspace=call.workspace, target=call.target)
         call.traceparent = self._root.to_header()
         self._answer.watch(self._lose_caller, self._pause, self._go_on)
-        self.feed(Begin())
+        self.feed(RequestValidated())
 
-    def feed(self, fact: Fact) -> None:
+    def feed(self, fact: RequestEvent) -> None:
         """Bring in a fact and carry out what follows, one after the other."""
         self._facts.append(fact)
         if self._feeding:
             return
         self._router.guard.check()
-        if self._router.letting_go and isinstance(fact, Placed | Landed):
+        if self._router.letting_go and isinstance(fact, FirstChosen | DecodeChosen):
             self._facts.clear()
             return
         self._feeding = True
         try:
             while self._facts:
-                for effect in self.request.step(self._facts.popleft()):
+                for effect in self.request.handle(self._facts.popleft()):
                     _DOERS[type(effect)](self, effect)
         except Exception:  # whatever it is, this request's state can't be trusted any more
             self._router.stop_on_broken_invariant(Failure())
@@ -124,13 +124,13 @@
         """Notice a passed deadline, a stalled transfer, a silent stream, and a caller that no longer reads."""
         timing = self._router.settings.timing
         if self.call.deadline is not None and now >= self.call.deadline:
-            self.feed(DeadlinePassed())
+            self.feed(DeadlineExceeded())
         elif self._slow_since is not None and now - self._slow_since > timing.stall_limit:
-            self.feed(CallerGone())
-        elif self.request.state is State.TRANSFERRING and now - self._stage_began > timing.first_frame_limit:
+            self.feed(CallerDisconnected())
+        elif self.request.state is RequestState.TRANSFERRING and now - self._stage_began > timing.first_frame_limit:
             self._drop_stream()
             self._break(Stage.DECODE, "the transfer stalled")
-        elif self.request.state is State.DECODING and self._slow_since is None:
+        elif self.request.state is RequestState.DECODING and self._slow_since is None:
             silent_since = max(self.last_frame_at, self._stage_began)
             if self.call.streamed and now - silent_since > timing.frame_limit:
                 self._drop_stream()
@@ -138,31 +138,31 @@
 
     # --- effects --------------------------------------------------------------------------------------------------
 
-    def _do_ask_record(self, _: AskRecord) -> None:
+    def _do_ask_record(self, _: WriteRecord) -> None:
         self._start_span("record")
         self._wait(self._router.records.claim(self.call), self._take_claim)
 
-    def _take_claim(self, claim: KeptAnswer | Outcome | None) -> None:
+    def _take_claim(self, claim: StoredResponse | Outcome | None) -> None:
         if claim is None:
             self.feed(RecordGranted())
-        elif isinstance(claim, KeptAnswer):
+        elif isinstance(claim, StoredResponse):
             self._kept = claim
             self.feed(RecordSettled(Answered(claim.status)))
         else:
             self.feed(RecordSettled(claim))
 
-    def _do_ask_placement(self, effect: AskPlacement) -> None:
+    def _do_ask_placement(self, effect: ChooseFirst) -> None:
         self._start_span("queue")
         call = self.call
-        need = Need(
+        need = ResourceNeed(
             request=call.request,
             workspace=call.workspace,
             prompt_tokens=call.prompt_tokens,
             output_tokens=0 if call.service else call.output_tokens,
-            arrived=call.arrived,
+            arrival_time=call.arrival_time,
             priority=call.priority,
             first_token_target=call.first_token_target,
-            pace_target=call.pace_target,
+            token_interval_target=call.token_interval_target,
             deadline=call.deadline,
             drop_if_late=call.drop_if_late,
             weight=self._router.pools.find_weight(call.workspace),
@@ -171,18 +171,18 @@
             labels=call.labels,
             policy=self.policy,
         )
-        self._router.pools.ask_start(call, need, self.serving.compared)
+        self._router.pools.ask_start(call, need, self.serving.compared_policies)
 
-    def _do_ask_landing(self, effect: AskLanding) -> None:
+    def _do_ask_landing(self, effect: ChooseDecode) -> None:
         self._start_span("reserve")
         self._router.pools.ask_landing(self.call, effect.exclude)
 
-    def _do_free_placement(self, _: FreePlacement) -> None:
+    def _do_free_placement(self, _: ReleasePlacement) -> None:
         self._router.pools.free(self.call)
 
     def _do_start_prefill(self, effect: StartPrefill) -> None:
         self._start_span("prefill", upstream=effect.upstream)
-        self._sent_before = self._read_sent() if effect.behind_sent else None
+        self._sent_before = self._read_sent() if effect.continues_output else None
         self._router.guard_runs(effect.run, effect.upstream)
         engine = self._router.pools.find_engine(effect.upstream)
         if engine is None:
@@ -202,7 +202,7 @@
         self._router.metrics.prefilled.inc(result.tokens)
         if self.request.first is not None:
             self._router.pools.note_success(self.call, self.request.first)
-        self.feed(PrefillEnded())
+        self.feed(PrefillCompleted())
 
     def _do_start_decode(self, effect: StartDecode) -> None:
         self._start_span("transfer", upstream=effect.upstream)
@@ -226,7 +226,7 @@
             return
         self._stream = engine.resume(self.call, effect.run, self._offset, self)
 
-    def _do_start_call(self, effect: StartCall) -> None:
+    def _do_start_call(self, effect: StartServiceCall) -> None:
         self._start_span("service", upstream=effect.upstream)
         service = self._router.pools.find_service(effect.upstream)
         if service is None:
@@ -247,7 +247,7 @@
         if not self.call.service:
             self._router.canceller.cancel(effect.run, effect.upstream)
 
-    def _do_finish(self, effect: Finish) -> None:
+    def _do_finish(self, effect: FinishRequest) -> None:
         outcome = effect.outcome
         self._drop_stream()
         if self._waiting is not None:
@@ -275,9 +275,9 @@
             return
         self.last_frame_at = guard.last
         self._offset = last_offset
-        if self._first_frame_at is None or self.request.state is State.TRANSFERRING:
+        if self._first_frame_at is None or self.request.state is RequestState.TRANSFERRING:
             self._take_first_frame()
-        if self.request.state is not State.DECODING:
+        if self.request.state is not RequestState.DECODING:
             return
         self.frames += 1
         self._sent.add(data)
@@ -287,14 +287,14 @@
         """Pass a whole answer on to the caller."""
         if not self._router.guard.check():
             return
-        if self.request.state is State.TRANSFERRING:
+        if self.request.state is RequestState.TRANSFERRING:
             self._take_first_frame()
         self._whole = whole
-        self.feed(Ended(whole.status))
+        self.feed(ResponseCompleted(whole.status))
 
     def take_end(self) -> None:
         """Note that the stream is whole."""
-        self.feed(Ended())
+        self.feed(ResponseCompleted())
 
     def take_fault(self, fault: Rejection | Refusal | Break) -> None:
         """Bring in a fault of the decode engine."""
@@ -308,37 +308,37 @@
         """Bring in a fault of any stage."""
         if isinstance(fault, Rejection):
             self._whole = fault
-            self.feed(Rejected(stage, fault.status))
+            self.feed(RequestRejected(stage, fault.status))
         elif isinstance(fault, Refusal):
             self._refuse(stage, fault)
         else:
             self._break(stage, fault.detail)
 
     def _refuse(self, stage: Stage, refusal: Refusal) -> None:
-        if self.request.state is State.DECODING:
+        if self.request.state is RequestState.DECODING:
             self._break(stage, refusal.detail)
             return
         self._note_failure(stage)
         allowed = self._router.pools.spend_retry(self.call)
-        self.feed(Refused(stage, refusal.detail, allowed, refusal.retry_after, refusal.export_lost))
+        self.feed(UpstreamRefused(stage, refusal.detail, allowed, refusal.retry_after, refusal.export_lost))
 
     def _break(self, stage: Stage, detail: str) -> None:
-        if self.request.state is State.DECODING and self._close_finished_text():
+        if self.request.state is RequestState.DECODING and self._close_finished_text():
             return
         self._note_failure(stage)
         allowed = self._router.pools.spend_retry(self.call) and self._can_go_on()
-        self.feed(Broke(stage, detail, allowed))
+        self.feed(UpstreamFailed(stage, detail, allowed))
 
     def _take_first_frame(self) -> None:
         if self._first_frame_at is None:
             self._first_frame_at = self._router.clock.now()
-            self._router.metrics.first_token.labels(self.policy).observe(self._first_frame_at - self.call.arrived)
+            self._router.metrics.first_token.labels(self.policy).observe(self._first_frame_at - self.call.arrival_time)
             if self.call.streamed:
                 self._answer.begin_stream()
-        if self.request.state is State.TRANSFERRING:
+        if self.request.state is RequestState.TRANSFERRING:
             self._router.pools.note_landed(self.call)
             self._start_span("decode")
-            self.feed(FirstFrame())
+            self.feed(DecodeStarted())
 
     # --- going on after a break ------------------------------------------------------------------------------------
 
@@ -364,7 +364,7 @@
             return False
         self._sent.add(DONE)
         self._answer.write(DONE)
-        self.feed(Ended())
+        self.feed(ResponseCompleted())
         return True
 
     def _note_failure(self, stage: Stage) -> None:
@@ -375,7 +375,7 @@
     # --- the caller ------------------------------------------------------------------------------------------------
 
     def _lose_caller(self) -> None:
-        self.feed(CallerGone())
+        self.feed(CallerDisconnected())
 
     def _pause(self) -> None:
         if self._slow_since is None:
@@ -390,7 +390,7 @@
 
     def cut(self, reason: Reason) -> None:
         """Let go of the request now."""
-        self.feed(Cut(reason))
+        self.feed(RequestAborted(reason))
 
     def _tell_caller(self, outcome: Outcome) -> None:
         if not isinstance(outcome, Answered):
@@ -431,7 +431,7 @@
 
         def finish(result: T) -> None:
             self._waiting = None
-            if self.request.state is not State.ENDED:
+            if self.request.state is not RequestState.ENDED:
                 take(result)
 
         waiting: defer.Deferred[Any] = defer.ensureDeferred(work)
@@ -453,15 +453,15 @@
             self._stream = None
 
 
-_DOERS: dict[type[Effect], Callable[..., None]] = {
-    AskRecord: Exchange._do_ask_record,
-    AskPlacement: Exchange._do_ask_placement,
-    AskLanding: Exchange._do_ask_landing,
-    FreePlacement: Exchange._do_free_placement,
+_DOERS: dict[type[RequestEffect], Callable[..., None]] = {
+    WriteRecord: Exchange._do_ask_record,
+    ChooseFirst: Exchange._do_ask_placement,
+    ChooseDecode: Exchange._do_ask_landing,
+    ReleasePlacement: Exchange._do_free_placement,
     StartPrefill: Exchange._do_start_prefill,
     StartDecode: Exchange._do_start_decode,
     ResumeDecode: Exchange._do_resume_decode,
-    StartCall: Exchange._do_start_call,
+    StartServiceCall: Exchange._do_start_call,
     CancelRun: Exchange._do_cancel_run,
-    Finish: Exchange._do_finish,
+    FinishRequest: Exchange._do_finish,
 }
--- a/src/beamhatch/task/guards.py
+++ b/src/beamhatch/task/guards.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.decide.member import Health, Note
+from beamhatch.decide.member import Health, MemberUpdate
 from beamhatch.decide.rendezvous import rank
 from beamhatch.edge.peer.message import Hello, RunsBegun, RunsEnded, shorten_name
 from beamhatch.ids import Boot, RequestId, RunId, UpstreamName, VmName
@@ -79,9 +79,9 @@
 
     def _choose_guards(self) -> None:
         members = self._mesh.members
-        others = [vm for vm in members.list_alive() if vm != members.me.vm]
-        guards = rank(members.me.vm, others)[:GUARDS]
-        boots = {vm: note.boot for vm in guards if (note := members.find(vm)) is not None}
+        others = [vm for vm in members.list_alive() if vm != members.own_update.vm]
+        guards = rank(members.own_update.vm, others)[:GUARDS]
+        boots = {vm: note.boot for vm in guards if (note := members.get(vm)) is not None}
         whole = [_to_wire(run, upstream) for runs in self._runs.values() for run, upstream in runs.items()]
         for vm, boot in boots.items():
             if self._told_boots.get(vm) != boot and self._mesh.cast(vm, RunsBegun(True, whole)):
@@ -106,7 +106,7 @@
         for run in [run for run in runs if _read_number(RequestId(run.rpartition("-")[0])) in ended]:
             del runs[run]
 
-    def _take_change(self, note: Note, before: Note | None) -> None:
+    def _take_change(self, note: MemberUpdate, before: MemberUpdate | None) -> None:
         if note.health is Health.DEAD:
             self._orphaned.append((note.vm, note.boot))
         elif before is not None and before.boot != note.boot:
--- a/src/beamhatch/task/hall_records.py
+++ b/src/beamhatch/task/hall_records.py
@@ -14,7 +14,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.decide.idempotency import KeptAnswer, Record, RecordState
+from beamhatch.decide.idempotency import Record, RecordState, StoredResponse
 from beamhatch.decide.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from beamhatch.decide.rendezvous import rank
 from beamhatch.edge.peer.message import (
@@ -71,7 +71,7 @@
 
     # --- claiming --------------------------------------------------------------------------------------------------
 
-    async def claim(self, call: Call) -> KeptAnswer | Outcome | None:
+    async def claim(self, call: Call) -> StoredResponse | Outcome | None:
         """Take the key of a call on a majority of its holders, or return what to tell its caller."""
         limit = call.deadline if call.deadline is not None else self._clock.now() + JOIN_LIMIT
         while True:
@@ -92,7 +92,7 @@
         home = self.find_home(call.key)
         answer: RecordAnswer | None
         if home == self._mesh.hall:
-            me = self._mesh.members.me
+            me = self._mesh.members.own_update
             answer = await self._put_all(
                 RecordPut(self._holder.name_epoch(), call.key, call.digest, me.vm, me.boot, call.request)
             )
@@ -200,7 +200,7 @@
         """Free a key, because its request is proved not to have run."""
         self._tell_end(call, None)
 
-    def _tell_end(self, call: Call, answer: KeptAnswer | None) -> defer.Deferred[None]:
+    def _tell_end(self, call: Call, answer: StoredResponse | None) -> defer.Deferred[None]:
         assert call.key is not None
         wire = write_answer(answer) if answer is not None else None
         home = self.find_home(call.key)
--- a/src/beamhatch/task/mesh.py
+++ b/src/beamhatch/task/mesh.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import ClientFactory, Factory
 
 from beamhatch.decide import member
-from beamhatch.decide.member import Health, Members, Note
+from beamhatch.decide.member import Health, Membership, MemberUpdate
 from beamhatch.edge.peer.message import (
     PROTOCOL,
     Answer,
@@ -64,9 +64,9 @@
         self._timing = timing
         self.metrics = metrics
         self._seeds = seeds
-        me = Note(vm, boot, 0, Health.ALIVE, "")
+        me = MemberUpdate(vm, boot, 0, Health.ALIVE, "")
         rng = random.Random(f"{vm}.{boot}")
-        self.members = Members(me, timing.probe_period, timing.probe_timeout, timing.suspicion, rng)
+        self.members = Membership(me, timing.probe_period, timing.probe_timeout, timing.suspicion, rng)
         self._out: dict[str, PeerStream] = {}
         """Streams that this VM dialled, by address, once greeted."""
         self.far = FarVms()
@@ -77,7 +77,7 @@
         self._numbers = 0
         self._stopped = False
         self._handlers: dict[type[Any], Callable[[Hello, Any], Any]] = {}
-        self._on_change: list[Callable[[Note, Note | None], None]] = []
+        self._on_change: list[Callable[[MemberUpdate, MemberUpdate | None], None]] = []
         self._relayed: dict[int, tuple[PeerStream, int]] = {}
         self._log = get_log(Part.PEER)
         self._tls_context: Any = None
@@ -93,8 +93,8 @@
         self._source = source
         self._tls_context = tls_context
         self._own_addresses.add(address)
-        me = self.members.me
-        self.members.me = Note(me.vm, me.boot, me.incarnation, me.health, address)
+        me = self.members.own_update
+        self.members.own_update = MemberUpdate(me.vm, me.boot, me.incarnation, me.health, address)
         self._tick()
         self._dial_all()
         self._probe_far()
@@ -105,7 +105,7 @@
         """Have a function called with each message of a kind; what it returns or promises answers an ask."""
         self._handlers[kind] = handler
 
-    def call_on_change(self, function: Callable[[Note, Note | None], None]) -> None:
+    def call_on_change(self, function: Callable[[MemberUpdate, MemberUpdate | None], None]) -> None:
         """Have a function called when the health or the boot of a member changes."""
         self._on_change.append(function)
 
@@ -178,8 +178,8 @@
             stream.close()
 
     def _make_hello(self) -> Hello:
-        notes = [_to_wire(note) for note in self.members.list_notes()]
-        me = self.members.me
+        notes = [_to_wire(note) for note in self.members.list_updates()]
+        me = self.members.own_update
         return Hello(PROTOCOL, me.vm, me.boot, self.hall, self.address, notes)
 
     def _greet(self, stream: PeerStream, hello: Hello, dialled: str | None) -> None:
@@ -194,8 +194,8 @@
             if dialled is not None:
                 self.far.add(stream, hello, self._clock.now())
             return
-        note = Note(VmName(hello.vm), Boot(hello.boot), 0, Health.ALIVE, hello.address)
-        self._do(self.members.take_notes([note], self._clock.now()))
+        note = MemberUpdate(VmName(hello.vm), Boot(hello.boot), 0, Health.ALIVE, hello.address)
+        self._do(self.members.apply_updates([note], self._clock.now()))
         self._take_notes(hello.notes)
 
     def _lose(self, stream: PeerStream, dialled: str | None) -> None:
@@ -211,10 +211,10 @@
             for number, (_, asked) in list(self._asks.items()):
                 if asked == vm:
                     self._settle(number, None)
-        self._do(self.members.hint_lost(vm, self._clock.now()))
+        self._do(self.members.probe_now(vm, self._clock.now()))
 
     def _dial_all(self) -> None:
-        notes = [item.note for item in self.members.members.values()]
+        notes = [item.update for item in self.members.members.values()]
         wanted = {note.address for note in notes if note.health is not Health.LEFT} | set(self._seeds)
         for address in wanted - self._own_addresses - self._dialling:
             self._dial(address)
@@ -238,7 +238,7 @@
             reactor.connectSSL(host, int(port), factory, self._tls_context, timeout=limit, bindAddress=source)
 
     def _find_stream(self, vm: VmName) -> PeerStream | None:
-        note = self.members.find(vm)
+        note = self.members.get(vm)
         return self._out.get(note.address) if note is not None else None
 
     # --- messages --------------------------------------------------------------------------------------------------
@@ -283,7 +283,7 @@
         handler = self._handlers.get(type(message))
         if handler is None:
             return None
-        me = self.members.me
+        me = self.members.own_update
         hello = Hello(PROTOCOL, me.vm, me.boot, self.hall, self.address, [])
         return await defer.maybeDeferred(handler, hello, message)
 
@@ -302,23 +302,23 @@
         if not self._stopped:
             self._clock.call_later(seconds, function)
 
-    def _do(self, effects: list[member.Effect]) -> None:
+    def _do(self, effects: list[member.MembershipEffect]) -> None:
         for effect in effects:
             if isinstance(effect, member.Probe):
                 self.cast(effect.vm, Probe(effect.number, self.sequence(), self._pick_notes()))
-            elif isinstance(effect, member.ProbeThrough):
+            elif isinstance(effect, member.IndirectProbe):
                 self.cast(effect.through, ProbeThrough(effect.number, effect.vm))
             else:
-                self._tell_change(effect.note, effect.before)
+                self._tell_change(effect.update, effect.previous)
 
-    def _tell_change(self, note: Note, before: Note | None) -> None:
+    def _tell_change(self, note: MemberUpdate, before: MemberUpdate | None) -> None:
         if before is None or before.health is not note.health or before.boot != note.boot:
             self._log.info("A member changed.", vm=note.vm, health=note.health.name.lower(), boot=note.boot)
         if note.health is Health.DEAD:
             self.metrics.deaths.inc()
             self._close_streams(note.vm)
         for health in Health:
-            count = sum(1 for item in self.members.members.values() if item.note.health is health)
+            count = sum(1 for item in self.members.members.values() if item.update.health is health)
             self.metrics.members.labels(health.name.lower()).set(count)
         for function in self._on_change:
             function(note, before)
@@ -342,7 +342,7 @@
             asker, their_number = relayed
             asker.send(ProbeAnswer(their_number, self.sequence(), self._pick_notes()))
         else:
-            self.members.take_ack(number)
+            self.members.record_ack(number)
 
     def _take_news(self, hello: Hello, sequence: int, notes: list[MemberNote]) -> None:
         if hello.hall == self.hall:
@@ -357,12 +357,12 @@
         self._again(FAR_PROBE_PERIOD, self._probe_far)
 
     def _take_notes(self, notes: list[MemberNote]) -> None:
-        read = [Note(VmName(n.vm), Boot(n.boot), n.incarnation, Health(n.health), n.address) for n in notes]
-        self._do(self.members.take_notes(read, self._clock.now()))
+        read = [MemberUpdate(VmName(n.vm), Boot(n.boot), n.incarnation, Health(n.health), n.address) for n in notes]
+        self._do(self.members.apply_updates(read, self._clock.now()))
 
     def _pick_notes(self) -> list[MemberNote]:
-        return [_to_wire(note) for note in self.members.pick_notes()]
+        return [_to_wire(note) for note in self.members.pick_updates()]
 
 
-def _to_wire(note: Note) -> MemberNote:
+def _to_wire(note: MemberUpdate) -> MemberNote:
     return MemberNote(note.vm, note.boot, note.incarnation, int(note.health), note.address)
--- a/src/beamhatch/task/node.py
+++ b/src/beamhatch/task/node.py
@@ -8,10 +8,10 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.decide.comparison import Comparison
-from beamhatch.decide.configuration import Configuration, make_first
+from beamhatch.decide.comparison import PolicyComparison
+from beamhatch.decide.configuration import Configuration, make_initial_head
 from beamhatch.decide.outcome import Reason
-from beamhatch.decide.traffic import Traffic
+from beamhatch.decide.traffic import TrafficSlices
 from beamhatch.edge.caller.http import CallerRoot, CallerSite
 from beamhatch.edge.caller.parse import WORKSPACE, BadRequest
 from beamhatch.edge.http import HttpClient
@@ -58,8 +58,8 @@
         self.vm = VmName(settings.vm)
         self.boot = Boot(int(clock.tell_wall() * 1000))
         self.metrics = Metrics()
-        self.traffic = Traffic()
-        self.comparison = Comparison()
+        self.traffic = TrafficSlices()
+        self.comparison = PolicyComparison()
         self.stopping = False
         self._workspaces: dict[str, Workspace] = {}
         self._workspaces_by_key: dict[str, Workspace] = {}
@@ -97,7 +97,7 @@
         self.router.pools = self.pools
         self.metrics.queued.set_function(self.pools.count_waiting)
         self.router.records = self.records
-        self.router.find_serving = lambda call: self.traffic.find(call.labels, call.identity)
+        self.router.find_serving = lambda call: self.traffic.get_assignment(call.labels, call.identity)
         self.router.find_workspace = lambda name: self._workspaces.get(name) or Workspace(name=name)
         self.router.comparison = self.comparison
         platform = settings.platform
@@ -125,7 +125,7 @@
         self.caller_port = int(self._caller_listening.getHost().port)
         admin_site = AdminRoot(self).make_site()
         self.admin_port = int(self._listen(admin_site, admin.host, admin.port, admin.tls).getHost().port)
-        head, bodies = make_first(settings.configuration)
+        head, bodies = make_initial_head(settings.configuration)
         self.configuring.start(head, bodies)
         context = make_context(settings.peer.tls) if settings.peer.tls else None
         address = settings.peer.advertised or f"{settings.peer.host}:{peer_port}"
--- a/src/beamhatch/task/pools.py
+++ b/src/beamhatch/task/pools.py
@@ -11,11 +11,11 @@
 from twisted.internet import defer
 
 from beamhatch.decide.circuit import RetryBudget
-from beamhatch.decide.fact import Landed, Placed, PlacementRefused
+from beamhatch.decide.fact import DecodeChosen, FirstChosen, PlacementFailed
 from beamhatch.decide.fleet import Fleet
-from beamhatch.decide.ledger import Facts, Report, Share, Standing
+from beamhatch.decide.ledger import LoadSnapshot, UpstreamConfig, UpstreamState, VmLoad
 from beamhatch.decide.outcome import Reason
-from beamhatch.decide.pool import Landing, Pool, Started, Turned
+from beamhatch.decide.pool import HandoffDecision, Pool, RefusalDecision, StartDecision
 from beamhatch.ids import HallName, UpstreamName, VmName, WorkspaceName
 from beamhatch.observe.log import Part, get_log
 
@@ -24,10 +24,10 @@
 
     from beamhatch.clock import Clock
     from beamhatch.decide.call import Call
-    from beamhatch.decide.comparison import Comparison
-    from beamhatch.decide.policy.api import Need, Policy
-    from beamhatch.decide.pool import Decision
-    from beamhatch.decide.traffic import Traffic
+    from beamhatch.decide.comparison import PolicyComparison
+    from beamhatch.decide.policy.api import Policy, ResourceNeed
+    from beamhatch.decide.pool import PlacementDecision
+    from beamhatch.decide.traffic import TrafficSlices
     from beamhatch.edge.upstream.api import Engine, LoadReport, Service
     from beamhatch.edge.upstream.connect import Connector
     from beamhatch.settings.schema import Limits, Timing
@@ -60,8 +60,8 @@
         timing: Timing,
         connector: Connector,
         find_exchange: Callable[[str], Exchange | None],
-        traffic: Traffic,
-        comparison: Comparison,
+        traffic: TrafficSlices,
+        comparison: PolicyComparison,
     ) -> None:
         self._clock = clock
         self._hall = hall
@@ -82,7 +82,7 @@
 
     def count_waiting(self) -> int:
         """Return how many requests wait for a place."""
-        return sum(len(hosted.pool.waiting) for hosted in self.hosted.values())
+        return sum(len(hosted.pool.queue) for hosted in self.hosted.values())
 
     def start(self) -> None:
         """Begin to read reports and to give up what waits for too long."""
@@ -110,13 +110,13 @@
     def _retire(self, route: str) -> None:
         hosted = self.hosted[route]
         hosted.pool.fleet.set_upstreams([])
-        if not hosted.pool.placed:
+        if not hosted.pool.placements:
             del self.hosted[route]
 
     def _set_upstreams(self, hosted: HostedPool) -> None:
         document = hosted.document
         facts = [
-            Facts(
+            UpstreamConfig(
                 UpstreamName(item.name),
                 item.address,
                 HallName(item.hall),
@@ -135,7 +135,7 @@
             else:
                 self._engines[item.name] = self._connector.connect_engine(item.address)
             if item.address in self._leaving:
-                hosted.pool.fleet.set_standing(item.name, Standing.LEAVING)
+                hosted.pool.fleet.set_state(item.name, UpstreamState.LEAVING)
 
     def mark_leaving(self, addresses: set[str]) -> None:
         """Give no new work to upstreams that the platform's VM list calls leaving."""
@@ -144,9 +144,9 @@
         self._leaving = addresses
         for hosted in self.hosted.values():
             for ledger in hosted.pool.fleet.ledgers.values():
-                if ledger.facts.address in addresses and ledger.standing is Standing.SERVING:
-                    self._log.info("An upstream is leaving, by the VM list.", upstream=ledger.facts.name)
-                    hosted.pool.fleet.set_standing(ledger.facts.name, Standing.LEAVING)
+                if ledger.config.address in addresses and ledger.state is UpstreamState.SERVING:
+                    self._log.info("An upstream is leaving, by the VM list.", upstream=ledger.config.name)
+                    hosted.pool.fleet.set_state(ledger.config.name, UpstreamState.LEAVING)
 
     # --- looking up ------------------------------------------------------------------------------------------------
 
@@ -162,7 +162,7 @@
         """Return the connection to one replica of a plain service."""
         return self._services.get(name)
 
-    def _choose_policy(self, need: Need) -> Policy:
+    def _choose_policy(self, need: ResourceNeed) -> Policy:
         return self._traffic.get_policy(need.policy)
 
     def list_names(self) -> list[UpstreamName]:
@@ -179,116 +179,118 @@
 
     # --- what requests ask -----------------------------------------------------------------------------------------
 
-    def ask_start(self, call: Call, need: Need, compared: Sequence[str] = ()) -> None:
+    def ask_start(self, call: Call, need: ResourceNeed, compared: Sequence[str] = ()) -> None:
         """Ask for the first upstream; the answer is fed to the request, at once or later."""
         hosted = self.find(call.target, call.service)
         if hosted is None:
-            self._carry([Turned(call.request, Reason.NO_UPSTREAM, "the pool is gone", None)])
+            self._carry([RefusalDecision(call.request, Reason.NO_UPSTREAM, "the pool is gone", None)])
             return
         now = self._clock.now()
         self._compare(hosted.pool, need, compared, now)
-        self._carry(hosted.pool.ask_start(need, now))
+        self._carry(hosted.pool.request_start(need, now))
 
-    def _compare(self, pool: Pool, need: Need, compared: Sequence[str], now: float) -> None:
+    def _compare(self, pool: Pool, need: ResourceNeed, compared: Sequence[str], now: float) -> None:
         """Have compared policies decide on the same request and the same view, without effect."""
         if not compared:
             return
-        serving = self._choose_policy(need).start(need, pool.fleet, now)
+        serving = self._choose_policy(need).choose_first(need, pool.fleet, now)
         for name in compared:
-            choice = self._traffic.get_policy(name).start(need, pool.fleet, now)
+            choice = self._traffic.get_policy(name).choose_first(need, pool.fleet, now)
             if choice is None or serving is None:
-                self._comparison.note_decision(need.policy, name, None, 0.0)
+                self._comparison.record_decision(need.policy, name, None, 0.0)
                 continue
             same = choice.first is serving.first and choice.decode is serving.decode
-            self._comparison.note_decision(need.policy, name, same, serving.first_token_at - choice.first_token_at)
+            self._comparison.record_decision(
+                need.policy, name, same, serving.first_token_time - choice.first_token_time
+            )
 
     def ask_landing(self, call: Call, exclude: frozenset[UpstreamName]) -> None:
         """Ask for a decode engine; the answer is fed to the request, at once or later."""
         hosted = self.find(call.target, call.service)
         if hosted is None:
-            self._carry([Turned(call.request, Reason.NO_UPSTREAM, "the pool is gone", None)])
+            self._carry([RefusalDecision(call.request, Reason.NO_UPSTREAM, "the pool is gone", None)])
             return
-        self._carry(hosted.pool.ask_landing(call.request, exclude, self._clock.now()))
+        self._carry(hosted.pool.request_handoff(call.request, exclude, self._clock.now()))
 
     def free(self, call: Call) -> None:
         """Give back all that a request has."""
         hosted = self.find(call.target, call.service)
         if hosted is not None:
-            self._carry(hosted.pool.free(call.request, self._clock.now()))
+            self._carry(hosted.pool.release(call.request, self._clock.now()))
 
     def note_landed(self, call: Call) -> None:
         """Note that a decode engine has begun."""
         hosted = self.find(call.target, call.service)
         if hosted is not None:
-            hosted.pool.note_landed(call.request)
+            hosted.pool.record_transfer_end(call.request)
 
     def note_success(self, call: Call, upstream: UpstreamName) -> None:
         """Note that an upstream did its work."""
         hosted = self.find(call.target, call.service)
         if hosted is None:
             return
-        hosted.budget.note_success()
-        self._budgets.setdefault(call.workspace, RetryBudget()).note_success()
+        hosted.budget.record_success()
+        self._budgets.setdefault(call.workspace, RetryBudget()).record_success()
         ledger = hosted.pool.fleet.ledgers.get(upstream)
         if ledger is not None:
-            ledger.breaker.note_success()
+            ledger.breaker.record_success()
 
     def note_failure(self, call: Call, upstream: UpstreamName) -> None:
         """Note that an upstream failed a request."""
         hosted = self.find(call.target, call.service)
         ledger = hosted.pool.fleet.ledgers.get(upstream) if hosted else None
         if ledger is not None:
-            ledger.breaker.note_failure(self._clock.now())
+            ledger.breaker.record_failure(self._clock.now())
 
     def note_answer(self, call: Call, output_tokens: int, seconds: float) -> None:
         """Take in the length and time of one answer."""
         hosted = self.find(call.target, call.service)
         if hosted is not None:
-            hosted.pool.fleet.rates.note_answer(output_tokens, seconds)
+            hosted.pool.fleet.workload.record_output(output_tokens, seconds)
 
     def spend_retry(self, call: Call) -> bool:
         """Take a retry out of the budgets of the pool and the workspace."""
         hosted = self.find(call.target, call.service)
         budget = self._budgets.setdefault(call.workspace, RetryBudget())
-        return hosted is not None and budget.spend() and hosted.budget.spend()
+        return hosted is not None and budget.acquire() and hosted.budget.acquire()
 
-    def _carry(self, decisions: list[Decision]) -> None:
+    def _carry(self, decisions: list[PlacementDecision]) -> None:
         for decision in decisions:
             exchange = self._find_exchange(decision.request)
             if exchange is None:
                 continue
-            if isinstance(decision, Started):
-                exchange.feed(Placed(decision.upstream))
-            elif isinstance(decision, Landing):
-                exchange.feed(Landed(decision.upstream))
+            if isinstance(decision, StartDecision):
+                exchange.feed(FirstChosen(decision.upstream))
+            elif isinstance(decision, HandoffDecision):
+                exchange.feed(DecodeChosen(decision.upstream))
             else:
-                exchange.feed(PlacementRefused(decision.reason, decision.detail, decision.retry_after))
+                exchange.feed(PlacementFailed(decision.reason, decision.detail, decision.retry_after))
 
     # --- what other VMs have ---------------------------------------------------------------------------------------
 
-    def take_changed_shares(self) -> dict[UpstreamName, Share]:
+    def take_changed_shares(self) -> dict[UpstreamName, VmLoad]:
         """Return this VM's shares that changed since the last call."""
-        changed: dict[UpstreamName, Share] = {}
+        changed: dict[UpstreamName, VmLoad] = {}
         for hosted in self.hosted.values():
-            changed.update(hosted.pool.fleet.take_changed())
+            changed.update(hosted.pool.fleet.pop_changed_loads())
         return changed
 
-    def list_shares(self) -> dict[UpstreamName, Share]:
+    def list_shares(self) -> dict[UpstreamName, VmLoad]:
         """Return all that this VM has anywhere."""
         ledgers = [ledger for hosted in self.hosted.values() for ledger in hosted.pool.fleet.ledgers.values()]
-        return {ledger.facts.name: ledger.own_share for ledger in ledgers if ledger.own or ledger.promises}
+        return {ledger.config.name: ledger.own_load for ledger in ledgers if ledger.own_runs or ledger.reservations}
 
-    def take_share(self, name: UpstreamName, vm: VmName, share: Share | None) -> None:
+    def take_share(self, name: UpstreamName, vm: VmName, share: VmLoad | None) -> None:
         """Take in what another VM has at an upstream."""
         for hosted in self.hosted.values():
-            hosted.pool.fleet.take_share(name, vm, share, self._clock.now())
+            hosted.pool.fleet.apply_vm_load(name, vm, share, self._clock.now())
 
     def serve_all(self) -> None:
         """Give places to those that wait, in all pools."""
         now = self._clock.now()
         for hosted in list(self.hosted.values()):
-            if hosted.pool.waiting or hosted.pool.landings:
-                self._carry(hosted.pool.serve(now))
+            if hosted.pool.queue or hosted.pool.pending_handoffs:
+                self._carry(hosted.pool.dispatch_waiting(now))
 
     # --- reports ---------------------------------------------------------------------------------------------------
 
@@ -311,7 +313,7 @@
                 self._take_report(hosted, name, report)
             engine = self._engines.get(name)
             ledger = hosted.pool.fleet.ledgers.get(name)
-            if engine is not None and ledger is not None and ledger.facts.role == "prefill":
+            if engine is not None and ledger is not None and ledger.config.role == "prefill":
                 await self._read_cache(hosted, name, engine)
         finally:
             hosted.reading.discard(name)
@@ -321,17 +323,17 @@
         fleet = hosted.pool.fleet
         if hosted.boots.get(name, report.boot) != report.boot:
             self._log.info("An upstream was started anew.", upstream=name)
-            fleet.forget_blocks(name)
+            fleet.drop_blocks(name)
             hosted.cache_seen.pop(name, None)
         hosted.boots[name] = report.boot
-        before = fleet.ledgers[name].standing if name in fleet.ledgers else None
+        before = fleet.ledgers[name].state if name in fleet.ledgers else None
         jobs = report.running + report.queued
-        fleet.take_report(
-            name, Report(now - report.age, report.held_tokens, report.capacity_tokens, jobs, report.leaving)
+        fleet.apply_report(
+            name, LoadSnapshot(now - report.age, report.held_tokens, report.capacity_tokens, jobs, report.leaving)
         )
-        if report.leaving and before is Standing.SERVING:
+        if report.leaving and before is UpstreamState.SERVING:
             self._log.info("An upstream says that it is leaving.", upstream=name)
-        self._carry(hosted.pool.serve(now))
+        self._carry(hosted.pool.dispatch_waiting(now))
 
     async def _read_cache(self, hosted: HostedPool, name: UpstreamName, engine: Engine) -> None:
         seen = hosted.cache_seen.get(name, 0)
@@ -339,9 +341,9 @@
         if not events:
             return
         if events[0].sequence != seen + 1 and seen:
-            hosted.pool.fleet.forget_blocks(name)
+            hosted.pool.fleet.drop_blocks(name)
         for event in events:
-            hosted.pool.fleet.note_block(name, event.block, event.stored, self._clock.now())
+            hosted.pool.fleet.record_block(name, event.block, event.stored, self._clock.now())
         hosted.cache_seen[name] = events[-1].sequence
 
     def _expire(self) -> None:
--- a/src/beamhatch/task/record_holder.py
+++ b/src/beamhatch/task/record_holder.py
@@ -14,8 +14,8 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.decide.idempotency import Full, Granted, Record, RecordState, RecordStore
-from beamhatch.decide.member import Health, Note
+from beamhatch.decide.idempotency import KeyGranted, Record, RecordState, RecordStore, StoreFull
+from beamhatch.decide.member import Health, MemberUpdate
 from beamhatch.decide.rendezvous import rank
 from beamhatch.edge.peer.message import (
     Done,
@@ -82,9 +82,9 @@
             RecordKey(put.key), put.digest, VmName(put.vm), Boot(put.boot), RequestId(put.request), self._clock.now()
         )
         self._metrics.records.set(len(self.store.records))
-        if isinstance(result, Granted):
+        if isinstance(result, KeyGranted):
             return RecordAnswer("granted")
-        if isinstance(result, Full):
+        if isinstance(result, StoreFull):
             return RecordAnswer("full")
         return RecordAnswer("taken", write_record(result.record, self._clock.now()))
 
@@ -94,7 +94,7 @@
             if self.store.drop(key, request):
                 self._settle(key, None)
         else:
-            record = self.store.end(key, request, read_answer(end.answer))
+            record = self.store.complete(key, request, read_answer(end.answer))
             if record is not None:
                 self._settle(key, record)
         return Done()
@@ -132,7 +132,7 @@
         names = "\0".join(self._mesh.members.list_registered())
         return hashlib.blake2b(names.encode(), digest_size=8).hexdigest()
 
-    def _take_change(self, note: Note, before: Note | None) -> None:
+    def _take_change(self, note: MemberUpdate, before: MemberUpdate | None) -> None:
         if note.health is Health.DEAD:
             self._lose(note.vm, note.boot)
         elif before is not None and before.boot < note.boot:
@@ -140,7 +140,7 @@
         self._sync()
 
     def _lose(self, vm: VmName, boot: Boot) -> None:
-        lost = self.store.lose_owner(vm, boot)
+        lost = self.store.mark_owner_lost(vm, boot)
         if lost:
             self._log.info("Records of a dead VM can't be settled any more.", vm=vm, records=len(lost))
         for record in lost:
@@ -157,7 +157,7 @@
         members = self._mesh.members
         synced: set[VmName] = set()
         while self.name_epoch() == epoch:
-            left = [vm for vm in members.list_alive() if vm != members.me.vm and vm not in synced]
+            left = [vm for vm in members.list_alive() if vm != members.own_update.vm and vm not in synced]
             if not left:
                 self._ready_epoch = epoch
                 self._log.info(
--- a/src/beamhatch/task/record_wire.py
+++ b/src/beamhatch/task/record_wire.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from beamhatch.decide.idempotency import KeptAnswer, Record, RecordState
+from beamhatch.decide.idempotency import Record, RecordState, StoredResponse
 from beamhatch.edge.peer.message import WireAnswer, WireRecord
 from beamhatch.ids import Boot, RecordKey, RequestId, VmName
 
 
 def write_record(record: Record, now: float) -> WireRecord:
     """Return a record for the wire; its time becomes an age, since clocks differ."""
-    answer = write_answer(record.answer) if record.answer is not None else None
-    age = now - record.written
+    answer = write_answer(record.response) if record.response is not None else None
+    age = now - record.written_at
     return WireRecord(
         record.key, record.digest, record.vm, record.boot, record.request, record.state.value, age, answer
     )
@@ -31,11 +31,11 @@
     )
 
 
-def write_answer(answer: KeptAnswer) -> WireAnswer:
+def write_answer(answer: StoredResponse) -> WireAnswer:
     """Return a kept answer for the wire."""
     return WireAnswer(answer.outcome, answer.reason, answer.detail, answer.status, list(answer.headers), answer.body)
 
 
-def read_answer(wire: WireAnswer) -> KeptAnswer:
+def read_answer(wire: WireAnswer) -> StoredResponse:
     """Return a kept answer from the wire."""
-    return KeptAnswer(wire.outcome, wire.reason, wire.detail, wire.status, tuple(wire.headers), wire.body)
+    return StoredResponse(wire.outcome, wire.reason, wire.detail, wire.status, tuple(wire.headers), wire.body)
--- a/src/beamhatch/task/records.py
+++ b/src/beamhatch/task/records.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from beamhatch.decide.idempotency import KeptAnswer, Record, RecordState
+from beamhatch.decide.idempotency import Record, RecordState, StoredResponse
 from beamhatch.decide.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown, name_outcome
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     """Takes keys for requests, and keeps how they ended."""
 
     @abstractmethod
-    async def claim(self, call: Call) -> KeptAnswer | Outcome | None:
+    async def claim(self, call: Call) -> StoredResponse | Outcome | None:
         """Take the key of a call; None says that it is this request's now, anything else is the answer."""
 
     @abstractmethod
@@ -41,20 +41,20 @@
         """Free a key, because its request is proved not to have run."""
 
 
-def make_kept(outcome: Outcome, headers: Sequence[tuple[str, str]], body: bytes | None, most: int) -> KeptAnswer:
+def make_kept(outcome: Outcome, headers: Sequence[tuple[str, str]], body: bytes | None, most: int) -> StoredResponse:
     """Return what is kept of an outcome; a body over the limit is left out."""
     reason = Reason.ANSWERED if isinstance(outcome, Answered) else outcome.reason
     detail = "" if isinstance(outcome, Answered) else outcome.detail
     status = outcome.status if isinstance(outcome, Answered) else 0
     kept_body = body if body is not None and len(body) <= most else None
-    return KeptAnswer(name_outcome(outcome), reason.value, detail, status, tuple(headers), kept_body)
+    return StoredResponse(name_outcome(outcome), reason.value, detail, status, tuple(headers), kept_body)
 
 
-def tell_repeat(record: Record, digest: str) -> KeptAnswer | Outcome:
+def tell_repeat(record: Record, digest: str) -> StoredResponse | Outcome:
     """Return what a repeat of a key is told where the first request has ended or is lost."""
     if record.digest != digest:
         return NotRun(Reason.KEY_MISMATCH, "the key was used with another body")
-    answer = record.answer
+    answer = record.response
     if record.state is RecordState.LOST or answer is None:
         return Unknown(Reason.UPSTREAM_LOST, "the entry VM of the first attempt is gone; it may have run")
     if answer.outcome == "answered":
--- a/src/beamhatch/task/router.py
+++ b/src/beamhatch/task/router.py
@@ -24,8 +24,8 @@
 
     from beamhatch.clock import Clock
     from beamhatch.decide.call import Call
-    from beamhatch.decide.comparison import Comparison
-    from beamhatch.decide.traffic import Serving
+    from beamhatch.decide.comparison import PolicyComparison
+    from beamhatch.decide.traffic import PolicyAssignment
     from beamhatch.edge.caller.api import CallerAnswer
     from beamhatch.ids import Boot, VmName
     from beamhatch.observe.metrics import Metrics
@@ -66,9 +66,9 @@
         self.runs = runs
         self.pools: Pools
         self.records: Records
-        self.find_serving: Callable[[Call], Serving]
+        self.find_serving: Callable[[Call], PolicyAssignment]
         self.find_workspace: Callable[[str], Workspace]
-        self.comparison: Comparison
+        self.comparison: PolicyComparison
         self.stop_hard: Callable[[], None] | None = None
         self.exchanges: dict[str, Exchange] = {}
         self.accepting = True
@@ -114,12 +114,12 @@
             kind = "service" if call.service else "model"
             return NotRun(Reason.UNKNOWN_MODEL, f"there is no {kind} {call.target!r}")
         workspace = self.find_workspace(call.workspace)
-        return self.admission.enter(call.workspace, workspace.concurrency, workspace.rate, self.clock.now())
+        return self.admission.admit(call.workspace, workspace.concurrency, workspace.rate, self.clock.now())
 
     def forget(self, exchange: Exchange) -> None:
         """Drop a request that has ended."""
         self.exchanges.pop(exchange.call.request, None)
-        self.admission.leave(exchange.call.workspace)
+        self.admission.release(exchange.call.workspace)
         self.runs.end(exchange.call.request)
         self.metrics.open_requests.set(len(self.exchanges))
         if not self.exchanges:
@@ -165,7 +165,7 @@
         wasted = call.prompt_tokens if ran and not isinstance(outcome, Answered) else 0
         self.metrics.wasted.inc(wasted)
         self.metrics.frames.inc(exchange.frames)
-        first_token = None if first_frame_at is None else first_frame_at - call.arrived
+        first_token = None if first_frame_at is None else first_frame_at - call.arrival_time
         pace = None
         if first_frame_at is not None and exchange.frames > 1:
             lasted = exchange.last_frame_at - first_frame_at
@@ -173,11 +173,11 @@
             self.metrics.pace.labels(exchange.policy).observe(pace)
             self.pools.note_answer(call, exchange.frames, lasted)
         good = isinstance(outcome, Answered) and first_token is not None and first_token <= call.first_token_target
-        good = good and (pace is None or pace <= call.pace_target)
+        good = good and (pace is None or pace <= call.token_interval_target)
         if good:
             self.metrics.good.labels(exchange.policy).inc()
         prefilled = call.prompt_tokens if ran else 0
-        self.comparison.note_served(exchange.policy, Sample(good, first_token, pace, prefilled, wasted))
+        self.comparison.record_served(exchange.policy, Sample(good, first_token, pace, prefilled, wasted))
 
     def _count_end(self, call: Call, outcome: Outcome) -> None:
         reason = Reason.ANSWERED if isinstance(outcome, Answered) else outcome.reason
--- a/src/beamhatch/task/sharing.py
+++ b/src/beamhatch/task/sharing.py
@@ -8,8 +8,8 @@
 
 from typing import TYPE_CHECKING
 
-from beamhatch.decide.ledger import Share
-from beamhatch.decide.member import Health, Note
+from beamhatch.decide.ledger import VmLoad
+from beamhatch.decide.member import Health, MemberUpdate
 from beamhatch.edge.peer.message import Hello, Shares, shorten_name
 from beamhatch.ids import UpstreamName, VmName
 
@@ -70,10 +70,10 @@
         for short, held, promised, jobs in message.shares:
             if short in names:
                 told.add(names[short])
-                self._pools.take_share(names[short], vm, Share(held, promised, jobs))
+                self._pools.take_share(names[short], vm, VmLoad(held, promised, jobs))
         self._pools.serve_all()
 
-    def _take_change(self, note: Note, before: Note | None) -> None:
+    def _take_change(self, note: MemberUpdate, before: MemberUpdate | None) -> None:
         if note.health >= Health.DEAD or (before is not None and before.boot != note.boot):
             self._forget(note.vm)
 
@@ -87,5 +87,7 @@
             self._pools.take_share(name, vm, None)
 
 
-def _to_wire(shares: dict[UpstreamName, Share]) -> list[tuple[int, int, int, int]]:
-    return [(shorten_name(name), share.held, share.promised, share.jobs) for name, share in shares.items()]
+def _to_wire(shares: dict[UpstreamName, VmLoad]) -> list[tuple[int, int, int, int]]:
+    return [
+        (shorten_name(name), share.held_tokens, share.reserved_tokens, share.jobs) for name, share in shares.items()
+    ]
--- a/src/beamhatch/task/vms.py
+++ b/src/beamhatch/task/vms.py
@@ -67,4 +67,4 @@
             return
         for vm in self._mesh.members.list_registered():
             if vm not in news.entries:
-                self._mesh.members.forget(vm)
+                self._mesh.members.drop_dead(vm)
--- a/tests/decide/test_configuration.py
+++ b/tests/decide/test_configuration.py
@@ -21,7 +21,7 @@
         self.bodies: dict[str, bytes] = {}
         self.nodes = [Configuration(), Configuration()]
         for node in self.nodes:
-            node.take(Head(), {})
+            node.apply(Head(), {})
         self.seen: list[list[int]] = [[], []]
         self.accepted: dict[str, int] = {}
         self.weight = 0
@@ -53,14 +53,14 @@
     def tell(self, node: int, back: int) -> None:
         """Tell a node any head that ever was."""
         head = self.past[max(0, len(self.past) - 1 - back)]
-        self.nodes[node].take(head, self.bodies)
+        self.nodes[node].apply(head, self.bodies)
 
     @rule(node=st.integers(0, 1))
     def restart(self, node: int) -> None:
         """A VM that restarts takes what its hall has in force."""
         fresh = Configuration()
         other = self.nodes[1 - node]
-        fresh.take(other.head, other.bodies)
+        fresh.apply(other.head, other.bodies)
         self.nodes[node] = fresh
         self.seen[node] = []
 
--- a/tests/decide/test_idempotency.py
+++ b/tests/decide/test_idempotency.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from beamhatch.decide.idempotency import Full, Granted, KeptAnswer, RecordState, RecordStore, Taken
+from beamhatch.decide.idempotency import KeyGranted, KeyTaken, RecordState, RecordStore, StoredResponse, StoreFull
 from beamhatch.ids import Boot, RecordKey, RequestId, VmName
 
 KEYS = st.sampled_from([RecordKey(f"w/{n}") for n in range(4)])
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.store = RecordStore(most_records=3, most_bytes=10_000, retention=RETENTION)
+        self.store = RecordStore(max_records=3, max_bytes=10_000, retention=RETENTION)
         self.naive: dict[RecordKey, tuple[RequestId, RecordState, float]] = {}
 
     @rule(key=KEYS, request=REQUESTS)
@@ -28,17 +28,17 @@
         known = self.naive.get(key)
         if known is not None and (self.now - known[2] < RETENTION or known[1] is RecordState.RECORDED):
             mine = known[:2] == (request, RecordState.RECORDED)
-            assert isinstance(result, Granted if mine else Taken)
-        elif isinstance(result, Granted):
+            assert isinstance(result, KeyGranted if mine else KeyTaken)
+        elif isinstance(result, KeyGranted):
             self.naive[key] = (request, RecordState.RECORDED, self.now)
         else:
-            assert isinstance(result, Full)
+            assert isinstance(result, StoreFull)
             assert len(self.store.records) == 3
 
     @rule(key=KEYS, request=REQUESTS, size=st.integers(0, 12_000))
     def end(self, key: RecordKey, request: RequestId, size: int) -> None:
-        answer = KeptAnswer("answered", "answered", "", 200, (), b"x" * size)
-        ended = self.store.end(key, request, answer)
+        answer = StoredResponse("answered", "answered", "", 200, (), b"x" * size)
+        ended = self.store.complete(key, request, answer)
         known = self.naive.get(key)
         if ended is not None:
             assert known is not None
@@ -52,7 +52,7 @@
 
     @rule()
     def lose_owner(self) -> None:
-        for record in self.store.lose_owner(VmName("vm"), Boot(1)):
+        for record in self.store.mark_owner_lost(VmName("vm"), Boot(1)):
             request, _, written = self.naive[record.key]
             self.naive[record.key] = (request, RecordState.LOST, written)
 
@@ -100,7 +100,7 @@
             if index in lost and not late:
                 continue
             result = holder.put(RecordKey(key), "d", VmName("vm"), Boot(1), request, 0.0)
-            if index not in lost and isinstance(result, Granted):
+            if index not in lost and isinstance(result, KeyGranted):
                 granted.append(index)
         if len(granted) >= 2:
             self.winners.setdefault(key, set()).add(request)
--- a/tests/decide/test_member.py
+++ b/tests/decide/test_member.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from beamhatch.decide.member import Changed, Health, Members, Note, Probe, ProbeThrough
+from beamhatch.decide.member import Health, HealthChange, IndirectProbe, Membership, MemberUpdate, Probe
 from beamhatch.ids import Boot, VmName
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
 
     def __init__(self, count: int) -> None:
         self.now = 0.0
-        self.vms: dict[VmName, Members] = {}
+        self.vms: dict[VmName, Membership] = {}
         self.down: set[VmName] = set()
         self.cuts: set[tuple[VmName, VmName]] = set()
         self.deaths: list[tuple[VmName, VmName, float]] = []
@@ -31,13 +31,13 @@
             self.start(VmName(f"vm-{number}"), 1)
 
     def start(self, vm: VmName, boot: int) -> None:
-        note = Note(vm, Boot(boot), 0, Health.ALIVE, f"{vm}:1")
-        self.vms[vm] = Members(note, PERIOD, TIMEOUT, SUSPICION, random.Random(f"{vm}.{boot}"))
+        note = MemberUpdate(vm, Boot(boot), 0, Health.ALIVE, f"{vm}:1")
+        self.vms[vm] = Membership(note, PERIOD, TIMEOUT, SUSPICION, random.Random(f"{vm}.{boot}"))
         self.down.discard(vm)
         for other, members in self.vms.items():
             if other not in self.down:
-                members.take_notes(self.vms[vm].list_notes(), self.now)
-                self.vms[vm].take_notes(members.list_notes(), self.now)
+                members.apply_updates(self.vms[vm].list_updates(), self.now)
+                self.vms[vm].apply_updates(members.list_updates(), self.now)
 
     def carries(self, source: VmName, target: VmName) -> bool:
         return not ({source, target} & self.down) and (source, target) not in self.cuts
@@ -46,19 +46,19 @@
         """Carry a probe there and its answer back, with the news on both."""
         if not self.carries(source, target):
             return False
-        self.take(target, self.vms[source].pick_notes())
+        self.take(target, self.vms[source].pick_updates())
         if not self.carries(target, source):
             return False
-        self.take(source, self.vms[target].pick_notes())
+        self.take(source, self.vms[target].pick_updates())
         return True
 
-    def take(self, vm: VmName, notes: list[Note]) -> None:
-        self.note_deaths(vm, self.vms[vm].take_notes(notes, self.now))
+    def take(self, vm: VmName, notes: list[MemberUpdate]) -> None:
+        self.note_deaths(vm, self.vms[vm].apply_updates(notes, self.now))
 
     def note_deaths(self, vm: VmName, effects: Sequence[object]) -> None:
         for effect in effects:
-            if isinstance(effect, Changed) and effect.note.health is Health.DEAD:
-                self.deaths.append((vm, effect.note.vm, self.now))
+            if isinstance(effect, HealthChange) and effect.update.health is Health.DEAD:
+                self.deaths.append((vm, effect.update.vm, self.now))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -68,16 +68,16 @@
                 if vm not in self.down:
                     self.act(vm, members)
 
-    def act(self, vm: VmName, members: Members) -> None:
+    def act(self, vm: VmName, members: Membership) -> None:
         effects = members.tick(self.now)
         self.note_deaths(vm, list(effects))
         for effect in effects:
             if isinstance(effect, Probe) and self.probe(vm, effect.vm):
-                members.take_ack(effect.number)
-            if isinstance(effect, ProbeThrough) and self.probe_through(vm, effect):
-                members.take_ack(effect.number)
+                members.record_ack(effect.number)
+            if isinstance(effect, IndirectProbe) and self.probe_through(vm, effect):
+                members.record_ack(effect.number)
 
-    def probe_through(self, vm: VmName, effect: ProbeThrough) -> bool:
+    def probe_through(self, vm: VmName, effect: IndirectProbe) -> bool:
         there = self.carries(vm, effect.through) and self.probe(effect.through, effect.vm)
         return there and self.carries(effect.through, vm)
 
@@ -131,7 +131,7 @@
     def no_boot_ever_goes_back(self) -> None:
         for members in self.net.vms.values():
             for vm, boot in self.boots.items():
-                note = members.find(vm)
+                note = members.get(vm)
                 assert note is None or note.boot <= boot
 
     def teardown(self) -> None:
@@ -139,7 +139,7 @@
         self.net.down.clear()
         for vm in list(self.net.vms):
             for other in list(self.net.vms):
-                self.net.take(vm, self.net.vms[other].list_notes())
+                self.net.take(vm, self.net.vms[other].list_updates())
         self.net.run(20)
         for members in self.net.vms.values():
             assert members.list_alive() == sorted(self.net.vms)
--- a/tests/decide/test_pool.py
+++ b/tests/decide/test_pool.py
@@ -12,10 +12,10 @@
 
 from beamhatch.decide.call import Priority
 from beamhatch.decide.fleet import Fleet
-from beamhatch.decide.ledger import Facts, Report, Share, Standing
-from beamhatch.decide.policy.api import Need
+from beamhatch.decide.ledger import LoadSnapshot, UpstreamConfig, UpstreamState, VmLoad
+from beamhatch.decide.policy.api import ResourceNeed
 from beamhatch.decide.policy.make import ALGORITHMS, make_policy
-from beamhatch.decide.pool import Landing, Pool, Started, Turned
+from beamhatch.decide.pool import HandoffDecision, Pool, RefusalDecision, StartDecision
 from beamhatch.ids import HallName, RequestId, UpstreamName, WorkspaceName
 
 if TYPE_CHECKING:
@@ -25,15 +25,15 @@
 
 
 def make_pool(algorithm: str = "predicted") -> Pool:
-    fleet = Fleet(HallName("h"), age_limit=1e9)
+    fleet = Fleet(HallName("h"), max_report_age=1e9)
     facts = [
-        Facts(UpstreamName(f"{role}{n}"), "", HallName("h"), role, {}, MEMORY, 1000.0, 10_000.0)
+        UpstreamConfig(UpstreamName(f"{role}{n}"), "", HallName("h"), role, {}, MEMORY, 1000.0, 10_000.0)
         for role in ("prefill", "decode")
         for n in range(2)
     ]
     fleet.set_upstreams(facts)
     for item in facts:
-        fleet.take_report(item.name, Report(0.0, 0, MEMORY, 0))
+        fleet.apply_report(item.name, LoadSnapshot(0.0, 0, MEMORY, 0))
     policy = make_policy(algorithm)
     return Pool(fleet, lambda need: policy)
 
@@ -52,25 +52,25 @@
 
     def take(self, decisions: Sequence[object]) -> None:
         for decision in decisions:
-            if isinstance(decision, Started):
+            if isinstance(decision, StartDecision):
                 assert self.states[decision.request] == "waiting"
                 self.states[decision.request] = "prefilling"
-            elif isinstance(decision, Landing):
+            elif isinstance(decision, HandoffDecision):
                 assert self.states[decision.request] == "landing"
                 self.states[decision.request] = "decoding"
                 self.landed[decision.request] = decision.upstream
-            elif isinstance(decision, Turned):
+            elif isinstance(decision, RefusalDecision):
                 assert self.states[decision.request] in ("waiting", "landing")
                 self.states.pop(decision.request)
-                self.take(self.pool.free(decision.request, self.now))
+                self.take(self.pool.release(decision.request, self.now))
 
     @rule(prompt=st.integers(1, 300), output=st.integers(1, 200), priority=st.sampled_from(Priority))
     def ask(self, prompt: int, output: int, priority: Priority) -> None:
         self.count += 1
         request = RequestId(f"r{self.count}")
         self.states[request], self.tokens[request] = "waiting", prompt + output
-        need = Need(request, WorkspaceName(f"w{self.count % 3}"), prompt, output, self.now, priority)
-        self.take(list(self.pool.ask_start(need, self.now)))
+        need = ResourceNeed(request, WorkspaceName(f"w{self.count % 3}"), prompt, output, self.now, priority)
+        self.take(list(self.pool.request_start(need, self.now)))
 
     @rule(data=st.data())
     def end_prefill(self, data: st.DataObject) -> None:
@@ -78,7 +78,7 @@
         if running:
             request = data.draw(st.sampled_from(running))
             self.states[request] = "landing"
-            self.take(list(self.pool.ask_landing(RequestId(request), frozenset(), self.now)))
+            self.take(list(self.pool.request_handoff(RequestId(request), frozenset(), self.now)))
 
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
@@ -87,7 +87,7 @@
             request = data.draw(st.sampled_from(sorted(self.states)))
             del self.states[request]
             self.landed.pop(request, None)
-            self.take(list(self.pool.free(RequestId(request), self.now)))
+            self.take(list(self.pool.release(RequestId(request), self.now)))
 
     @rule(seconds=st.floats(0.01, 3))
     def pass_time(self, seconds: float) -> None:
@@ -103,18 +103,18 @@
 
     @invariant()
     def nothing_is_kept_of_those_that_went(self) -> None:
-        known = {*self.pool.placed, *self.pool.waiting.needs}
+        known = {*self.pool.placements, *self.pool.queue.needs}
         assert known == set(self.states)
-        promised = {request for ledger in self.pool.fleet.ledgers.values() for request in ledger.promises}
+        promised = {request for ledger in self.pool.fleet.ledgers.values() for request in ledger.reservations}
         assert promised <= set(self.states)
 
     def teardown(self) -> None:
         for request in list(self.states):
             self.states.pop(request, None)
             self.landed.pop(request, None)
-            self.take(list(self.pool.free(RequestId(request), self.now)))
+            self.take(list(self.pool.release(RequestId(request), self.now)))
         for ledger in self.pool.fleet.ledgers.values():
-            assert (ledger.held, ledger.promised_tokens, ledger.jobs) == (0, 0, 0)
+            assert (ledger.held_tokens, ledger.reserved_tokens, ledger.jobs) == (0, 0, 0)
 
 
 TestPool = PoolMachine.TestCase
@@ -123,15 +123,15 @@
 def test_a_report_adds_only_what_no_vm_knows() -> None:
     pool = make_pool()
     ledger = pool.fleet.ledgers[UpstreamName("decode0")]
-    ledger.send(RequestId("mine"), 100, 1.0)
-    ledger.take_share("vm-2", Share(200, 50, 1), 1.5)
-    ledger.take_report(Report(2.0, 350, MEMORY, 3))
-    assert (ledger.held, ledger.promised_tokens, ledger.jobs) == (350, 50, 3)
-    ledger.end(RequestId("mine"), 2.1)
-    ledger.take_share("vm-2", None, 2.2)
-    assert (ledger.held, ledger.jobs) == (50, 1)
-    ledger.take_report(Report(1.2, 900, MEMORY, 9))
-    assert ledger.held == 50
+    ledger.record_dispatch(RequestId("mine"), 100, 1.0)
+    ledger.apply_vm_load("vm-2", VmLoad(200, 50, 1), 1.5)
+    ledger.apply_report(LoadSnapshot(2.0, 350, MEMORY, 3))
+    assert (ledger.held_tokens, ledger.reserved_tokens, ledger.jobs) == (350, 50, 3)
+    ledger.record_end(RequestId("mine"), 2.1)
+    ledger.apply_vm_load("vm-2", None, 2.2)
+    assert (ledger.held_tokens, ledger.jobs) == (50, 1)
+    ledger.apply_report(LoadSnapshot(1.2, 900, MEMORY, 9))
+    assert ledger.held_tokens == 50
 
 
 @given(st.sets(st.sampled_from([f"{role}{n}" for role in ("prefill", "decode") for n in range(2)]), max_size=2))
@@ -140,19 +140,19 @@
         pool = make_pool(algorithm)
         excluded = sorted(gone)[:1]
         for name in sorted(gone)[1:]:
-            pool.fleet.set_standing(UpstreamName(name), Standing.LEAVING)
-        need = Need(RequestId("r"), WorkspaceName("w"), 10, 10, 0.0, exclude=frozenset(excluded))
-        choice = make_policy(algorithm).start(need, pool.fleet, 0.0)
-        chosen = {ledger.facts.name for ledger in (choice.first, choice.decode) if ledger} if choice else set()
+            pool.fleet.set_state(UpstreamName(name), UpstreamState.LEAVING)
+        need = ResourceNeed(RequestId("r"), WorkspaceName("w"), 10, 10, 0.0, exclude=frozenset(excluded))
+        choice = make_policy(algorithm).choose_first(need, pool.fleet, 0.0)
+        chosen = {ledger.config.name for ledger in (choice.first, choice.decode) if ledger} if choice else set()
         assert not chosen & gone
 
 
 def test_a_refusal_comes_at_once_and_says_when_to_come_back() -> None:
     pool = make_pool()
-    turned: list[Turned] = []
+    turned: list[RefusalDecision] = []
     for number in range(60):
-        need = Need(RequestId(f"r{number}"), WorkspaceName("w"), 500, 400, 0.0)
-        turned += [one for one in pool.ask_start(need, 0.0) if isinstance(one, Turned)]
+        need = ResourceNeed(RequestId(f"r{number}"), WorkspaceName("w"), 500, 400, 0.0)
+        turned += [one for one in pool.request_start(need, 0.0) if isinstance(one, RefusalDecision)]
     assert turned
     assert all(one.retry_after is not None and one.retry_after > 0 for one in turned)
 
--- a/tests/decide/test_request.py
+++ b/tests/decide/test_request.py
@@ -8,34 +8,34 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from beamhatch.decide.effect import (
-    AskLanding,
-    AskPlacement,
     CancelRun,
-    Finish,
+    ChooseDecode,
+    ChooseFirst,
+    FinishRequest,
     ResumeDecode,
-    StartCall,
     StartDecode,
     StartPrefill,
+    StartServiceCall,
 )
 from beamhatch.decide.fact import (
-    Begin,
-    Broke,
-    CallerGone,
-    Cut,
-    DeadlinePassed,
-    Ended,
-    FirstFrame,
-    Landed,
-    Placed,
-    PlacementRefused,
-    PrefillEnded,
+    CallerDisconnected,
+    DeadlineExceeded,
+    DecodeChosen,
+    DecodeStarted,
+    FirstChosen,
+    PlacementFailed,
+    PrefillCompleted,
     RecordGranted,
     RecordSettled,
-    Refused,
+    RequestAborted,
+    RequestValidated,
+    ResponseCompleted,
     Stage,
+    UpstreamFailed,
+    UpstreamRefused,
 )
 from beamhatch.decide.outcome import Answered, NotRun, Reason, Unknown
-from beamhatch.decide.request import Request, State, Terms
+from beamhatch.decide.request import Request, RequestState, RequestTerms
 from beamhatch.ids import RequestId, UpstreamName
 
 
@@ -53,22 +53,22 @@
     @precondition(lambda self: self.request is None)
     @rule(service=st.booleans(), repeatable=st.booleans(), keyed=st.booleans(), streamed=st.booleans())
     def begin(self, service: bool, repeatable: bool, keyed: bool, streamed: bool) -> None:
-        self.request = Request(Terms(RequestId("r"), service, streamed, repeatable, keyed))
-        self.feed(Begin())
+        self.request = Request(RequestTerms(RequestId("r"), service, streamed, repeatable, keyed))
+        self.feed(RequestValidated())
 
     @precondition(lambda self: self.request is not None)
     @rule(
         fact=st.one_of(
             st.just(RecordGranted()),
             st.just(RecordSettled(Unknown(Reason.KEY_IN_USE))),
-            st.sampled_from([Placed(UpstreamName("p1")), Placed(UpstreamName("p2"))]),
-            st.sampled_from([Landed(UpstreamName("d1")), Landed(UpstreamName("d2"))]),
-            st.just(PlacementRefused(Reason.OVERLOADED)),
-            st.just(PrefillEnded()),
-            st.just(FirstFrame()),
-            st.just(CallerGone()),
-            st.just(DeadlinePassed()),
-            st.just(Cut(Reason.SUPERSEDED)),
+            st.sampled_from([FirstChosen(UpstreamName("p1")), FirstChosen(UpstreamName("p2"))]),
+            st.sampled_from([DecodeChosen(UpstreamName("d1")), DecodeChosen(UpstreamName("d2"))]),
+            st.just(PlacementFailed(Reason.OVERLOADED)),
+            st.just(PrefillCompleted()),
+            st.just(DecodeStarted()),
+            st.just(CallerDisconnected()),
+            st.just(DeadlineExceeded()),
+            st.just(RequestAborted(Reason.SUPERSEDED)),
         )
     )
     def fact(self, fact: Any) -> None:
@@ -82,42 +82,42 @@
         if run is not None:
             self.proved_idle.add(run)
             self.held.discard(run)
-            self.feed(Refused(stage, "no", retry, export_lost=lost and stage is Stage.DECODE))
+            self.feed(UpstreamRefused(stage, "no", retry, export_lost=lost and stage is Stage.DECODE))
 
     @precondition(lambda self: self.request is not None)
     @rule(stage=st.sampled_from(Stage), retry=st.booleans())
     def lose(self, stage: Stage, retry: bool) -> None:
         if self.find_current(stage) is not None:
-            self.feed(Broke(stage, "lost", retry))
+            self.feed(UpstreamFailed(stage, "lost", retry))
 
     @precondition(lambda self: self.request is not None)
     @rule()
     def end(self) -> None:
-        if self.request is not None and self.request.state in (State.DECODING, State.SERVING):
+        if self.request is not None and self.request.state in (RequestState.DECODING, RequestState.SERVING):
             self.held.discard(self.started[-1].run)
-            self.feed(Ended())
+            self.feed(ResponseCompleted())
 
     def find_current(self, stage: Stage) -> str | None:
         assert self.request is not None
         states = {
-            Stage.PREFILL: (State.PREFILLING,),
-            Stage.DECODE: (State.TRANSFERRING, State.DECODING),
-            Stage.SERVICE: (State.SERVING,),
+            Stage.PREFILL: (RequestState.PREFILLING,),
+            Stage.DECODE: (RequestState.TRANSFERRING, RequestState.DECODING),
+            Stage.SERVICE: (RequestState.SERVING,),
         }
         return self.started[-1].run if self.started and self.request.state in states[stage] else None
 
     def feed(self, fact: Any) -> None:
         assert self.request is not None
-        for effect in self.request.step(fact):
-            if isinstance(effect, StartPrefill | StartDecode | StartCall):
-                if not isinstance(effect, StartCall):
-                    assert effect.behind_sent == self.request.began_answer, "afresh behind sent text"
+        for effect in self.request.handle(fact):
+            if isinstance(effect, StartPrefill | StartDecode | StartServiceCall):
+                if not isinstance(effect, StartServiceCall):
+                    assert effect.continues_output == self.request.response_started, "afresh behind sent text"
                 self.started.append(effect)
                 self.held.add(effect.run)
             elif isinstance(effect, CancelRun):
                 assert effect.run in self.held, "cancelled what was not started"
                 self.held.discard(effect.run)
-            elif isinstance(effect, Finish):
+            elif isinstance(effect, FinishRequest):
                 self.finishes.append(effect.outcome)
             else:
                 assert not self.finishes, f"{effect} after the end"
@@ -125,7 +125,7 @@
     @invariant()
     def it_is_answered_once(self) -> None:
         assert len(self.finishes) <= 1
-        assert bool(self.finishes) == (self.request is not None and self.request.state is State.ENDED)
+        assert bool(self.finishes) == (self.request is not None and self.request.state is RequestState.ENDED)
 
     @invariant()
     def nothing_is_held_after_the_end(self) -> None:
@@ -142,7 +142,7 @@
     def a_non_repeatable_stage_is_sent_again_only_after_a_proved_refusal(self) -> None:
         if self.request is None or self.request.terms.repeatable:
             return
-        for kind in (StartPrefill, StartCall):
+        for kind in (StartPrefill, StartServiceCall):
             runs = [effect.run for effect in self.started if isinstance(effect, kind)]
             assert all(run in self.proved_idle for run in runs[:-1])
 
@@ -151,16 +151,16 @@
 
 
 def test_the_way_through_in_order() -> None:
-    request = Request(Terms(RequestId("r"), streamed=True, keyed=True))
+    request = Request(RequestTerms(RequestId("r"), streamed=True, keyed=True))
     steps: list[tuple[Any, type[Any]]] = [
-        (RecordGranted(), AskPlacement),
-        (Placed(UpstreamName("p")), StartPrefill),
-        (PrefillEnded(), AskLanding),
-        (Landed(UpstreamName("d")), StartDecode),
-        (FirstFrame(), CancelRun),
-        (Broke(Stage.DECODE, "reset", True), ResumeDecode),
+        (RecordGranted(), ChooseFirst),
+        (FirstChosen(UpstreamName("p")), StartPrefill),
+        (PrefillCompleted(), ChooseDecode),
+        (DecodeChosen(UpstreamName("d")), StartDecode),
+        (DecodeStarted(), CancelRun),
+        (UpstreamFailed(Stage.DECODE, "reset", True), ResumeDecode),
     ]
-    request.step(Begin())
+    request.handle(RequestValidated())
     for fact, expected in steps:
-        assert isinstance(request.step(fact)[0], expected)
-    assert request.step(Ended())[-1] == Finish(Answered(200))
+        assert isinstance(request.handle(fact)[0], expected)
+    assert request.handle(ResponseCompleted())[-1] == FinishRequest(Answered(200))
