--- a/src/beamhatch/decide/comparison.py
+++ b/src/beamhatch/decide/comparison.py
@@ -1,4 +1,4 @@
-"""Compare policies on live traffic: their decisions on the same requests, and how the requests they served went."""
+"""Compare policies on live traffic, by their decisions on the same requests and the results of those they served."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 MAX_SAMPLES = 5000
 Z_SCORE = 1.96
-"""Standard errors that make a difference real, at 95 in 100."""
+"""Standard errors of a 95 % confidence interval."""
 MIN_SAMPLES = 30
 
 
 class Verdict(Enum):
-    """Whether a difference is more than chance."""
+    """The result of a significance test."""
 
     BETTER = "better"
     WORSE = "worse"
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """How one request went."""
+    """The measurements of one request, in seconds and tokens."""
 
     met_targets: bool
-    """Within both latency targets."""
+    """True if the request met both latency targets."""
     first_token: float | None
     pace: float | None
     prefilled_tokens: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A share with its 95 in 100 interval."""
+    """A proportion with its 95 % confidence interval."""
 
     value: float
     low: float
@@ -45,20 +45,20 @@
 
 @dataclass(slots=True)
 class PolicyStats:
-    """The last requests that a policy served."""
+    """The most recent requests served by a policy."""
 
     samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
 
     def add(self, sample: Sample) -> None:
-        """Take in one request."""
+        """Add the measurements of one request."""
         self.samples.append(sample)
 
     def compute_goodput(self) -> Interval:
-        """Return the share of requests within both targets."""
+        """Return the proportion of requests that met both targets."""
         return _compute_share(sum(sample.met_targets for sample in self.samples), len(self.samples))
 
     def compute_waste(self) -> Interval:
-        """Return the share of prefilled tokens that were wasted; the interval counts requests, not tokens."""
+        """Return the proportion of prefilled tokens that were wasted; requests, not tokens, are the sample size."""
         prefilled = sum(sample.prefilled_tokens for sample in self.samples)
         wasted = sum(sample.wasted_tokens for sample in self.samples)
         share = wasted / prefilled if prefilled else 0.0
@@ -67,36 +67,36 @@
         return Interval(share, max(0.0, share - spread), min(1.0, share + spread))
 
     def compute_percentile(self, name: str, fraction: float) -> float | None:
-        """Return a percentile of ``first_token`` or ``pace`` in seconds."""
+        """Return a percentile of ``first_token`` or ``pace`` in seconds, or None without samples."""
         values = sorted(value for sample in self.samples if (value := getattr(sample, name)) is not None)
         return values[min(len(values) - 1, int(len(values) * fraction))] if values else None
 
 
 @dataclass(slots=True)
 class Agreement:
-    """What a compared policy would have decided where another served."""
+    """The decisions of a compared policy on requests that another policy served."""
 
     asked: int = 0
     same: int = 0
     waited: int = 0
     sooner: float = 0.0
-    """Sum of the seconds by which it expected the first token sooner than the serving policy did."""
+    """Sum of the seconds by which the compared policy predicted earlier first tokens."""
 
 
 @dataclass(slots=True)
 class PolicyComparison:
-    """All tallies of this VM."""
+    """The statistics of all policies on this VM."""
 
     stats: dict[str, PolicyStats] = field(default_factory=dict)
     agreements: dict[tuple[str, str], Agreement] = field(default_factory=dict)
-    """By serving and compared policy."""
+    """By serving policy and compared policy."""
 
     def record_served(self, policy: str, sample: Sample) -> None:
-        """Take in how a request of a policy went."""
+        """Record the measurements of a request that a policy served."""
         self.stats.setdefault(policy, PolicyStats()).add(sample)
 
     def record_decision(self, serving: str, compared: str, same: bool | None, sooner: float) -> None:
-        """Take in a decision without effect; ``same`` is None where the compared policy would have waited."""
+        """Record a decision of a compared policy; ``same`` is None if that policy would have let the request wait."""
         agreement = self.agreements.setdefault((serving, compared), Agreement())
         agreement.asked += 1
         agreement.same += bool(same)
@@ -107,7 +107,7 @@
 def compare_shares(
     first: Interval, second: Interval, first_count: int, second_count: int, *, more_is_better: bool
 ) -> Verdict:
-    """Tell whether the second of two shares is really better than the first."""
+    """Return whether the second of two proportions is significantly better or worse than the first."""
     if min(first_count, second_count) < MIN_SAMPLES:
         return Verdict.TOO_FEW
     error = math.sqrt(first.value * (1 - first.value) / first_count + second.value * (1 - second.value) / second_count)
@@ -118,7 +118,7 @@
 
 
 def _compute_share(hits: int, count: int) -> Interval:
-    """Return a share with its Wilson interval."""
+    """Return a proportion with its Wilson score interval."""
     if count == 0:
         return Interval(0.0, 0.0, 1.0)
     share = hits / count
--- a/src/beamhatch/decide/effect.py
+++ b/src/beamhatch/decide/effect.py
@@ -1,4 +1,4 @@
-"""The effects that a request asks for: what a task must do next."""
+"""Output effects of the request state machine: the actions that a task must carry out next."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """Record the caller's key on its holders."""
+    """Record the idempotency key on its holders."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChooseFirst:
-    """Choose upstreams for the request, leaving out those that failed it."""
+    """Choose the first upstream, except those that have failed this request."""
 
     exclude: frozenset[UpstreamName]
 
 
 @dataclass(frozen=True, slots=True)
 class ChooseDecode:
-    """Choose a decode engine for the export that is held."""
+    """Choose a decode engine for the exported KV cache."""
 
     exclude: frozenset[UpstreamName]
 
 
 @dataclass(frozen=True, slots=True)
 class ReleasePlacement:
-    """Give back queue place and reservations."""
+    """Release the queue entry and all reservations."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +41,12 @@
     run: RunId
     upstream: UpstreamName
     continues_output: bool
-    """True where what the caller already has is to be prefilled behind the prompt."""
+    """True if the output that the caller already has is prefilled after the prompt."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartDecode:
-    """Have a decode engine fetch the export and generate."""
+    """Have a decode engine fetch the exported KV cache and generate the output."""
 
     run: RunId
     upstream: UpstreamName
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeDecode:
-    """Ask the same engine for the rest of a stream that broke."""
+    """Request the remainder of an interrupted stream from the same engine."""
 
     run: RunId
     upstream: UpstreamName
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRun:
-    """Have an upstream let go of everything it holds for a run; repeated until it is acknowledged."""
+    """Have an upstream release all resources of a run; repeated until acknowledged."""
 
     run: RunId
     upstream: UpstreamName
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishRequest:
-    """Tell the caller how it ended; the last effect of every request."""
+    """Report the outcome to the caller; the last effect of every request."""
 
     outcome: Outcome
 
--- a/src/beamhatch/decide/fact.py
+++ b/src/beamhatch/decide/fact.py
@@ -1,4 +1,4 @@
-"""The facts that a request takes in: what a task observed of its caller, its record and its upstreams."""
+"""Input events of the request state machine, from the caller, the idempotency record and the upstreams."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestValidated:
-    """The request is whole and valid."""
+    """The request was received completely and is valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordGranted:
-    """Enough holders have recorded the caller's key for this request."""
+    """A majority of the holders has recorded the idempotency key for this request."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordSettled:
-    """The caller's key is taken, or could not be recorded: this is the answer."""
+    """The idempotency key is taken or could not be recorded; the request ends with the given outcome."""
 
     outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True)
 class FirstChosen:
-    """The upstream for the first stage was chosen; a place to land may be counted on besides."""
+    """The upstream of the first stage was chosen; decode memory may have been reserved as well."""
 
     first: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
 class DecodeChosen:
-    """A decode engine was chosen for a prefill that has ended."""
+    """The decode engine for a completed prefill was chosen."""
 
     decode: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementFailed:
-    """No place can be had in time."""
+    """No upstream is available in time."""
 
     reason: Reason
     detail: str = ""
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """The upstream answered that the request itself is wrong; its answer is passed on."""
+    """The upstream responded that the request is invalid; its response is forwarded to the caller."""
 
     stage: Stage
     status: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRefused:
-    """The upstream refused, with proof that it did not run."""
+    """The upstream refused the request and is known not to have run it."""
 
     stage: Stage
     detail: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFailed:
-    """The exchange with the upstream broke off; it may have run."""
+    """The exchange with the upstream was interrupted; the upstream may have run the request."""
 
     stage: Stage
     detail: str
@@ -94,19 +94,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodeStarted:
-    """The decode engine holds the KV cache and its answer has begun."""
+    """The decode engine holds the KV cache and has begun its response."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseCompleted:
-    """The whole answer was passed on."""
+    """The complete response was forwarded to the caller."""
 
     status: int = 200
 
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller closed its connection, or stopped reading for too long."""
+    """The caller closed its connection or did not read for too long."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAborted:
-    """The VM must let go of the request now."""
+    """This VM must end the request immediately."""
 
     reason: Reason
 
--- a/src/beamhatch/decide/fleet.py
+++ b/src/beamhatch/decide/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams of one pool, kept in the order of their load so that a decision looks at a few of them only."""
+"""The upstreams of one pool, sorted by load so that a decision considers only the least loaded ones."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
     from collections.abc import Iterable, Iterator, Sequence
 
 MAX_CANDIDATES = 8
-"""How many of the least loaded upstreams a decision weighs."""
+"""Number of least loaded upstreams that a decision considers."""
 
 NO_LOAD = VmLoad(0, 0, 0)
 
 MAX_BLOCKS_PER_UPSTREAM = 20_000
-"""Prefix blocks remembered for each upstream."""
+"""Number of cached prefix blocks that are tracked for each upstream."""
 
 
 @dataclass(slots=True)
 class WorkloadStats:
-    """What was measured of the work in a pool, as running means."""
+    """Running means of prompt length, output length and token interval in a pool."""
 
     token_interval: float = 0.02
-    """Seconds between tokens."""
+    """Seconds between output tokens."""
     prompt_tokens: float = 500.0
     output_tokens: float = 128.0
     weight: float = 0.05
 
     def record_output(self, output_tokens: int, seconds: float) -> None:
-        """Take in one answer."""
+        """Record the length and the duration of one output."""
         if output_tokens > 1:
             self.token_interval += self.weight * (seconds / output_tokens - self.token_interval)
         self.output_tokens += self.weight * (output_tokens - self.output_tokens)
 
     def record_prompt(self, tokens: int) -> None:
-        """Take in the length of one prompt."""
+        """Record the length of one prompt."""
         self.prompt_tokens += self.weight * (tokens - self.prompt_tokens)
 
 
 @dataclass(slots=True)
 class Fleet:
-    """All upstreams of a pool by role, each role in the order of its load."""
+    """All upstreams of a pool, sorted by load within each role."""
 
     hall: HallName
     max_report_age: float = 3.0
     ledgers: dict[UpstreamName, Ledger] = field(default_factory=dict)
     workload: WorkloadStats = field(default_factory=WorkloadStats)
     transfers: dict[UpstreamName, int] = field(default_factory=dict)
-    """Transfers under way to each decode engine."""
+    """Number of KV cache transfers in progress to each decode engine."""
     _changed: set[UpstreamName] = field(default_factory=set)
     _sent_loads: dict[UpstreamName, VmLoad] = field(default_factory=dict)
     _orders: dict[str, SortedList] = field(default_factory=dict)
@@ -64,7 +64,7 @@
     # --- members -------------------------------------------------------------------------------------------------
 
     def set_upstreams(self, configs: Sequence[UpstreamConfig]) -> None:
-        """Take the upstreams of a configuration; those that are no longer in it get no new work."""
+        """Apply the upstreams of a configuration; upstreams that are no longer listed get no new work."""
         names = {facts.name for facts in configs}
         for facts in configs:
             ledger = self.ledgers.get(facts.name)
@@ -81,14 +81,14 @@
                 self._remove(name)
 
     def set_state(self, name: UpstreamName, state: UpstreamState) -> None:
-        """Note that an upstream serves, leaves or is gone."""
+        """Set the lifecycle state of an upstream."""
         ledger = self.ledgers.get(name)
         if ledger is not None:
             ledger.state = state
             self._reorder(ledger)
 
     def apply_report(self, name: UpstreamName, report: LoadSnapshot) -> None:
-        """Take in an upstream's load report."""
+        """Apply a load report of an upstream."""
         ledger = self.ledgers.get(name)
         if ledger is not None:
             ledger.apply_report(report)
@@ -102,19 +102,19 @@
         self._reorder(ledger)
 
     def reserve(self, ledger: Ledger, request: RequestId, tokens: int) -> None:
-        """Count on memory of a decode engine."""
+        """Reserve memory on a decode engine."""
         ledger.reserve(request, tokens)
         self._reorder(ledger)
 
     def apply_vm_load(self, name: UpstreamName, vm: str, load: VmLoad | None, now: float) -> None:
-        """Take in what another entry VM says it has at an upstream; None where that VM is gone."""
+        """Apply the load that another entry VM reports for an upstream; None if that VM is gone."""
         ledger = self.ledgers.get(name)
         if ledger is not None:
             ledger.apply_vm_load(vm, load, now)
             self._reorder(ledger)
 
     def pop_changed_loads(self) -> dict[UpstreamName, VmLoad]:
-        """Return this VM's own shares that changed since the last call."""
+        """Return this VM's own loads, by upstream, that changed since the last call."""
         names, self._changed = self._changed, set()
         shares = {name: self.ledgers[name].own_load for name in names if name in self.ledgers}
         changed = {name: share for name, share in shares.items() if self._sent_loads.get(name, NO_LOAD) != share}
@@ -122,12 +122,12 @@
         return changed
 
     def cancel_reservation(self, ledger: Ledger, request: RequestId) -> None:
-        """Take back a promise."""
+        """Cancel a reservation."""
         ledger.cancel_reservation(request)
         self._reorder(ledger)
 
     def record_end(self, name: UpstreamName, request: RequestId, now: float) -> None:
-        """Enter that work at an upstream ended."""
+        """Record that a request has ended at an upstream."""
         ledger = self.ledgers.get(name)
         if ledger is None:
             return
@@ -136,10 +136,10 @@
         if ledger.state is UpstreamState.GONE and not ledger.own_runs:
             self._remove(name)
 
-    # --- looking ---------------------------------------------------------------------------------------------------
+    # --- queries ---------------------------------------------------------------------------------------------------
 
     def list_usable(self, role: str, exclude: frozenset[str], now: float, limit: int = MAX_CANDIDATES) -> list[Ledger]:
-        """Return the least loaded upstreams of a role that may be given work."""
+        """Return the least loaded usable upstreams of a role, except the excluded ones."""
         found: list[Ledger] = []
         for ledger in self._iterate(role):
             if ledger.config.name not in exclude and ledger.is_usable(now, self.max_report_age):
@@ -149,24 +149,24 @@
         return found
 
     def has_usable(self, role: str, now: float, exclude: frozenset[str] = frozenset()) -> bool:
-        """Tell whether any upstream of a role may be given work, but for some."""
+        """Return whether any upstream of a role is usable, except the excluded ones."""
         return bool(self.list_usable(role, exclude, now, limit=1))
 
     def predict_prefill(self, ledger: Ledger, prompt_tokens: int, cached: int = 0) -> float:
-        """Return the seconds until a prompt would be prefilled: the queue before it, then itself."""
+        """Return the estimated seconds until a prompt is prefilled, including the queue at the engine."""
         queued = ledger.jobs * self.workload.prompt_tokens
         return (queued + max(1, prompt_tokens - cached)) / ledger.config.prefill_rate
 
     def predict_first_token_delay(self, prompt_tokens: int) -> float:
-        """Return the seconds from a start to the first token, with nobody before it on the fastest engines."""
+        """Return the estimated seconds from the start to the first token on idle engines of the highest rates."""
         prefill = max((ledger.config.prefill_rate for ledger in self._list_least_loaded("prefill")), default=0.0)
         link = max((ledger.config.link_rate for ledger in self._list_least_loaded("decode")), default=0.0)
         return (prompt_tokens / prefill if prefill else 0.0) + (prompt_tokens / link if link else 0.0)
 
     def predict_release_rate(self) -> float:
-        """Return the KV tokens a second that the engines should give back to this VM, from what is known of them.
+        """Return the predicted KV tokens per second that requests of this VM release.
 
-        The slower stage counts, and of it the share that this VM has of all that is held.
+        This is the rate of the slower phase, multiplied by this VM's share of the held decode memory.
         """
         decodes = [ledger for ledger in self.ledgers.values() if ledger.config.role == "decode"]
         prefills = [ledger for ledger in self.ledgers.values() if ledger.config.role == "prefill"]
@@ -179,7 +179,7 @@
         return min(decode_rate, prefill_rate) * share
 
     def predict_transfer(self, ledger: Ledger, tokens: int, *, remote: bool = False) -> float:
-        """Return the seconds of a KV transfer over a link that others share."""
+        """Return the estimated seconds of a KV cache transfer over a link shared with transfers in progress."""
         streams = 1 + self.transfers.get(ledger.config.name, 0)
         seconds = tokens / (ledger.config.link_rate / streams)
         return seconds * 2 if remote else seconds
@@ -187,7 +187,7 @@
     # --- prefix cache ------------------------------------------------------------------------------------------------
 
     def record_block(self, name: UpstreamName, block: int, stored: bool, now: float) -> None:
-        """Take in a cache event."""
+        """Record that an upstream has stored or evicted a prefix block."""
         holders = self._blocks.setdefault(block, {})
         if stored and self._block_counts.get(name, 0) < MAX_BLOCKS_PER_UPSTREAM:
             if name not in holders:
@@ -199,12 +199,12 @@
             del self._blocks[block]
 
     def drop_blocks(self, name: UpstreamName) -> None:
-        """Drop all hints of an upstream, as after a gap in its events."""
+        """Drop all prefix blocks of an upstream, as after a gap in its cache events."""
         for block in [block for block, holders in self._blocks.items() if name in holders]:
             self.record_block(name, block, stored=False, now=0)
 
     def find_cached_prefixes(self, blocks: tuple[int, ...], block_tokens: int) -> dict[UpstreamName, int]:
-        """Return the upstreams that likely hold a prefix, with its length in tokens."""
+        """Return the cached prefix length, in tokens, for each upstream that is known to hold a prefix."""
         found: dict[UpstreamName, int] = {}
         for index in range(len(blocks) - 1, -1, -1):
             for name in self._blocks.get(blocks[index], {}):
--- a/src/beamhatch/decide/ledger.py
+++ b/src/beamhatch/decide/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger of one upstream: what this VM has there, what the other entry VMs say they have, and its lagging report.
+"""Load accounting for one upstream: this VM's requests, the loads of the other entry VMs and the upstream's reports.
 
-A report is true of a moment in the past. What all entry VMs together knew of at that moment is taken off it; the rest
-is work that nobody here knows. The load now is what is known now, plus that rest.
+A report describes the load at a time in the past. The load that the entry VMs knew of at that time is subtracted from
+it; the remainder is unattributed. The estimated current load is the load known now plus the unattributed load.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
     from beamhatch.ids import HallName, RequestId, UpstreamName
 
 HISTORY_S = 5.0
-"""Seconds for which it is remembered what was known; reports lag by less."""
+"""Time for which known loads are kept; it must exceed the delay of reports."""
 
 
 class UpstreamState(Enum):
-    """Whether an upstream takes new work."""
+    """The lifecycle state of an upstream; only a serving one takes new requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamConfig:
-    """What the configuration says of an upstream."""
+    """The configuration of one upstream; rates are in tokens per second."""
 
     name: UpstreamName
     address: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSnapshot:
-    """A load report, with its moment moved to this VM's monotonic clock."""
+    """A load report of an upstream; its time is on this VM's monotonic clock."""
 
     time: float
     held_tokens: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmLoad:
-    """What one other entry VM has at an upstream."""
+    """The load that one entry VM has at an upstream: KV tokens held and reserved, and requests."""
 
     held_tokens: int
     reserved_tokens: int
@@ -71,18 +71,18 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Load and standing of one upstream, as this VM sees it."""
+    """The load and the state of one upstream as known to this VM."""
 
     config: UpstreamConfig
     state: UpstreamState = UpstreamState.SERVING
     breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     report: LoadSnapshot | None = None
     own_runs: dict[RequestId, int] = field(default_factory=dict)
-    """KV tokens of this VM's own work there."""
+    """KV tokens by request of this VM."""
     reservations: dict[RequestId, int] = field(default_factory=dict)
-    """Memory that this VM counts on for prefills that have not landed yet."""
+    """KV tokens that this VM has reserved for requests whose handoff has not started."""
     vm_loads: dict[str, VmLoad] = field(default_factory=dict)
-    """By the other entry VMs."""
+    """Loads of the other entry VMs, by VM."""
     own_tokens: int = 0
     own_reserved: int = 0
     _others_held: int = 0
@@ -94,56 +94,56 @@
 
     @property
     def capacity_tokens(self) -> int:
-        """Return the KV tokens that fit."""
+        """Return the capacity in KV tokens, as reported or else as configured."""
         return (
             self.report.capacity_tokens if self.report and self.report.capacity_tokens else self.config.capacity_tokens
         )
 
     @property
     def held_tokens(self) -> int:
-        """Return the KV tokens that are held, as far as is known."""
+        """Return the estimated number of KV tokens held."""
         return self.own_tokens + self._others_held + self._unattributed_held
 
     @property
     def reserved_tokens(self) -> int:
-        """Return the KV tokens that all entry VMs count on for prefills under way."""
+        """Return the KV tokens that all entry VMs have reserved."""
         return self.own_reserved + self._others_reserved
 
     @property
     def jobs(self) -> int:
-        """Return the number of requests there, as far as is known."""
+        """Return the estimated number of requests at the upstream."""
         return len(self.own_runs) + self._others_jobs + self._unattributed_jobs
 
     @property
     def free_tokens(self) -> int:
-        """Return the KV tokens that are free."""
+        """Return the estimated number of free KV tokens, reserved ones included."""
         return self.capacity_tokens - self.held_tokens
 
     @property
     def utilization(self) -> float:
-        """Return the share of the memory that is held or promised; above 1 where promises wait for others to end."""
+        """Return the fraction of the memory that is held or reserved; above 1 if memory is overcommitted."""
         return (self.held_tokens + self.reserved_tokens) / self.capacity_tokens
 
     @property
     def own_load(self) -> VmLoad:
-        """Return what this VM has there, to tell the others."""
+        """Return this VM's own load, as sent to the other entry VMs."""
         return VmLoad(self.own_tokens, self.own_reserved, len(self.own_runs))
 
     def is_usable(self, now: float, max_report_age: float) -> bool:
-        """Tell whether new work may go there."""
+        """Return whether the upstream serves, its circuit admits requests and its last report is recent enough."""
         if self.state is not UpstreamState.SERVING or not self.breaker.allows_request(now):
             return False
         return self.report is not None and now - self.report.time <= max_report_age
 
     def record_dispatch(self, request: RequestId, tokens: int, now: float) -> None:
-        """Enter work that goes there."""
+        """Record that a request was sent to the upstream."""
         self.own_runs[request] = tokens
         self.own_tokens += tokens
         self.breaker.record_dispatch(now)
         self._record_known_load(now)
 
     def record_end(self, request: RequestId, now: float) -> None:
-        """Enter that work has ended."""
+        """Record that a request has ended."""
         tokens = self.own_runs.pop(request, None)
         if tokens is None:
             return
@@ -152,16 +152,16 @@
         self._record_known_load(now)
 
     def reserve(self, request: RequestId, tokens: int) -> None:
-        """Count on memory for a prefill that is to land here."""
+        """Reserve memory for a request that is to be handed to this engine."""
         self.reservations[request] = tokens
         self.own_reserved += tokens
 
     def cancel_reservation(self, request: RequestId) -> None:
-        """Take back a promise."""
+        """Cancel a reservation."""
         self.own_reserved -= self.reservations.pop(request, 0)
 
     def apply_vm_load(self, vm: str, load: VmLoad | None, now: float) -> None:
-        """Enter what another entry VM says it has there; None where it is gone."""
+        """Apply the load of another entry VM; None if that VM is gone."""
         old = self.vm_loads.pop(vm, None) or VmLoad(0, 0, 0)
         new = load or VmLoad(0, 0, 0)
         if load is not None:
@@ -172,7 +172,7 @@
         self._record_known_load(now)
 
     def apply_report(self, report: LoadSnapshot) -> None:
-        """Enter a report; one that is older than the last changes nothing."""
+        """Apply a report; one older than the last is ignored."""
         if self.report is not None and report.time < self.report.time:
             return
         self.report = report
@@ -183,10 +183,10 @@
             self.state = UpstreamState.LEAVING
 
     def predict_free_tokens(self, seconds: float, residence: float) -> float:
-        """Return the KV tokens that are expected to be free after some seconds.
+        """Return the KV tokens that are expected to be free after some seconds, without the reserved ones.
 
-        What is held is expected to end evenly over a lifetime. The predicted end of each single answer is no help:
-        those that last longer than the mean are overdue, and would be taken as free at any moment.
+        Held memory is assumed to be released uniformly over the mean residence time. Per-request predictions would
+        count requests that outlast the mean as about to end.
         """
         ending = self.held_tokens * min(1.0, seconds / max(residence, 0.001))
         return self.free_tokens - self.reserved_tokens + ending
@@ -199,7 +199,7 @@
             self._history.popleft()
 
     def _get_known_load(self, at: float) -> _KnownLoad:
-        """Return what was known at a time."""
+        """Return the load that was known at a time."""
         for moment in reversed(self._history):
             if moment.time <= at:
                 return moment
--- a/src/beamhatch/decide/member.py
+++ b/src/beamhatch/decide/member.py
@@ -1,8 +1,9 @@
-"""Membership of the entry VMs of a hall, in the manner of SWIM.
+"""Membership of the entry VMs of a hall, after the SWIM protocol.
 
-Each VM probes one other a period, asks two more to probe it when no answer comes, suspects it, and takes it as dead
-when nobody contradicts in time. News travel on the probes. A suspected VM that is alive refutes with a higher
-incarnation; a process that was started anew has a higher boot and replaces what was known of the old one.
+Each VM probes one other member per period. A member that does not answer is probed indirectly through two others, then
+suspected, and declared dead unless the suspicion is refuted in time. Updates are piggybacked on probes. A suspected VM
+that is alive refutes with a higher incarnation; a restarted process has a higher boot number, which supersedes all
+updates of earlier boots.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 INDIRECT_PROBES = 2
 MAX_UPDATES_PER_MESSAGE = 6
 RETRANSMIT_FACTOR = 3
-"""Each piece of news is sent this many times the logarithm of the number of members."""
+"""Each update is sent this many times the logarithm of the number of members."""
 
 
 class Health(IntEnum):
-    """What is known of a member; of the same incarnation, the higher wins."""
+    """The health of a member; within one incarnation, the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """A piece of news of one member."""
+    """The state of one member, as exchanged between VMs."""
 
     vm: VmName
     boot: Boot
@@ -45,13 +46,13 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Return what decides between two notes of the same VM."""
+        """Return the precedence of this update among updates of the same VM."""
         return (self.boot, self.incarnation, int(self.health))
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a member whether it is alive."""
+    """An effect: probe a member."""
 
     number: int
     vm: VmName
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """Ask one member to ask another."""
+    """An effect: ask one member to probe another."""
 
     number: int
     through: VmName
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChange:
-    """The health of a member changed, or it was started anew."""
+    """An effect: the state of a member changed."""
 
     update: MemberUpdate
     previous: MemberUpdate | None
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class Membership:
-    """What one VM knows of the entry VMs of its hall."""
+    """One VM's view of the entry VMs of its hall."""
 
     own_update: MemberUpdate
     probe_period: float
@@ -101,31 +102,31 @@
     suspicion_timeout: float
     random: random.Random
     members: dict[VmName, _Member] = field(default_factory=dict)
-    """All but this VM itself."""
+    """All members except this VM."""
     _pending: dict[int, _PendingProbe] = field(default_factory=dict)
     _last_probe_number: int = 0
     _round: list[VmName] = field(default_factory=list)
     _next_probe: float = 0.0
     _own_transmissions: int = 0
 
-    # --- looking ---------------------------------------------------------------------------------------------------
+    # --- queries ---------------------------------------------------------------------------------------------------
 
     def list_registered(self) -> list[VmName]:
-        """Return all members that have not left, dead ones too, with this VM."""
+        """Return this VM and all members that have not left, including dead ones."""
         others = [vm for vm, member in self.members.items() if member.update.health is not Health.LEFT]
         return sorted([self.own_update.vm, *others])
 
     def list_alive(self) -> list[VmName]:
-        """Return the members that are not known to be dead, with this VM."""
+        """Return this VM and all members that are alive or suspected."""
         others = [vm for vm, member in self.members.items() if member.update.health <= Health.SUSPECT]
         return sorted([self.own_update.vm, *others])
 
     def is_majority(self) -> bool:
-        """Tell whether more than half of the registered members are alive, as seen from here."""
+        """Return whether this VM considers more than half of the registered members alive."""
         return 2 * len(self.list_alive()) > len(self.list_registered())
 
     def get(self, vm: VmName) -> MemberUpdate | None:
-        """Return what is known of a member."""
+        """Return the latest update of a member, or None if it is unknown."""
         if vm == self.own_update.vm:
             return self.own_update
         member = self.members.get(vm)
@@ -134,7 +135,7 @@
     # --- probing ---------------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[MembershipEffect]:
-        """Do what is due; called several times a period."""
+        """Return the probes and health changes that are due; call this several times per probe period."""
         effects: list[MembershipEffect] = []
         effects += self._check_pending(now)
         effects += self._expire_suspicions(now)
@@ -146,7 +147,7 @@
         return effects
 
     def probe_now(self, vm: VmName, now: float) -> list[MembershipEffect]:
-        """Probe a member at once because its connection broke."""
+        """Probe a member immediately, as after a broken connection; only if it is alive and has no pending probe."""
         member = self.members.get(vm)
         if member is None or member.update.health is not Health.ALIVE:
             return []
@@ -155,7 +156,7 @@
         return [self._probe(vm, now)]
 
     def record_ack(self, number: int) -> None:
-        """Note that a probe was answered, by the member or through another."""
+        """Record the acknowledgement of a direct or indirect probe."""
         self._pending.pop(number, None)
 
     def _probe(self, vm: VmName, now: float) -> Probe:
@@ -204,10 +205,10 @@
                 effects += self._set(replace(member.update, health=Health.DEAD), now)
         return effects
 
-    # --- news ------------------------------------------------------------------------------------------------------
+    # --- updates ---------------------------------------------------------------------------------------------------
 
     def apply_updates(self, updates: Iterable[MemberUpdate], now: float) -> list[MembershipEffect]:
-        """Take in news; what is older than what is known changes nothing."""
+        """Apply updates from another VM; outdated ones are ignored."""
         effects: list[MembershipEffect] = []
         for update in updates:
             if update.vm == self.own_update.vm:
@@ -219,19 +220,19 @@
         return effects
 
     def drop_dead(self, vm: VmName) -> None:
-        """Drop a member that the platform no longer lists; only a dead one."""
+        """Remove a member if it is dead."""
         member = self.members.get(vm)
         if member is not None and member.update.health is Health.DEAD:
             del self.members[vm]
 
     def leave(self) -> MemberUpdate:
-        """Note that this VM leaves as planned."""
+        """Mark this VM as left and return its update."""
         self.own_update = replace(self.own_update, health=Health.LEFT)
         self._own_transmissions = 0
         return self.own_update
 
     def pick_updates(self) -> list[MemberUpdate]:
-        """Return the news that the next message is to carry, least told first."""
+        """Return the updates for the next message, least often sent first, and count them as sent."""
         max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.members) + 2))
         pending = sorted(
             (member for member in self.members.values() if member.transmissions < max_transmissions),
@@ -247,7 +248,7 @@
         return updates
 
     def list_updates(self) -> list[MemberUpdate]:
-        """Return all that is known, for a member that has just come."""
+        """Return the updates of all members, for a member that has just joined."""
         return [self.own_update, *(member.update for member in self.members.values())]
 
     def _set(self, update: MemberUpdate, now: float) -> list[MembershipEffect]:
@@ -257,7 +258,7 @@
         return [HealthChange(update, known.update if known else None)]
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Contradict what others believe of this VM."""
+        """Raise this VM's incarnation if another VM reports it as suspected, dead or left."""
         if (
             self.own_update.health is Health.LEFT
             or update.boot != self.own_update.boot
--- a/src/beamhatch/decide/pool.py
+++ b/src/beamhatch/decide/pool.py
@@ -1,7 +1,7 @@
-"""The pool aggregate: which request goes where, who waits, and who is refused at once.
+"""Place the requests of one pool: choose upstreams, queue requests and refuse those that cannot be served in time.
 
-One pool serves one model or one plain service. It is asked for places, told what started and ended, and answers with
-decisions for any of its requests.
+A pool serves one model or one plain service. Each call may return decisions for any request of the pool, since
+released capacity can start requests that wait.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 MAX_WAIT_S = 2.0
 
 HANDOFF_TIMEOUT_S = 2.0
-"""Seconds that an export may wait for decode memory; it lives only a few seconds."""
+"""Time that an exported KV cache may wait for decode memory; prefill engines drop exports after a few seconds."""
 
 MAX_START_ATTEMPTS = 8
-"""How many of the next requests are tried when a place may have come free."""
+"""Number of queued requests that are tried when capacity may have been released."""
 
 TARGET_MARGIN = 0.5
-"""Share of the first-token target that is left for what can't be predicted, such as a place that comes free late."""
+"""Fraction of the first-token target that is reserved for delays that cannot be predicted."""
 
 PREDICTED_RATE_TTL_S = 0.25
-"""Seconds for which a predicted rate holds; it looks at all engines."""
+"""Time for which a predicted release rate is cached, since its computation iterates over all engines."""
 
 RELEASE_RATE_PERIOD_S = 0.5
 RELEASE_RATE_TTL_S = 10.0
-"""Seconds of one measurement of the rate, and for how long it holds."""
+"""Length of one measurement of the release rate, and the time after which it expires."""
 
 INITIAL_MAX_LATE = 8
-"""Requests that may wait before the pool's rate is known."""
+"""Number of requests that may wait while the release rate is unknown."""
 
 MAX_QUEUE_TIME_S = 8.0
-"""Seconds after which a waiting request is given up whatever the rate."""
+"""Time after which a late request is refused, whatever the release rate."""
 
 MIN_RETRY_S = 0.25
 MAX_RETRY_S = 30.0
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartDecision:
-    """Send the request to this upstream first."""
+    """A decision to start the request at a prefill engine or a service replica."""
 
     request: RequestId
     upstream: UpstreamName
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoffDecision:
-    """Send the export to this decode engine."""
+    """A decision to hand the exported KV cache to a decode engine."""
 
     request: RequestId
     upstream: UpstreamName
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalDecision:
-    """Give the request up now, and say when to come back."""
+    """A decision to refuse the request, with the seconds after which the caller may retry."""
 
     request: RequestId
     reason: Reason
@@ -89,9 +89,9 @@
 
 @dataclass(slots=True)
 class ReleaseRate:
-    """How many KV tokens a pool gives back in a second while requests wait, as a running mean.
+    """KV tokens that a pool releases per second while requests wait, as a running mean.
 
-    What is given back while nobody waits says nothing of what the pool can do, and is not counted.
+    Tokens released while no request waits are not counted: the rate is then limited by demand, not by capacity.
     """
 
     _rate: float = 0.0
@@ -100,7 +100,7 @@
     _period_tokens: int = 0
 
     def record(self, tokens: int, now: float, *, has_waiting: bool) -> None:
-        """Take in tokens that were given back."""
+        """Record released tokens."""
         if not has_waiting:
             self._period_start = None
             return
@@ -117,31 +117,31 @@
             self._period_start, self._period_tokens = now, 0
 
     def get(self, now: float) -> float:
-        """Return the rate, or 0 where none was measured lately."""
+        """Return the rate, or 0 if there is no recent measurement."""
         return self._rate if now - self._measured_at < RELEASE_RATE_TTL_S else 0.0
 
 
 @dataclass(slots=True)
 class Pool:
-    """Places the requests of one pool."""
+    """The placements and the queue of one pool."""
 
     fleet: Fleet
     choose_policy: Callable[[ResourceNeed], Policy]
     service: bool = False
     max_queue_length: int = 1000
     max_wait: float = MAX_WAIT_S
-    """Seconds that a late request may still have to wait."""
+    """Longest time, in seconds, that late requests may need to be served."""
     queue: WaitQueue = field(default_factory=WaitQueue)
     release_rate: ReleaseRate = field(default_factory=ReleaseRate)
     placements: dict[RequestId, _ActivePlacement] = field(default_factory=dict)
     pending_handoffs: dict[RequestId, tuple[ResourceNeed, float]] = field(default_factory=dict)
-    """Exports that wait for decode memory, with the time when that is given up."""
+    """Requests whose exported KV cache waits for decode memory, with the time at which they are refused."""
 
     _predicted_rate: float = 0.0
     _predicted_rate_expiry: float = -1.0
 
     def request_start(self, need: ResourceNeed, now: float) -> list[PlacementDecision]:
-        """Ask for the first upstream of a request."""
+        """Start a request, queue it or refuse it."""
         policy = self.choose_policy(need)
         if need.output_tokens:
             need.first_token_delay = (
@@ -154,12 +154,12 @@
             return [refusal]
         late = self._is_expected_late(need, now)
         if late and (need.drop_if_late or not self._has_late_capacity(need, now)):
-            return [self._make_refusal(need, Reason.OVERLOADED, "no place in time", now)]
+            return [self._make_refusal(need, Reason.OVERLOADED, "no capacity in time", now)]
         self.queue.add(need, late=late)
         return []
 
     def request_handoff(self, request: RequestId, exclude: frozenset[str], now: float) -> list[PlacementDecision]:
-        """Ask for a decode engine for a request whose prefill has ended."""
+        """Choose a decode engine for a request whose prefill has completed, or queue its handoff."""
         placed = self.placements.get(request)
         if placed is None:
             return []
@@ -178,13 +178,13 @@
         return []
 
     def record_transfer_end(self, request: RequestId) -> None:
-        """Note that a transfer ended: the decode engine has begun."""
+        """Record that the KV cache transfer of a request has ended."""
         placed = self.placements.get(request)
         if placed is not None:
             self._end_transfer(placed)
 
     def release(self, request: RequestId, now: float) -> list[PlacementDecision]:
-        """Give back all that a request has or waits for; return what others can now have."""
+        """Release everything that a request holds or waits for; return the decisions that this allows."""
         self.queue.remove(request)
         self.pending_handoffs.pop(request, None)
         placed = self.placements.pop(request, None)
@@ -200,14 +200,14 @@
         return self.dispatch_waiting(now)
 
     def dispatch_waiting(self, now: float) -> list[PlacementDecision]:
-        """Give places to those that wait, as far as there are any; called when anything may have changed."""
+        """Start as many waiting requests and handoffs as possible; call this when the load may have changed."""
         decisions = self._dispatch_handoffs(now) + self._drop_late(now)
         while self.queue and (started := self._start_next(now)) is not None:
             decisions.append(started)
         return decisions
 
     def expire(self, now: float) -> list[PlacementDecision]:
-        """Give up what has waited for too long; called a few times a second."""
+        """Refuse requests that have waited too long; call this a few times per second."""
         decisions: list[PlacementDecision] = []
         for request, (_, limit) in list(self.pending_handoffs.items()):
             if now >= limit:
@@ -223,7 +223,7 @@
         return decisions + self.dispatch_waiting(now)
 
     def estimate_wait(self, now: float) -> float:
-        """Return the seconds until what waits now would have been served."""
+        """Return the estimated seconds until all requests in the queue are served."""
         rate = self._get_release_rate(now)
         if rate <= 0:
             return MIN_RETRY_S
@@ -240,7 +240,7 @@
         return None
 
     def _get_release_rate(self, now: float) -> float:
-        """Return the measured rate, or the predicted one as long as there is none; 0 where there is neither."""
+        """Return the measured rate, else the predicted one; 0 if both are unknown."""
         measured = self.release_rate.get(now)
         if measured or self.service:
             return measured
@@ -250,7 +250,7 @@
         return self._predicted_rate
 
     def _is_expected_late(self, need: ResourceNeed, now: float) -> bool:
-        """Tell whether those that go before a request leave it too little time, at the rate seen so far."""
+        """Return whether a request would miss its latest start behind the requests that precede it."""
         rate = self._get_release_rate(now)
         if rate <= 0:
             return now > need.latest_start
@@ -258,7 +258,7 @@
         return now + wait > need.latest_start
 
     def _has_late_capacity(self, need: ResourceNeed, now: float) -> bool:
-        """Tell whether a late request would still be served in a bearable time, out of the late ones' turns."""
+        """Return whether the turns of late requests suffice to serve one more within ``max_wait``."""
         rate = self._get_release_rate(now)
         if rate <= 0:
             return len(self.queue) < INITIAL_MAX_LATE
@@ -266,7 +266,7 @@
         return self.queue.count_late_tokens() + need.tokens <= capacity
 
     def _drop_late(self, now: float) -> list[PlacementDecision]:
-        """Give up those that turned late, as far as there are more than can be served in a bearable time."""
+        """Refuse late requests that have expired or that cannot be served within ``max_wait``."""
         if not self.queue:
             return []
         self.queue.move_late(now)
@@ -279,7 +279,7 @@
             if not expired and not over_capacity:
                 break
             self.queue.remove(candidate.request)
-            decisions.append(self._make_refusal(candidate, Reason.OVERLOADED, "no place in time", now))
+            decisions.append(self._make_refusal(candidate, Reason.OVERLOADED, "no capacity in time", now))
         return decisions
 
     def _make_refusal(self, need: ResourceNeed, reason: Reason, detail: str, now: float) -> RefusalDecision:
@@ -306,7 +306,7 @@
             self.fleet.reserve(choice.decode, need.request, need.tokens)
         return True
 
-    # --- landing ---------------------------------------------------------------------------------------------------
+    # --- handoff ---------------------------------------------------------------------------------------------------
 
     def _dispatch_handoffs(self, now: float) -> list[PlacementDecision]:
         decisions: list[PlacementDecision] = []
@@ -330,7 +330,7 @@
         return True
 
     def _get_reserved_engine(self, need: ResourceNeed, placed: _ActivePlacement, now: float) -> Ledger | None:
-        """Return the engine that was counted on, if its memory is free by now."""
+        """Return the decode engine on which memory is reserved, if that memory is free."""
         ledger = self.fleet.ledgers.get(placed.decode) if placed.decode is not None else None
         if ledger is None or placed.transferring:
             return None
--- a/src/beamhatch/decide/promotion.py
+++ b/src/beamhatch/decide/promotion.py
@@ -1,4 +1,4 @@
-"""What promoting and withdrawing a policy mean for the slices."""
+"""Compute the slice changes that promote or withdraw a policy."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
     from collections.abc import Sequence
 
 DEFAULT_SLICE = Slice(name="default", policy=DEFAULT_POLICY)
-"""What serves where no slice is configured."""
+"""The slice that applies if none is configured."""
 
 SliceChanges = tuple[list[Slice], list[str]]
-"""Slices to put, and full names of slices to remove."""
+"""Slices to write, and document names of slices to remove."""
 
 
 class PromotionError(ValueError):
-    """The slices can't be rearranged like that."""
+    """The policy cannot be promoted or withdrawn."""
 
 
 def promote(slices: Sequence[Slice], policy: str, _: str | None = None) -> SliceChanges:
-    """Let a policy serve all traffic that no other slice takes, and compare the one before with it."""
+    """Make a policy serve the default slice, and compare the previous policy with it."""
     default = _find_default(slices)
     compared = [name for name in dict.fromkeys([default.policy, *default.compared]) if name != policy]
     put = [replace(default, policy=policy, compared=compared if slices else [])]
@@ -33,10 +33,10 @@
 
 
 def withdraw(slices: Sequence[Slice], policy: str, replacement: str | None = None) -> SliceChanges:
-    """Take a policy out of all slices.
+    """Remove a policy from all slices.
 
-    :param to: what serves all traffic instead, where the policy does so now
-    :raises PromotionError: where the policy serves all traffic and nothing is named instead
+    :param replacement: the policy that takes over the default slice if the withdrawn policy serves it
+    :raises PromotionError: if the policy serves the default slice and no other policy is named
     """
     default = _find_default(slices)
     put: list[Slice] = []
@@ -49,7 +49,7 @@
             remove.append(f"slice/{item.name}")
     if default.policy == policy:
         if replacement is None or replacement == policy:
-            raise PromotionError(f"{policy!r} serves all traffic; name the policy that is to serve instead")
+            raise PromotionError(f"{policy!r} serves all traffic; name the policy that replaces it")
         put.append(
             replace(
                 default,
--- a/src/beamhatch/decide/rendezvous.py
+++ b/src/beamhatch/decide/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all who know the same names agree on their order for a key, without talking."""
+"""Rendezvous hashing: VMs that know the same names compute the same ranking for a key without communication."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def rank(key: str, names: Iterable[Name]) -> list[Name]:
-    """Return names in their order for a key, first the one that is to hold it."""
+    """Return names sorted by their rank for a key, the preferred holder first."""
     return sorted(names, key=lambda name: _score(key, name))
 
 
--- a/src/beamhatch/decide/wait_queue.py
+++ b/src/beamhatch/decide/wait_queue.py
@@ -1,8 +1,7 @@
-"""The order in which waiting requests are served.
+"""The queue of the requests that wait for capacity of one pool.
 
-By priority; within a priority those that can still meet their target before those that cannot; among workspaces by
-weighted fair shares; within a workspace by due time. A request that has waited long moves up a priority, so that
-every class moves on.
+Requests are ordered by priority, then on-time requests before late ones, then by weighted fair sharing among
+workspaces, then by latest start. Every ``LATE_TURN_PERIOD``-th turn serves late requests of all priorities first.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
     from beamhatch.ids import RequestId, WorkspaceName
 
 LATE_TURN_PERIOD = 32
-"""Every so many turns, a request that is already late goes first."""
+"""Number of turns of which one serves late requests first."""
 
 
 Lane = tuple[Priority, bool]
@@ -29,7 +28,7 @@
 
 
 class _WorkspaceQueue:
-    """The waiting requests of one workspace in one lane, in the order of their latest starts."""
+    """The queued requests of one workspace in one lane, sorted by latest start."""
 
     def __init__(self) -> None:
         self.needs: SortedKeyList = SortedKeyList(key=lambda need: (need.latest_start, need.request))
@@ -37,7 +36,7 @@
 
 @dataclass(slots=True)
 class WaitQueue:
-    """All waiting requests of one pool."""
+    """The queued requests of one pool."""
 
     needs: dict[RequestId, ResourceNeed] = field(default_factory=dict)
     _tokens: dict[Lane, int] = field(default_factory=dict)
@@ -51,20 +50,20 @@
         return len(self.needs)
 
     def add(self, need: ResourceNeed, *, late: bool) -> None:
-        """Let a request wait."""
+        """Add a request to the queue."""
         self.needs[need.request] = need
         self._served[need.workspace] = max(self._served.get(need.workspace, 0.0), self._virtual_time)
         self._insert(need, (need.priority, late))
 
     def remove(self, request: RequestId) -> ResourceNeed | None:
-        """Take a request out, without serving it."""
+        """Remove a request without charging its workspace."""
         need = self.needs.pop(request, None)
         if need is not None:
             self._discard(need)
         return need
 
     def pop_for_start(self, request: RequestId) -> None:
-        """Take a request out because it is served now, and charge its workspace."""
+        """Remove a request that starts now, and charge its workspace."""
         need = self.remove(request)
         if need is None:
             return
@@ -73,30 +72,30 @@
         self._served[need.workspace] += need.tokens / need.weight
 
     def iterate_next(self) -> Iterator[ResourceNeed]:
-        """Yield the requests that are next, one of each line, best first."""
+        """Yield the first request of each workspace and lane, in the order in which they are served."""
         for lane in self._order_lanes():
             lines = self._queues.get(lane, {})
             for workspace in sorted(lines, key=lambda name: self._served[name]):
                 yield lines[workspace].needs[0]
 
     def precedes_all(self, priority: Priority) -> bool:
-        """Tell whether a request that comes now goes before all that wait."""
+        """Return whether a new on-time request of this priority precedes all queued requests."""
         return not any(self._tokens.get(lane) for lane in self._queues if lane <= (priority, False))
 
     def count_tokens_before(self, priority: Priority) -> int:
-        """Return the KV tokens of those that go before a request that comes now and is on time."""
+        """Return the KV tokens of the requests that precede a new on-time request of this priority."""
         return sum(tokens for lane, tokens in self._tokens.items() if lane <= (priority, False))
 
     def count_tokens(self) -> int:
-        """Return the KV tokens of all that wait."""
+        """Return the KV tokens of all queued requests."""
         return sum(self._tokens.values())
 
     def count_late_tokens(self) -> int:
-        """Return the KV tokens of those that are late."""
+        """Return the KV tokens of all late requests."""
         return sum(tokens for (_, late), tokens in self._tokens.items() if late)
 
     def move_late(self, now: float) -> None:
-        """Move those that can't meet their target any more behind the others of their priority."""
+        """Move requests whose latest start has passed to the late lane of their priority."""
         for priority in Priority:
             for line in list(self._queues.get((priority, False), {}).values()):
                 while line.needs and line.needs[0].latest_start < now:
@@ -105,7 +104,7 @@
                     self._insert(need, (priority, True))
 
     def get_least_urgent_late(self) -> ResourceNeed | None:
-        """Return the late request that matters least: of the lowest priority, the one that came last."""
+        """Return a late request of the lowest priority, the most recent among the last of each workspace."""
         for priority in reversed(Priority):
             lines = self._queues.get((priority, True), {})
             if lines:
