--- a/src/beamhatch/decide/admission.py
+++ b/src/beamhatch/decide/admission.py
@@ -1,4 +1,4 @@
-"""Limits of concurrency and rate for each workspace."""
+"""Concurrency and rate limits for workspaces."""
 
 from __future__ import annotations
 
@@ -20,28 +20,30 @@
 
 @dataclass(slots=True)
 class Admission:
-    """Counts what each workspace has under way, and how fast it asks."""
+    """The open requests and the token bucket of each workspace."""
 
     _usages: dict[WorkspaceName, _Usage] = field(default_factory=dict)
 
     def admit(self, workspace: WorkspaceName, concurrency: int, rate: float, now: float) -> NotRun | None:
-        """Let a request in, or return why not.
+        """Admit a request, or return the outcome that refuses it.
 
-        :param concurrency: requests that the workspace may have under way
-        :param rate: requests a second, with a burst of one second's worth
+        :param concurrency: maximum number of open requests
+        :param rate: requests per second; the burst is one second's worth, at least one request
         """
         use = self._usages.setdefault(workspace, _Usage())
         self._refill(use, rate, now)
         if use.open_requests >= concurrency:
-            return NotRun(Reason.LIMIT_REACHED, f"the workspace has {use.open_requests} requests under way", 1.0)
+            return NotRun(Reason.LIMIT_REACHED, f"the workspace has {use.open_requests} open requests", 1.0)
         if use.tokens < 1:
-            return NotRun(Reason.RATE_LIMITED, "the workspace asks too fast", round((1 - use.tokens) / rate, 3))
+            return NotRun(
+                Reason.RATE_LIMITED, "the workspace exceeded its request rate", round((1 - use.tokens) / rate, 3)
+            )
         use.tokens -= 1
         use.open_requests += 1
         return None
 
     def release(self, workspace: WorkspaceName) -> None:
-        """Note that a request which was let in has ended."""
+        """Record that an admitted request has ended."""
         self._usages[workspace].open_requests -= 1
 
     def _refill(self, use: _Usage, rate: float, now: float) -> None:
--- a/src/beamhatch/decide/call.py
+++ b/src/beamhatch/decide/call.py
@@ -1,4 +1,4 @@
-"""What a caller asked for, in the terms that all parts share."""
+"""The parsed request of a caller."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Priority(IntEnum):
-    """Class of a request; a lower number goes first."""
+    """The priority of a request; lower values are served first."""
 
     HIGH = 0
     NORMAL = 1
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """One caller's request, checked and with its defaults filled in."""
+    """A validated request of a caller, with defaults applied."""
 
     request: RequestId
     workspace: WorkspaceName
@@ -32,21 +32,21 @@
     service: bool
     method: str
     path: str
-    """Path and query at the upstream."""
+    """Path and query string at the upstream."""
     body: bytes
     fields: dict[str, Any] = field(default_factory=dict)
     """The JSON body of a call to a model."""
     headers: list[tuple[str, str]] = field(default_factory=list)
-    """What is passed on to a plain service."""
+    """Headers that are forwarded to a plain service."""
     streamed: bool = False
     repeatable: bool = True
     key: RecordKey | None = None
     attempt: int = 0
-    """Which attempt of its key the caller says this is; 0 where it says nothing."""
+    """Attempt number for this idempotency key, as stated by the caller; 0 if not stated."""
     digest: str = ""
-    """Hash of method, path and body: a key that comes back with another one is an error."""
+    """Hash of method, path and body; reusing a key with another digest is an error."""
     identity: str = ""
-    """What slices are cut by: the caller's key, or the request."""
+    """Input of the hash that assigns slices: the idempotency key or the request id."""
     priority: Priority = Priority.NORMAL
     arrival_time: float = 0.0
     """Monotonic seconds."""
@@ -55,7 +55,7 @@
     first_token_target: float = 0.32
     token_interval_target: float = 0.076
     drop_if_late: bool = False
-    """True where the caller would rather have a refusal than a late answer."""
+    """True if the caller prefers a refusal to a late response."""
     prompt_tokens: int = 1
     output_tokens: int = 128
     """Expected number of output tokens."""
@@ -66,5 +66,5 @@
 
     @property
     def tokens(self) -> int:
-        """Return the KV tokens that the request is expected to hold at its end."""
+        """Return the KV tokens that the request is expected to hold when it completes."""
         return self.prompt_tokens + self.output_tokens
--- a/src/beamhatch/decide/comparison.py
+++ b/src/beamhatch/decide/comparison.py
@@ -63,8 +63,8 @@
         wasted = sum(sample.wasted_tokens for sample in self.samples)
         share = wasted / prefilled if prefilled else 0.0
         requests = sum(1 for sample in self.samples if sample.prefilled_tokens)
-        spread = Z_SCORE * math.sqrt(share * (1 - share) / requests) if requests else 0.0
-        return Interval(share, max(0.0, share - spread), min(1.0, share + spread))
+        margin = Z_SCORE * math.sqrt(share * (1 - share) / requests) if requests else 0.0
+        return Interval(share, max(0.0, share - margin), min(1.0, share + margin))
 
     def compute_percentile(self, name: str, fraction: float) -> float | None:
         """Return a percentile of ``first_token`` or ``pace`` in seconds, or None without samples."""
@@ -124,5 +124,5 @@
     share = hits / count
     square = Z_SCORE**2
     center = (share + square / (2 * count)) / (1 + square / count)
-    spread = Z_SCORE * math.sqrt(share * (1 - share) / count + square / (4 * count**2)) / (1 + square / count)
-    return Interval(share, max(0.0, center - spread), min(1.0, center + spread))
+    margin = Z_SCORE * math.sqrt(share * (1 - share) / count + square / (4 * count**2)) / (1 + square / count)
+    return Interval(share, max(0.0, center - margin), min(1.0, center + margin))
--- a/src/beamhatch/decide/configuration.py
+++ b/src/beamhatch/decide/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration aggregate: which documents are in force, and what a change makes of them.
+"""The active configuration of a VM, and the planning of changes to it.
 
-A *head* names every document by the hash of its body, carries a sequence number that only grows, and the last changes
-with their ids. A change is accepted at the moment when the platform's key-value service swaps the head. So a reply
-that was lost is settled by reading: a change whose id stands in the head was accepted.
+A *head* lists all documents by the hash of their body, with an increasing sequence number and the ids of recent
+changes. A change is accepted when the platform's key-value service replaces the head by compare-and-swap. After a lost
+reply, reading the head tells whether the change was accepted: its id is then in the head.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
     from collections.abc import Iterable
 
 MAX_HEAD_CHANGES = 100
-"""Changes that the head remembers; an operator who asks later is told that it is not known any more."""
+"""Number of recent changes listed in the head; the result of an older change can no longer be looked up."""
 
 
 class ChangeNote(msgspec.Struct, frozen=True):
-    """What is kept of an accepted change."""
+    """The entry of an accepted change in the head."""
 
     change: str
     sequence: int
     operator: str
     time: float
-    """Seconds since 1970, by the VM that made the change."""
+    """Unix time in seconds, from the clock of the VM that made the change."""
     reason: str
     documents: list[str]
 
 
 class Head(msgspec.Struct, frozen=True):
-    """One accepted configuration: all its documents by name and hash."""
+    """An accepted configuration: the hashes of all documents by name."""
 
     sequence: int = 0
     documents: dict[str, str] = {}
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What an operator asks for."""
+    """A change requested by an operator."""
 
     change: ChangeId
     operator: str
@@ -54,26 +54,26 @@
     """Bodies by document name."""
     remove: tuple[str, ...] = ()
     base: dict[str, str | None] = field(default_factory=dict)
-    """The hashes that the operator saw, where the change depends on them; None for a document that was not there."""
+    """Expected hashes of documents that the change depends on; None for a document that must not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class NextHead:
-    """The head that a change would make."""
+    """The head that results from a change."""
 
     head: Head
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyAccepted:
-    """The change is part of the configuration."""
+    """The change is already part of the configuration."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A document that the change depends on is not as the operator saw it."""
+    """A document that the change depends on differs from the expected one."""
 
     document: str
     expected: str | None
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The configuration would not be usable."""
+    """The resulting configuration would be invalid."""
 
     problems: tuple[str, ...]
 
@@ -92,21 +92,21 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """The configuration in force on one VM; its sequence never goes back."""
+    """The active configuration of one VM; its sequence number never decreases."""
 
     head: Head = field(default_factory=Head)
     bodies: dict[str, bytes] = field(default_factory=dict)
-    """By hash."""
+    """Document bodies by hash."""
     documents: dict[str, Document] = field(default_factory=dict)
     loaded: bool = False
-    """True once a configuration came from the settings, the platform or a peer."""
+    """True once a configuration was applied from the settings, the platform or a peer."""
 
     def list_missing_hashes(self, head: Head) -> list[str]:
-        """Return the hashes of a head whose bodies are not here."""
+        """Return the hashes in a head whose bodies are missing, sorted."""
         return sorted({digest for digest in head.documents.values() if digest not in self.bodies})
 
     def apply(self, head: Head, bodies: dict[str, bytes]) -> bool:
-        """Put a configuration in force if it is newer and whole; return whether it was."""
+        """Activate a configuration if it is newer and all its bodies are known; return whether it was activated."""
         if self.loaded and head.sequence <= self.head.sequence:
             return False
         known = {**self.bodies, **bodies}
@@ -119,10 +119,10 @@
         return True
 
     def plan(self, change: Change, head: Head, bodies: dict[str, bytes], now: float) -> Plan:
-        """Return what a change makes of a head.
+        """Return the result of applying a change to a head.
 
         :param head: the newest head that the platform holds
-        :param bodies: bodies that this configuration lacks
+        :param bodies: document bodies, by hash, that are missing from this configuration
         """
         for note in head.changes:
             if note.change == change.change:
@@ -142,7 +142,7 @@
         note = ChangeNote(change.change, sequence, change.operator, now, change.reason, changed_names)
         return NextHead(Head(sequence, documents, [*head.changes, note][-MAX_HEAD_CHANGES:]))
 
-    # --- reading ---------------------------------------------------------------------------------------------------
+    # --- documents -------------------------------------------------------------------------------------------------
 
     def list_pools(self) -> list[Pool]:
         """Return all pools."""
@@ -163,12 +163,12 @@
 
 
 def make_initial_head(documents: Iterable[Document]) -> tuple[Head, dict[str, bytes]]:
-    """Return the head and bodies of documents that a settings file carries; its sequence is 0."""
+    """Return the head, with sequence number 0, and the bodies of the documents in a settings file."""
     bodies = {name_document(document): encode_document(document) for document in documents}
     names = {name: digest_document(body) for name, body in bodies.items()}
     return Head(Sequence(0), names), {names[name]: body for name, body in bodies.items()}
 
 
 def decode_body(body: bytes) -> Document:
-    """Return the document that a stored body holds."""
+    """Decode a stored document body."""
     return msgspec.json.decode(body, type=Document)
--- a/src/beamhatch/decide/fact.py
+++ b/src/beamhatch/decide/fact.py
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAborted:
-    """This VM must end the request immediately."""
+    """The VM aborts the request, as on shutdown or when another VM supersedes it."""
 
     reason: Reason
 
--- a/src/beamhatch/decide/fleet.py
+++ b/src/beamhatch/decide/fleet.py
@@ -65,13 +65,13 @@
 
     def set_upstreams(self, configs: Sequence[UpstreamConfig]) -> None:
         """Apply the upstreams of a configuration; upstreams that are no longer listed get no new work."""
-        names = {facts.name for facts in configs}
-        for facts in configs:
-            ledger = self.ledgers.get(facts.name)
-            if ledger is None or ledger.config.address != facts.address:
-                ledger = Ledger(facts)
-                self.ledgers[facts.name] = ledger
-            ledger.config = facts
+        names = {config.name for config in configs}
+        for config in configs:
+            ledger = self.ledgers.get(config.name)
+            if ledger is None or ledger.config.address != config.address:
+                ledger = Ledger(config)
+                self.ledgers[config.name] = ledger
+            ledger.config = config
             if ledger.state is UpstreamState.GONE:
                 ledger.state = UpstreamState.SERVING
             self._reorder(ledger)
@@ -116,8 +116,8 @@
     def pop_changed_loads(self) -> dict[UpstreamName, VmLoad]:
         """Return this VM's own loads, by upstream, that changed since the last call."""
         names, self._changed = self._changed, set()
-        shares = {name: self.ledgers[name].own_load for name in names if name in self.ledgers}
-        changed = {name: share for name, share in shares.items() if self._sent_loads.get(name, NO_LOAD) != share}
+        loads = {name: self.ledgers[name].own_load for name in names if name in self.ledgers}
+        changed = {name: load for name, load in loads.items() if self._sent_loads.get(name, NO_LOAD) != load}
         self._sent_loads.update(changed)
         return changed
 
--- a/src/beamhatch/decide/idempotency.py
+++ b/src/beamhatch/decide/idempotency.py
@@ -1,8 +1,8 @@
-"""The idempotency records that one VM holds.
+"""The store of idempotency records on one VM.
 
-A record says that a caller's key was taken by one request of one VM. It is written before anything is dispatched, on
-a majority of the VMs that hold the key, so that any two attempts meet at a holder. It is never forgotten before the
-retention has passed; when memory is full, new keys are refused instead.
+A record binds an idempotency key to one request of one VM. It is written to a majority of the key's holders before the
+request is dispatched, so any two attempts share a holder. Records are kept for the retention period; when the store is
+full, new keys are refused.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     from beamhatch.ids import Boot, RecordKey, RequestId, VmName
 
 RECORD_OVERHEAD_BYTES = 400
-"""Bytes that a record costs beside its key and its answer; measured by benchmarks/slopes.py."""
+"""Memory of a record without its key and its response; see benchmarks/slopes.py."""
 
 
 class RecordState(Enum):
-    """How far the request behind a record is."""
+    """The progress of the request that owns a record."""
 
     RECORDED = "recorded"
-    """May be dispatched at any moment."""
+    """The request may be dispatched at any time."""
     ENDED = "ended"
     LOST = "lost"
-    """Its VM is gone; nobody knows whether it ran."""
+    """The request's VM is gone; whether the request ran is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredResponse:
-    """How a request ended, with its answer where that is short enough to keep."""
+    """The outcome of a request, with its response body if that is small enough to store."""
 
     outcome: str
     reason: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One key and the request that took it."""
+    """An idempotency key and the request that owns it."""
 
     key: RecordKey
     digest: str
@@ -52,31 +52,31 @@
     request: RequestId
     state: RecordState
     written_at: float
-    """Monotonic seconds of the holder."""
+    """Time of the holder's monotonic clock, in seconds."""
     response: StoredResponse | None = None
 
     @property
     def size(self) -> int:
-        """Return the bytes it takes in memory, about."""
+        """Return the approximate size in memory, in bytes."""
         body = len(self.response.body) if self.response and self.response.body else 0
         return RECORD_OVERHEAD_BYTES + 2 * len(self.key) + body
 
 
 @dataclass(frozen=True, slots=True)
 class KeyGranted:
-    """The key was free and is now taken by the asking request."""
+    """The key is recorded for the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyTaken:
-    """The key belongs to another request."""
+    """The key belongs to another request, or its request has ended or is lost."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFull:
-    """No memory for a new record."""
+    """The store has no room for a new record."""
 
 
 PutResult = KeyGranted | KeyTaken | StoreFull
@@ -84,17 +84,17 @@
 
 @dataclass(slots=True)
 class RecordStore:
-    """All records that one VM holds."""
+    """The idempotency records of one VM."""
 
     max_records: int
     max_bytes: int
     retention: float
     records: OrderedDict[RecordKey, Record] = field(default_factory=OrderedDict)
-    """In the order in which they were written."""
+    """Records by key, in insertion order."""
     bytes_held: int = 0
 
     def put(self, key: RecordKey, digest: str, vm: VmName, boot: Boot, request: RequestId, now: float) -> PutResult:
-        """Take a key for a request; asking again for the same request changes nothing."""
+        """Record a key for a request; idempotent until the request ends."""
         self.expire(now)
         record = self.records.get(key)
         if record is not None:
@@ -107,7 +107,7 @@
         return KeyGranted()
 
     def complete(self, key: RecordKey, request: RequestId, response: StoredResponse) -> Record | None:
-        """Note how a request ended; a body that does not fit is left out."""
+        """Record the outcome of a request; a body that exceeds the memory limit is omitted."""
         record = self.records.get(key)
         if record is None or record.request != request or record.state is RecordState.ENDED:
             return None
@@ -118,7 +118,7 @@
         return completed
 
     def drop(self, key: RecordKey, request: RequestId) -> bool:
-        """Free a key because its request is proved not to have run."""
+        """Remove the record of a request that provably has not run; return whether it was removed."""
         record = self.records.get(key)
         if record is None or record.request != request or record.state is RecordState.ENDED:
             return False
@@ -126,7 +126,7 @@
         return True
 
     def mark_owner_lost(self, vm: VmName, boot: Boot) -> list[Record]:
-        """Note that a VM is gone, up to one of its starts; return the records that are lost by that."""
+        """Mark the unfinished records of a VM, up to the given boot, as lost; return them."""
         lost = [
             record
             for record in self.records.values()
@@ -137,13 +137,13 @@
         return [replace(record, state=RecordState.LOST) for record in lost]
 
     def merge(self, record: Record) -> None:
-        """Take in another holder's record; what is further on wins."""
+        """Merge a record of another holder; the more advanced state takes precedence."""
         known = self.records.get(record.key)
         if known is None or _STATE_RANKS[record.state] > _STATE_RANKS[known.state]:
             self._set(record)
 
     def expire(self, now: float) -> None:
-        """Forget records whose retention has passed and whose request has ended or is lost."""
+        """Remove expired records in insertion order, up to the first that is unexpired or whose request is open."""
         while self.records:
             record = next(iter(self.records.values()))
             if now - record.written_at < self.retention or record.state is RecordState.RECORDED:
--- a/src/beamhatch/decide/ledger.py
+++ b/src/beamhatch/decide/ledger.py
@@ -200,7 +200,7 @@
 
     def _get_known_load(self, at: float) -> _KnownLoad:
         """Return the load that was known at a time."""
-        for moment in reversed(self._history):
-            if moment.time <= at:
-                return moment
+        for known in reversed(self._history):
+            if known.time <= at:
+                return known
         return _KnownLoad(at, 0, 0)
--- a/src/beamhatch/decide/outcome.py
+++ b/src/beamhatch/decide/outcome.py
@@ -1,4 +1,4 @@
-"""The closed set of outcomes that a caller can be given."""
+"""The outcomes of a request as reported to callers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Reason(Enum):
-    """Why a request ended as it did; stable text that programs may match."""
+    """The reason for an outcome; values are stable and may be matched by programs."""
 
     ANSWERED = "answered"
     BAD_REQUEST = "bad_request"
@@ -32,24 +32,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The upstream's whole answer was passed on."""
+    """The upstream's complete response was forwarded."""
 
     status: int = 200
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Proved not to have run: nothing was written to an upstream, or the upstream refused it with proof."""
+    """The request provably has not run: it was not sent to an upstream, or the upstream refused it."""
 
     reason: Reason
     detail: str = ""
     retry_after: float | None = None
-    """Seconds until it is worth asking again; None where asking again does not help."""
+    """Seconds after which the caller may retry; None if a retry does not help."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """It ran and ended without a whole answer."""
+    """The request ran and ended without a complete response."""
 
     reason: Reason
     detail: str = ""
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """It may have run; nobody can tell from here."""
+    """The request may have run."""
 
     reason: Reason
     detail: str = ""
@@ -76,5 +76,5 @@
 
 
 def name_outcome(outcome: Outcome) -> str:
-    """Return the word for an outcome as it stands in answers, logs and metrics."""
+    """Return the name of an outcome as used in responses, logs and metrics."""
     return _OUTCOME_NAMES[type(outcome)]
--- a/src/beamhatch/decide/policy/__init__.py
+++ b/src/beamhatch/decide/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Routing policies, one module a kind."""
+"""Routing policies."""
--- a/src/beamhatch/decide/policy/api.py
+++ b/src/beamhatch/decide/policy/api.py
@@ -1,4 +1,4 @@
-"""What a routing policy is."""
+"""The interface of routing policies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class ResourceNeed:
-    """What a request needs of a pool."""
+    """The resources and targets of a request in a pool; times are in seconds."""
 
     request: RequestId
     workspace: WorkspaceName
@@ -35,49 +35,49 @@
     exclude: frozenset[str] = frozenset()
     labels: dict[str, str] = field(default_factory=dict)
     policy: str = ""
-    """Name of the policy that serves it."""
+    """Name of the serving policy."""
     first_token_delay: float = 0.0
-    """Seconds that it needs from its start to its first token, with nobody before it."""
+    """Estimated seconds from start to first token on idle engines, plus a margin."""
 
     @property
     def tokens(self) -> int:
-        """Return the KV tokens held at the end of the answer."""
+        """Return the KV tokens held when the output is complete."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def first_token_due(self) -> float:
-        """Return when the first token should be with the caller."""
+        """Return the time at which the caller should have the first token."""
         return self.arrival_time + self.first_token_target
 
     @property
     def latest_start(self) -> float:
-        """Return the last moment at which a start still meets the target."""
+        """Return the latest start time that meets the first-token target."""
         return self.first_token_due - self.first_token_delay
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamChoice:
-    """Where a request goes; ``decode`` is None where that is left until the prefill has ended."""
+    """The upstreams of a request; ``decode`` is None if it is chosen after the prefill."""
 
     first: Ledger
     decode: Ledger | None
     first_token_time: float
-    """When the first token is expected."""
+    """Expected time of the first token."""
 
 
 class Policy(ABC):
-    """Chooses upstreams. It only looks; what it chose is entered by the pool."""
+    """A strategy that chooses upstreams; it changes no load accounting, which the pool updates."""
 
     queues_requests = True
-    """Whether requests that find no place wait for one, rather than being sent on regardless."""
+    """True if requests wait for capacity; if False, a request for which nothing is chosen is refused."""
 
     def __init__(self, parameters: Mapping[str, float] | None = None) -> None:
         self.parameters = dict(parameters or {})
 
     @abstractmethod
     def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
-        """Choose where a request begins, or return None to let it wait."""
+        """Choose the first upstream of a request, or return None to let it wait."""
 
     @abstractmethod
     def choose_decode(self, need: ResourceNeed, fleet: Fleet, now: float) -> Ledger | None:
-        """Choose the decode engine for a prefill that has ended, or return None to let it wait."""
+        """Choose the decode engine for a completed prefill, or return None to let it wait."""
--- a/src/beamhatch/decide/policy/make.py
+++ b/src/beamhatch/decide/policy/make.py
@@ -1,4 +1,4 @@
-"""Make a policy from its configuration document."""
+"""Create policies by the name of their algorithm."""
 
 from __future__ import annotations
 
@@ -22,5 +22,5 @@
 
 
 def make_policy(algorithm: str, parameters: Mapping[str, float] | None = None) -> Policy:
-    """Return a policy by the name of its algorithm."""
+    """Return a new policy for the name of an algorithm."""
     return ALGORITHMS[algorithm](dict(parameters or {}))
--- a/src/beamhatch/decide/policy/naive.py
+++ b/src/beamhatch/decide/policy/naive.py
@@ -1,4 +1,4 @@
-"""The naive policy: the least reported load at each stage, no reservation, no waiting."""
+"""Baseline policies that use reported loads only, without reservations or queueing."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class LeastReportedLoadPolicy(Policy):
-    """Sends each stage to the upstream whose last report was the lowest, without counting what was sent since."""
+    """A policy that chooses the lowest reported load, ignoring requests sent since the report."""
 
     queues_requests = False
 
     def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
-        """Choose the first stage only."""
+        """Choose the first upstream only."""
         role = "prefill" if need.output_tokens else "service"
         first = self._choose_by_report(role, need, fleet, now)
         return None if first is None else UpstreamChoice(first, None, now)
 
     def choose_decode(self, need: ResourceNeed, fleet: Fleet, now: float) -> Ledger | None:
-        """Choose the decode engine when the prefill has ended."""
+        """Choose the decode engine after the prefill."""
         return self._choose_by_report("decode", need, fleet, now)
 
     def _choose_by_report(self, role: str, need: ResourceNeed, fleet: Fleet, now: float) -> Ledger | None:
@@ -38,7 +38,7 @@
 
 
 class TwoChoicesPolicy(LeastReportedLoadPolicy):
-    """Takes the better of two upstreams drawn at random: lagging reports then herd less."""
+    """A policy that chooses the less loaded of two random upstreams, which reduces herding on stale reports."""
 
     def __init__(self, parameters: dict[str, float] | None = None) -> None:
         super().__init__(parameters)
--- a/src/beamhatch/decide/policy/reserving.py
+++ b/src/beamhatch/decide/policy/reserving.py
@@ -1,4 +1,4 @@
-"""Policies that count decode memory, and start no prefill that has nowhere to land."""
+"""Policies that account for decode memory, at the start of the prefill or at its end."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     from beamhatch.ids import UpstreamName
 
 BLOCK_TOKENS = 64
-"""Length of a prefix block."""
+"""Length of a prefix block in tokens."""
 
 MAX_PREFILL_CANDIDATES = 4
 MAX_QUEUED_PROMPTS = 2
-"""Prompts at a prefill engine at the most, unless they are short."""
+"""Number of prompts at a prefill engine from which on only short queues accept more."""
 
 SHORT_QUEUE_S = 0.05
-"""Seconds of work that may queue at a prefill engine however many prompts it is."""
+"""Queued prefill time below which an engine accepts any number of prompts."""
 DEFAULT_TRUST = 0.2
 REMOTE_HALL_PENALTY_S = 0.001
-"""Seconds that another hall costs beside its slower transfer."""
+"""Cost of an upstream in another hall, in addition to its slower transfer."""
 
 
 class ReserveEndPolicy(Policy):
-    """Starts at the prefill engine that ends first; takes decode memory only when the prefill has ended."""
+    """A policy that chooses the prefill engine that completes first, and decode memory after the prefill."""
 
     def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
-        """Choose the prefill engine by its predicted end."""
+        """Choose the prefill engine with the earliest predicted completion."""
         best = self._choose_prefill(need, fleet, now)
         return None if best is None else UpstreamChoice(best[0], None, now + best[1])
 
     def choose_decode(self, need: ResourceNeed, fleet: Fleet, now: float) -> Ledger | None:
-        """Choose the decode engine with room that has its KV cache first."""
+        """Choose the decode engine with enough unreserved memory and the shortest transfer."""
         fitting = [
             ledger
             for ledger in self._list_decodes(need, fleet, now)
@@ -46,7 +46,7 @@
         return min(fitting, key=lambda ledger: self._predict_transfer(ledger, need, fleet), default=None)
 
     def _can_queue_prompt(self, ledger: Ledger, fleet: Fleet) -> bool:
-        """Tell whether another prompt may queue at an engine, rather than here, where its order can still change."""
+        """Return whether an engine accepts another prompt; others stay in the pool's queue, where order can change."""
         queued = ledger.jobs * fleet.workload.prompt_tokens / ledger.config.prefill_rate
         return ledger.jobs < MAX_QUEUED_PROMPTS or queued < SHORT_QUEUE_S
 
@@ -93,10 +93,10 @@
 
 
 class ReserveStartPolicy(ReserveEndPolicy):
-    """Takes the decode memory before the prefill starts."""
+    """A policy that reserves decode memory before the prefill starts."""
 
     def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
-        """Choose both engines, or wait."""
+        """Choose both engines, or return None to let the request wait."""
         best = self._choose_prefill(need, fleet, now)
         if best is None or not need.output_tokens:
             return None if best is None else UpstreamChoice(best[0], None, now)
@@ -107,15 +107,14 @@
 
 
 class PredictedPolicy(ReserveEndPolicy):
-    """Starts a prefill when decode memory is expected to be free by the time its KV cache would arrive.
+    """A policy that starts a prefill if decode memory is expected to be free when the prefill completes.
 
-    Memory that stands free during a prefill serves nobody: with a prefill that takes as long as hundreds of output
-    tokens, many answers end meanwhile. Parameter ``trust`` (0 to 1, default 0.2) is the share of the memory expected
-    to come free during the prefill that is counted on; at 0 it is the same as reserving at the start.
+    Reserving free memory for the whole prefill would leave it idle. Parameter ``trust`` (0 to 1, default 0.2) scales
+    the prefill time for which memory releases are counted; at 0, only memory that is free at the start is used.
     """
 
     def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
-        """Choose both engines, or wait until a place is in sight."""
+        """Choose both engines, or return None while not enough memory is expected to be free."""
         best = self._choose_prefill(need, fleet, now)
         if best is None or not need.output_tokens:
             return None if best is None else UpstreamChoice(best[0], None, now)
--- a/src/beamhatch/decide/pool.py
+++ b/src/beamhatch/decide/pool.py
@@ -160,17 +160,17 @@
 
     def request_handoff(self, request: RequestId, exclude: frozenset[str], now: float) -> list[PlacementDecision]:
         """Choose a decode engine for a request whose prefill has completed, or queue its handoff."""
-        placed = self.placements.get(request)
-        if placed is None:
+        placement = self.placements.get(request)
+        if placement is None:
             return []
-        need = placed.need
+        need = placement.need
         need.exclude = exclude
-        self._end_first(request, placed, now)
-        if placed.transferring and placed.decode is not None:
-            self.fleet.record_end(placed.decode, request, now)
-            self._end_transfer(placed)
-            placed.transferring, placed.decode = False, None
-        if self._start_handoff(need, placed, now):
+        self._end_first(request, placement, now)
+        if placement.transferring and placement.decode is not None:
+            self.fleet.record_end(placement.decode, request, now)
+            self._end_transfer(placement)
+            placement.transferring, placement.decode = False, None
+        if self._start_handoff(need, placement, now):
             return [HandoffDecision(request, self._get_decode(request))]
         if not self.choose_policy(need).queues_requests or not self.fleet.has_usable("decode", now, exclude):
             return [RefusalDecision(request, Reason.NO_UPSTREAM, "no decode engine can take it", MIN_RETRY_S)]
@@ -179,24 +179,24 @@
 
     def record_transfer_end(self, request: RequestId) -> None:
         """Record that the KV cache transfer of a request has ended."""
-        placed = self.placements.get(request)
-        if placed is not None:
-            self._end_transfer(placed)
+        placement = self.placements.get(request)
+        if placement is not None:
+            self._end_transfer(placement)
 
     def release(self, request: RequestId, now: float) -> list[PlacementDecision]:
         """Release everything that a request holds or waits for; return the decisions that this allows."""
         self.queue.remove(request)
         self.pending_handoffs.pop(request, None)
-        placed = self.placements.pop(request, None)
-        if placed is not None:
-            self._end_first(request, placed, now)
-            self._end_transfer(placed)
-            if placed.decode is not None:
-                ledger = self.fleet.ledgers.get(placed.decode)
+        placement = self.placements.pop(request, None)
+        if placement is not None:
+            self._end_first(request, placement, now)
+            self._end_transfer(placement)
+            if placement.decode is not None:
+                ledger = self.fleet.ledgers.get(placement.decode)
                 if ledger is not None:
                     self.fleet.cancel_reservation(ledger, request)
-                self.fleet.record_end(placed.decode, request, now)
-                self.release_rate.record(placed.need.tokens, now, has_waiting=bool(self.queue))
+                self.fleet.record_end(placement.decode, request, now)
+                self.release_rate.record(placement.need.tokens, now, has_waiting=bool(self.queue))
         return self.dispatch_waiting(now)
 
     def dispatch_waiting(self, now: float) -> list[PlacementDecision]:
@@ -296,13 +296,13 @@
         choice = policy.choose_first(need, self.fleet, now)
         if choice is None:
             return False
-        placed = _ActivePlacement(need, first=choice.first.config.name, start_time=now)
-        self.placements[need.request] = placed
+        placement = _ActivePlacement(need, first=choice.first.config.name, start_time=now)
+        self.placements[need.request] = placement
         self.fleet.record_dispatch(choice.first, need.request, need.prompt_tokens, now)
         if need.output_tokens:
             self.fleet.workload.record_prompt(need.prompt_tokens)
         if choice.decode is not None:
-            placed.decode = choice.decode.config.name
+            placement.decode = choice.decode.config.name
             self.fleet.reserve(choice.decode, need.request, need.tokens)
         return True
 
@@ -311,58 +311,58 @@
     def _dispatch_handoffs(self, now: float) -> list[PlacementDecision]:
         decisions: list[PlacementDecision] = []
         for request, (need, _) in list(self.pending_handoffs.items()):
-            placed = self.placements.get(request)
-            if placed is not None and self._start_handoff(need, placed, now):
+            placement = self.placements.get(request)
+            if placement is not None and self._start_handoff(need, placement, now):
                 del self.pending_handoffs[request]
                 decisions.append(HandoffDecision(request, self._get_decode(request)))
         return decisions
 
-    def _start_handoff(self, need: ResourceNeed, placed: _ActivePlacement, now: float) -> bool:
-        ledger = self._get_reserved_engine(need, placed, now) or self.choose_policy(need).choose_decode(
+    def _start_handoff(self, need: ResourceNeed, placement: _ActivePlacement, now: float) -> bool:
+        ledger = self._get_reserved_engine(need, placement, now) or self.choose_policy(need).choose_decode(
             need, self.fleet, now
         )
         if ledger is None:
             return False
-        self._cancel_reservation(need.request, placed)
-        placed.decode, placed.transferring = ledger.config.name, True
+        self._cancel_reservation(need.request, placement)
+        placement.decode, placement.transferring = ledger.config.name, True
         self.fleet.record_dispatch(ledger, need.request, need.tokens, now)
-        self.fleet.transfers[placed.decode] = self.fleet.transfers.get(placed.decode, 0) + 1
+        self.fleet.transfers[placement.decode] = self.fleet.transfers.get(placement.decode, 0) + 1
         return True
 
-    def _get_reserved_engine(self, need: ResourceNeed, placed: _ActivePlacement, now: float) -> Ledger | None:
+    def _get_reserved_engine(self, need: ResourceNeed, placement: _ActivePlacement, now: float) -> Ledger | None:
         """Return the decode engine on which memory is reserved, if that memory is free."""
-        ledger = self.fleet.ledgers.get(placed.decode) if placed.decode is not None else None
-        if ledger is None or placed.transferring:
+        ledger = self.fleet.ledgers.get(placement.decode) if placement.decode is not None else None
+        if ledger is None or placement.transferring:
             return None
         if not ledger.is_usable(now, self.fleet.max_report_age) or ledger.config.name in need.exclude:
-            self._cancel_reservation(need.request, placed)
+            self._cancel_reservation(need.request, placement)
             return None
         return ledger if ledger.free_tokens >= need.tokens else None
 
-    def _cancel_reservation(self, request: RequestId, placed: _ActivePlacement) -> None:
-        if placed.decode is None or placed.transferring:
+    def _cancel_reservation(self, request: RequestId, placement: _ActivePlacement) -> None:
+        if placement.decode is None or placement.transferring:
             return
-        ledger = self.fleet.ledgers.get(placed.decode)
+        ledger = self.fleet.ledgers.get(placement.decode)
         if ledger is not None:
             self.fleet.cancel_reservation(ledger, request)
-        placed.decode = None
+        placement.decode = None
 
-    def _end_first(self, request: RequestId, placed: _ActivePlacement, now: float) -> None:
-        if placed.first is not None:
-            self.fleet.record_end(placed.first, request, now)
+    def _end_first(self, request: RequestId, placement: _ActivePlacement, now: float) -> None:
+        if placement.first is not None:
+            self.fleet.record_end(placement.first, request, now)
             if self.service:
-                self.release_rate.record(placed.need.tokens, now, has_waiting=bool(self.queue))
-            placed.first = None
+                self.release_rate.record(placement.need.tokens, now, has_waiting=bool(self.queue))
+            placement.first = None
 
-    def _end_transfer(self, placed: _ActivePlacement) -> None:
-        if not placed.transferring or placed.decode is None:
+    def _end_transfer(self, placement: _ActivePlacement) -> None:
+        if not placement.transferring or placement.decode is None:
             return
-        left = self.fleet.transfers.get(placed.decode, 0) - 1
+        left = self.fleet.transfers.get(placement.decode, 0) - 1
         if left > 0:
-            self.fleet.transfers[placed.decode] = left
+            self.fleet.transfers[placement.decode] = left
         else:
-            self.fleet.transfers.pop(placed.decode, None)
-        placed.transferring = False
+            self.fleet.transfers.pop(placement.decode, None)
+        placement.transferring = False
 
     def _get_first(self, request: RequestId) -> UpstreamName:
         first = self.placements[request].first
--- a/src/beamhatch/decide/request.py
+++ b/src/beamhatch/decide/request.py
@@ -1,8 +1,6 @@
-"""The request aggregate: every state of one request, and what each input makes of it.
+"""The state machine of one request: it consumes events (`fact.py`) and returns effects (`effect.py`).
 
-Facts (`fact.py`) are what a task observed;
-effects (`effect.py`) are what it must do next. Nothing here reads a clock or a socket, so
-every interleaving can be tried in a test.
+It uses no clock and performs no I/O, so tests can exercise every interleaving of events.
 """
 
 from __future__ import annotations
@@ -50,14 +48,14 @@
     from collections.abc import Callable
 
 MAX_PLACEMENTS = 3
-"""How often one request may be placed anew after an upstream refused or broke."""
+"""Number of placements of one request, including the first."""
 
 MAX_RESUMES = 2
-"""How often one broken stream is resumed before its engine is taken as lost."""
+"""Number of times an interrupted stream is resumed before its engine counts as failed."""
 
 
 class RequestState(Enum):
-    """Where a request stands."""
+    """The state of a request."""
 
     RECEIVED = "received"
     RECORDING = "recording"
@@ -72,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTerms:
-    """What the caller asked for, as far as the states depend on it."""
+    """The properties of the caller's request that affect state transitions."""
 
     request: RequestId
     service: bool = False
@@ -83,7 +81,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One caller's request and its rules."""
+    """The state machine of one caller's request."""
 
     terms: RequestTerms
     state: RequestState = RequestState.RECEIVED
@@ -92,12 +90,12 @@
     """The prefill engine, or the replica of a plain service."""
     decode: UpstreamName | None = None
     open_runs: dict[RunId, UpstreamName] = field(default_factory=dict)
-    """Runs for which an upstream may hold memory."""
+    """Runs for which an upstream may hold resources."""
     failed_upstreams: set[UpstreamName] = field(default_factory=set)
     may_have_run: bool = False
-    """True from the first dispatch on, until that dispatch is refused with proof."""
+    """True from a dispatch to the first upstream until that upstream provably refuses it."""
     has_run: bool = False
-    """True once an upstream is known to have worked on it."""
+    """True once an upstream is known to have run the request."""
     response_started: bool = False
     _prefill_run: RunId | None = None
     _decode_run: RunId | None = None
@@ -105,16 +103,16 @@
     _resumes: int = 0
     _runs_started: int = 0
     _has_unproven_run: bool = False
-    """True once a run broke off: no later refusal proves that nothing ran."""
+    """True once a run was interrupted: a later refusal then does not prove that the request has not run."""
 
     def handle(self, event: RequestEvent) -> list[RequestEffect]:
-        """Take in one fact and return what follows from it; a fact that comes after the end changes nothing."""
+        """Handle one event and return the resulting effects; events after the end are ignored."""
         if self.state is RequestState.ENDED:
             return []
         handler = _HANDLERS[type(event)]
         return handler(self, event)
 
-    # --- the way through ----------------------------------------------------------------------------------------
+    # --- normal path --------------------------------------------------------------------------------------------
 
     def _handle_validated(self, _: RequestValidated) -> list[RequestEffect]:
         if self.terms.keyed:
@@ -177,7 +175,7 @@
         self.has_run = True
         return self._finish(Answered(event.status))
 
-    # --- refusals and breaks --------------------------------------------------------------------------------------
+    # --- refusals and failures ------------------------------------------------------------------------------------
 
     def _handle_placement_failed(self, event: PlacementFailed) -> list[RequestEffect]:
         if self.state not in (RequestState.QUEUED, RequestState.LANDING):
@@ -251,7 +249,7 @@
         return self._give_up(Reason.DEADLINE, "the caller's deadline passed", None)
 
     def _handle_aborted(self, event: RequestAborted) -> list[RequestEffect]:
-        return self._give_up(event.reason, "this entry VM let go of the request", 1.0)
+        return self._give_up(event.reason, "this entry VM aborted the request", 1.0)
 
     def _give_up(self, reason: Reason, detail: str, retry_after: float | None) -> list[RequestEffect]:
         if self.has_run:
--- a/src/beamhatch/decide/traffic.py
+++ b/src/beamhatch/decide/traffic.py
@@ -1,4 +1,4 @@
-"""Which policy serves a request: slices of the traffic, cut by labels and by a stable hash."""
+"""Assign requests to policies by traffic slices, which select by labels and by a stable hash."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from beamhatch.settings.schema import Slice
 
 DEFAULT_POLICY = "predicted"
-"""Serves where no slice says otherwise."""
+"""The policy of requests that no slice selects."""
 
 _BUCKET_COUNT = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyAssignment:
-    """The policies for one request."""
+    """The serving policy and the compared policies of a request."""
 
     policy: str
     compared_policies: tuple[str, ...] = ()
@@ -40,13 +40,13 @@
 
 @dataclass(slots=True)
 class TrafficSlices:
-    """All slices and policies of a configuration."""
+    """The slices and policies of a configuration."""
 
     rules: list[_SliceRule] = field(default_factory=list)
     policies: dict[str, Policy] = field(default_factory=dict)
 
     def apply(self, slices: Sequence[Slice], documents: Sequence[PolicyDocument]) -> None:
-        """Take the slices and policies of a configuration; a policy that did not change keeps what it learned."""
+        """Replace all slices and policies by those of a configuration."""
         self.rules = [
             _SliceRule(
                 parse_selector(item.selector),
@@ -60,18 +60,18 @@
         self.policies.setdefault(DEFAULT_POLICY, make_policy(DEFAULT_POLICY))
 
     def get_assignment(self, labels: Mapping[str, str], identity: str) -> PolicyAssignment:
-        """Return the policies for a request; the same identity always gives the same ones."""
-        for cut in self.rules:
-            if select(cut.selector, labels) and compute_bucket(cut.salt, identity) < cut.bucket_count:
-                return cut.assignment
+        """Return the policies for a request; the same labels and identity give the same policies."""
+        for rule in self.rules:
+            if select(rule.selector, labels) and compute_bucket(rule.salt, identity) < rule.bucket_count:
+                return rule.assignment
         return PolicyAssignment(DEFAULT_POLICY)
 
     def get_policy(self, name: str) -> Policy:
-        """Return a policy, or the default one if it was withdrawn meanwhile."""
+        """Return a policy by name, or the default policy if it no longer exists."""
         return self.policies.get(name) or self.policies[DEFAULT_POLICY]
 
 
 def compute_bucket(salt: str, identity: str) -> int:
-    """Return which of 10,000 parts an identity falls into; growing a slice keeps what was in it."""
+    """Return the bucket, of 10,000, of an identity; a slice that grows keeps the buckets that it had."""
     digest = hashlib.blake2b(f"{salt}/{identity}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") % _BUCKET_COUNT
--- a/src/beamhatch/decide/wait_queue.py
+++ b/src/beamhatch/decide/wait_queue.py
@@ -41,7 +41,7 @@
     needs: dict[RequestId, ResourceNeed] = field(default_factory=dict)
     _tokens: dict[Lane, int] = field(default_factory=dict)
     _queues: dict[Lane, dict[WorkspaceName, _WorkspaceQueue]] = field(default_factory=dict)
-    _served: dict[WorkspaceName, float] = field(default_factory=dict)
+    _service_received: dict[WorkspaceName, float] = field(default_factory=dict)
     _lanes: dict[RequestId, Lane] = field(default_factory=dict)
     _virtual_time: float = 0.0
     _turns: int = 0
@@ -52,7 +52,9 @@
     def add(self, need: ResourceNeed, *, late: bool) -> None:
         """Add a request to the queue."""
         self.needs[need.request] = need
-        self._served[need.workspace] = max(self._served.get(need.workspace, 0.0), self._virtual_time)
+        self._service_received[need.workspace] = max(
+            self._service_received.get(need.workspace, 0.0), self._virtual_time
+        )
         self._insert(need, (need.priority, late))
 
     def remove(self, request: RequestId) -> ResourceNeed | None:
@@ -68,15 +70,15 @@
         if need is None:
             return
         self._turns += 1
-        self._virtual_time = self._served[need.workspace]
-        self._served[need.workspace] += need.tokens / need.weight
+        self._virtual_time = self._service_received[need.workspace]
+        self._service_received[need.workspace] += need.tokens / need.weight
 
     def iterate_next(self) -> Iterator[ResourceNeed]:
         """Yield the first request of each workspace and lane, in the order in which they are served."""
         for lane in self._order_lanes():
-            lines = self._queues.get(lane, {})
-            for workspace in sorted(lines, key=lambda name: self._served[name]):
-                yield lines[workspace].needs[0]
+            queues = self._queues.get(lane, {})
+            for workspace in sorted(queues, key=lambda name: self._service_received[name]):
+                yield queues[workspace].needs[0]
 
     def precedes_all(self, priority: Priority) -> bool:
         """Return whether a new on-time request of this priority precedes all queued requests."""
@@ -97,18 +99,18 @@
     def move_late(self, now: float) -> None:
         """Move requests whose latest start has passed to the late lane of their priority."""
         for priority in Priority:
-            for line in list(self._queues.get((priority, False), {}).values()):
-                while line.needs and line.needs[0].latest_start < now:
-                    need = line.needs[0]
+            for queue in list(self._queues.get((priority, False), {}).values()):
+                while queue.needs and queue.needs[0].latest_start < now:
+                    need = queue.needs[0]
                     self._discard(need)
                     self._insert(need, (priority, True))
 
     def get_least_urgent_late(self) -> ResourceNeed | None:
         """Return a late request of the lowest priority, the most recent among the last of each workspace."""
         for priority in reversed(Priority):
-            lines = self._queues.get((priority, True), {})
-            if lines:
-                return max((line.needs[-1] for line in lines.values()), key=lambda need: need.arrival_time)
+            queues = self._queues.get((priority, True), {})
+            if queues:
+                return max((queue.needs[-1] for queue in queues.values()), key=lambda need: need.arrival_time)
         return None
 
     def _order_lanes(self) -> list[Lane]:
@@ -125,7 +127,7 @@
     def _discard(self, need: ResourceNeed) -> None:
         lane = self._lanes.pop(need.request)
         self._tokens[lane] -= need.tokens
-        lines = self._queues[lane]
-        lines[need.workspace].needs.remove(need)
-        if not lines[need.workspace].needs:
-            del lines[need.workspace]
+        queues = self._queues[lane]
+        queues[need.workspace].needs.remove(need)
+        if not queues[need.workspace].needs:
+            del queues[need.workspace]
--- a/tests/decide/test_pool.py
+++ b/tests/decide/test_pool.py
@@ -26,13 +26,13 @@
 
 def make_pool(algorithm: str = "predicted") -> Pool:
     fleet = Fleet(HallName("h"), max_report_age=1e9)
-    facts = [
+    configs = [
         UpstreamConfig(UpstreamName(f"{role}{n}"), "", HallName("h"), role, {}, MEMORY, 1000.0, 10_000.0)
         for role in ("prefill", "decode")
         for n in range(2)
     ]
-    fleet.set_upstreams(facts)
-    for item in facts:
+    fleet.set_upstreams(configs)
+    for item in configs:
         fleet.apply_report(item.name, LoadSnapshot(0.0, 0, MEMORY, 0))
     policy = make_policy(algorithm)
     return Pool(fleet, lambda need: policy)
