--- a/tests/decide/test_configuration.py
+++ b/tests/decide/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration aggregate: operators that race, on a platform whose replies are lost and whose readers lag."""
+"""Concurrent configuration changes, with lost replies and stale reads."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Two VMs, one platform cell with a revision, and every head that ever was."""
+    """Two VMs and one key-value cell with a revision, with the history of all heads."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/decide/test_idempotency.py
+++ b/tests/decide/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The record store against a naive dictionary, and two claimants over lossy holders."""
+"""The record store compared with a dictionary model, and concurrent claims on unreliable holders."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Puts, ends, drops and losses in any order, with the clock moved on in between."""
+    """Records keys, outcomes, removals and lost owners in any order, and advances the clock."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -74,11 +74,9 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Two VMs claim the same keys on three holders, a majority each, while answers are lost.
+    """Requests claim the same keys on a majority of three holders.
 
-    Holders may be out of reach, or take a key whose answer is lost.
-
-    The naive way, one holder of one's own choice, fails the last invariant.
+    Holders may be unreachable, or record a key although their reply is lost.
     """
 
     def __init__(self) -> None:
--- a/tests/decide/test_member.py
+++ b/tests/decide/test_member.py
@@ -1,4 +1,4 @@
-"""Membership on a clock that is advanced: kills, freezes, cuts and restarts of up to eight VMs."""
+"""Failure detection on a simulated clock, with killed, frozen, partitioned and restarted VMs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Net:
-    """VMs that probe each other without a network; frozen or killed ones neither answer nor act."""
+    """A simulated network of VMs; frozen and killed ones neither probe nor answer."""
 
     def __init__(self, count: int) -> None:
         self.now = 0.0
@@ -43,7 +43,7 @@
         return not ({source, target} & self.down) and (source, target) not in self.cuts
 
     def probe(self, source: VmName, target: VmName) -> bool:
-        """Carry a probe there and its answer back, with the news on both."""
+        """Carry a probe and its answer, each with updates; return whether the answer arrived."""
         if not self.carries(source, target):
             return False
         self.take(target, self.vms[source].pick_updates())
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 6, 8, 16, 32])
-def test_a_killed_vm_is_found_dead_by_all_and_nobody_else_is(count: int) -> None:
+def test_all_vms_detect_a_killed_vm_and_no_other(count: int) -> None:
     net = Net(count)
     net.run(5)
     victim = VmName("vm-0")
@@ -93,7 +93,7 @@
     assert {finder for finder, _, _ in net.deaths} == set(net.vms) - {victim}
 
 
-def test_a_one_way_cut_between_two_kills_nobody() -> None:
+def test_one_way_partition_declares_no_vm_dead() -> None:
     net = Net(6)
     net.cuts = {(VmName("vm-0"), VmName("vm-1"))}
     net.run(60)
@@ -101,7 +101,7 @@
 
 
 class MemberMachine(RuleBasedStateMachine):
-    """Freezes, wakes and restarts VMs, and lets time pass."""
+    """Freezes, resumes and restarts VMs, and advances the clock."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -135,7 +135,7 @@
                 assert note is None or note.boot <= boot
 
     def teardown(self) -> None:
-        """Whatever happened, those that run find each other alive again once they have spoken."""
+        """Check that all VMs see each other alive again after they have exchanged updates."""
         self.net.down.clear()
         for vm in list(self.net.vms):
             for other in list(self.net.vms):
--- a/tests/decide/test_pool.py
+++ b/tests/decide/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool: reservations and the queue, against the counts of naive engines."""
+"""Reservations and queueing of a pool, compared with independently counted engine memory."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Requests come, land, end and leave; the engines' memory is counted apart."""
+    """Starts, hands off, completes and cancels requests, and counts engine memory independently."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -120,7 +120,7 @@
 TestPool = PoolMachine.TestCase
 
 
-def test_a_report_adds_only_what_no_vm_knows() -> None:
+def test_report_adds_only_unattributed_load() -> None:
     pool = make_pool()
     ledger = pool.fleet.ledgers[UpstreamName("decode0")]
     ledger.record_dispatch(RequestId("mine"), 100, 1.0)
@@ -147,19 +147,19 @@
         assert not chosen & gone
 
 
-def test_a_refusal_comes_at_once_and_says_when_to_come_back() -> None:
+def test_refusal_is_immediate_and_has_retry_after() -> None:
     pool = make_pool()
-    turned: list[RefusalDecision] = []
+    refusals: list[RefusalDecision] = []
     for number in range(60):
         need = ResourceNeed(RequestId(f"r{number}"), WorkspaceName("w"), 500, 400, 0.0)
-        turned += [one for one in pool.request_start(need, 0.0) if isinstance(one, RefusalDecision)]
-    assert turned
-    assert all(one.retry_after is not None and one.retry_after > 0 for one in turned)
+        refusals += [one for one in pool.request_start(need, 0.0) if isinstance(one, RefusalDecision)]
+    assert refusals
+    assert all(one.retry_after is not None and one.retry_after > 0 for one in refusals)
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS, ids=lambda deployment: str(deployment.name))
 @pytest.mark.parametrize("seed", [1, 2])
-def test_in_light_load_the_chosen_policy_does_no_worse_than_naive(deployment: object, seed: int) -> None:
+def test_predicted_policy_is_no_worse_than_naive_at_low_load(deployment: object, seed: int) -> None:
     naive, chosen = (run(deployment, variant, 0.3, 3, "calm", seed) for variant in ("naive", "predicted"))  # type: ignore[arg-type]
     assert chosen["goodput"] >= naive["goodput"]
     assert chosen["wasted_prefill"] <= naive["wasted_prefill"]
@@ -167,6 +167,6 @@
 
 @pytest.mark.parametrize("algorithm", sorted(ALGORITHMS))
 @pytest.mark.parametrize("fault", ["decode_death", "stalled_transfer", "callers_leaving", "cut_hall"])
-def test_nothing_is_lost_or_answered_twice_under_any_policy(algorithm: str, fault: str) -> None:
+def test_no_request_is_lost_or_answered_twice_under_any_policy(algorithm: str, fault: str) -> None:
     line = run(DEPLOYMENTS[0], algorithm, 1.2, 3, fault, 3)
     assert (line["lost"], line["doubled"]) == (0, 0)
--- a/tests/decide/test_request.py
+++ b/tests/decide/test_request.py
@@ -1,4 +1,4 @@
-"""The request aggregate under every interleaving of facts."""
+"""The request state machine under arbitrary interleavings of events."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """Feeds facts in any order, and keeps a naive record of what the upstreams were told."""
+    """Feeds events in any order, and records the runs that upstreams were asked to start and cancel."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -150,7 +150,7 @@
 TestRequest = RequestMachine.TestCase
 
 
-def test_the_way_through_in_order() -> None:
+def test_effects_of_a_streamed_request() -> None:
     request = Request(RequestTerms(RequestId("r"), streamed=True, keyed=True))
     steps: list[tuple[Any, type[Any]]] = [
         (RecordGranted(), ChooseFirst),
