--- a/src/beamhatch/decide/fleet.py
+++ b/src/beamhatch/decide/fleet.py
@@ -97,7 +97,7 @@
     # --- work ------------------------------------------------------------------------------------------------------
 
     def record_dispatch(self, ledger: Ledger, request: RequestId, tokens: int, now: float) -> None:
-        """Enter work that goes to an upstream."""
+        """Record that a request was sent to an upstream."""
         ledger.record_dispatch(request, tokens, now)
         self._reorder(ledger)
 
--- a/src/beamhatch/decide/policy/reserving.py
+++ b/src/beamhatch/decide/policy/reserving.py
@@ -19,7 +19,7 @@
 
 MAX_PREFILL_CANDIDATES = 4
 MAX_QUEUED_PROMPTS = 2
-"""Number of prompts at a prefill engine from which on only short queues accept more."""
+"""Number of prompts at which a prefill engine accepts another one only if its queue is short."""
 
 SHORT_QUEUE_S = 0.05
 """Queued prefill time below which an engine accepts any number of prompts."""
@@ -46,7 +46,7 @@
         return min(fitting, key=lambda ledger: self._predict_transfer(ledger, need, fleet), default=None)
 
     def _can_queue_prompt(self, ledger: Ledger, fleet: Fleet) -> bool:
-        """Return whether an engine accepts another prompt; others stay in the pool's queue, where order can change."""
+        """Return whether another prompt may queue at an engine rather than in the pool, where it can be reordered."""
         queued = ledger.jobs * fleet.workload.prompt_tokens / ledger.config.prefill_rate
         return ledger.jobs < MAX_QUEUED_PROMPTS or queued < SHORT_QUEUE_S
 
--- a/src/beamhatch/decide/pool.py
+++ b/src/beamhatch/decide/pool.py
@@ -12,7 +12,7 @@
 
 from beamhatch.decide.fleet import Fleet
 from beamhatch.decide.outcome import Reason
-from beamhatch.decide.wait_queue import LATE_TURN_PERIOD, WaitQueue
+from beamhatch.decide.waiting import LATE_TURN_PERIOD, WaitQueue
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -250,7 +250,7 @@
         return self._predicted_rate
 
     def _is_expected_late(self, need: ResourceNeed, now: float) -> bool:
-        """Return whether a request would miss its latest start behind the requests that precede it."""
+        """Return whether a request would miss its latest start after the requests that precede it."""
         rate = self._get_release_rate(now)
         if rate <= 0:
             return now > need.latest_start
