--- a/src/beamhatch/decide/circuit.py
+++ b/src/beamhatch/decide/circuit.py
@@ -1,4 +1,4 @@
-"""A circuit breaker for one upstream, and a budget for retries."""
+"""Circuit breakers and retry budgets."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from enum import Enum
 
 FAILURES_TO_OPEN = 3
-FIRST_PAUSE = 0.5
-LONGEST_PAUSE = 10.0
+MIN_PAUSE_S = 0.5
+MAX_PAUSE_S = 10.0
 
 
-class Circuit(Enum):
-    """Whether an upstream is given work."""
+class CircuitState(Enum):
+    """The state of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -19,61 +19,64 @@
 
 
 @dataclass(slots=True)
-class Breaker:
-    """Opens after several failures in a row, and lets a single request through to try again."""
+class CircuitBreaker:
+    """A circuit breaker for one upstream, with exponentially growing pauses.
 
-    state: Circuit = Circuit.CLOSED
+    It opens after ``FAILURES_TO_OPEN`` consecutive failures; after the pause it admits a single probe request.
+    """
+
+    state: CircuitState = CircuitState.CLOSED
     failures: int = 0
     open_until: float = 0.0
-    _pause: float = FIRST_PAUSE
+    _pause: float = MIN_PAUSE_S
 
-    def allows(self, now: float) -> bool:
-        """Tell whether the upstream may be given a request now."""
-        if self.state is Circuit.OPEN:
+    def allows_request(self, now: float) -> bool:
+        """Return whether a request may be sent to the upstream."""
+        if self.state is CircuitState.OPEN:
             return now >= self.open_until
-        return self.state is Circuit.CLOSED
+        return self.state is CircuitState.CLOSED
 
-    def note_dispatch(self, now: float) -> None:
-        """Note that a request was sent; after a pause it is the one that tries."""
-        if self.state is Circuit.OPEN and now >= self.open_until:
-            self.state = Circuit.HALF_OPEN
+    def record_dispatch(self, now: float) -> None:
+        """Record that a request was sent; after a pause it is the probe request."""
+        if self.state is CircuitState.OPEN and now >= self.open_until:
+            self.state = CircuitState.HALF_OPEN
 
-    def note_success(self) -> None:
-        """Note that the upstream did its work."""
-        self.state = Circuit.CLOSED
+    def record_success(self) -> None:
+        """Record a successful request, and close the circuit."""
+        self.state = CircuitState.CLOSED
         self.failures = 0
-        self._pause = FIRST_PAUSE
+        self._pause = MIN_PAUSE_S
 
-    def note_failure(self, now: float) -> None:
-        """Note that the upstream failed a request."""
+    def record_failure(self, now: float) -> None:
+        """Record a failed request, and open the circuit if there were enough failures."""
         self.failures += 1
-        if self.state is Circuit.CLOSED and self.failures < FAILURES_TO_OPEN:
+        if self.state is CircuitState.CLOSED and self.failures < FAILURES_TO_OPEN:
             return
-        self.state = Circuit.OPEN
+        self.state = CircuitState.OPEN
         self.open_until = now + self._pause
-        self._pause = min(self._pause * 2, LONGEST_PAUSE)
+        self._pause = min(self._pause * 2, MAX_PAUSE_S)
 
-    def note_release(self) -> None:
-        """Note that a request ended without saying anything of the upstream."""
-        if self.state is Circuit.HALF_OPEN:
-            self.state = Circuit.OPEN
+    def record_release(self) -> None:
+        """Record that a request ended without a result; a half-open circuit may then be probed again."""
+        if self.state is CircuitState.HALF_OPEN:
+            self.state = CircuitState.OPEN
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Allows retries as a share of successes, so that an outage is not multiplied."""
+    """A budget that limits retries to a fraction of successes, so that retries do not amplify an outage."""
 
-    share: float = 0.1
-    most: float = 20.0
-    left: float = 20.0
+    retries_per_success: float = 0.1
+    max_retries: float = 20.0
+    remaining: float = 20.0
 
-    def note_success(self) -> None:
-        """Earn a part of a retry."""
-        self.left = min(self.most, self.left + self.share)
+    def record_success(self) -> None:
+        """Add ``retries_per_success`` to the budget."""
+        self.remaining = min(self.max_retries, self.remaining + self.retries_per_success)
 
-    def spend(self) -> bool:
-        """Take one retry out of the budget; return whether there was one."""
-        if self.left < 1:
+    def acquire(self) -> bool:
+        """Take one retry from the budget; return whether one was available."""
+        if self.remaining < 1:
             return False
-        self.left -= 1
+        self.remaining -= 1
         return True
--- a/src/beamhatch/decide/comparison.py
+++ b/src/beamhatch/decide/comparison.py
@@ -1,4 +1,4 @@
-"""Compare policies on live traffic: their decisions on the same requests, and how the requests they served went."""
+"""Compare policies on live traffic, by their decisions on the same requests and the results of those they served."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-KEPT_SAMPLES = 5000
-SURE = 1.96
-"""Standard errors that make a difference real, at 95 in 100."""
-SAMPLES_TO_TELL = 30
+MAX_SAMPLES = 5000
+Z_SCORE = 1.96
+"""Standard errors of a 95 % confidence interval."""
+MIN_SAMPLES = 30
 
 
 class Verdict(Enum):
-    """Whether a difference is more than chance."""
+    """The result of a significance test."""
 
     BETTER = "better"
     WORSE = "worse"
@@ -24,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """How one request went."""
+    """The measurements of one request, in seconds and tokens."""
 
-    good: bool
-    """Within both latency targets."""
+    met_targets: bool
+    """True if the request met both latency targets."""
     first_token: float | None
     pace: float | None
-    prefilled: int
-    wasted: int
+    prefilled_tokens: int
+    wasted_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A share with its 95 in 100 interval."""
+    """A proportion with its 95 % confidence interval."""
 
     value: float
     low: float
@@ -44,59 +44,59 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """The last requests that a policy served."""
+class PolicyStats:
+    """The most recent requests served by a policy."""
 
-    samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=KEPT_SAMPLES))
+    samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
 
     def add(self, sample: Sample) -> None:
-        """Take in one request."""
+        """Add the measurements of one request."""
         self.samples.append(sample)
 
-    def measure_goodput(self) -> Interval:
-        """Return the share of requests within both targets."""
-        return _measure_share(sum(sample.good for sample in self.samples), len(self.samples))
+    def compute_goodput(self) -> Interval:
+        """Return the proportion of requests that met both targets."""
+        return _compute_share(sum(sample.met_targets for sample in self.samples), len(self.samples))
 
-    def measure_waste(self) -> Interval:
-        """Return the share of prefilled tokens that were wasted; the interval counts requests, not tokens."""
-        prefilled = sum(sample.prefilled for sample in self.samples)
-        wasted = sum(sample.wasted for sample in self.samples)
+    def compute_waste(self) -> Interval:
+        """Return the proportion of prefilled tokens that were wasted; requests, not tokens, are the sample size."""
+        prefilled = sum(sample.prefilled_tokens for sample in self.samples)
+        wasted = sum(sample.wasted_tokens for sample in self.samples)
         share = wasted / prefilled if prefilled else 0.0
-        requests = sum(1 for sample in self.samples if sample.prefilled)
-        spread = SURE * math.sqrt(share * (1 - share) / requests) if requests else 0.0
-        return Interval(share, max(0.0, share - spread), min(1.0, share + spread))
+        requests = sum(1 for sample in self.samples if sample.prefilled_tokens)
+        margin = Z_SCORE * math.sqrt(share * (1 - share) / requests) if requests else 0.0
+        return Interval(share, max(0.0, share - margin), min(1.0, share + margin))
 
-    def find_percentile(self, name: str, part: float) -> float | None:
-        """Return a percentile of ``first_token`` or ``pace`` in seconds."""
+    def compute_percentile(self, name: str, fraction: float) -> float | None:
+        """Return a percentile of ``first_token`` or ``pace`` in seconds, or None without samples."""
         values = sorted(value for sample in self.samples if (value := getattr(sample, name)) is not None)
-        return values[min(len(values) - 1, int(len(values) * part))] if values else None
+        return values[min(len(values) - 1, int(len(values) * fraction))] if values else None
 
 
 @dataclass(slots=True)
 class Agreement:
-    """What a compared policy would have decided where another served."""
+    """The decisions of a compared policy on requests that another policy served."""
 
     asked: int = 0
     same: int = 0
     waited: int = 0
     sooner: float = 0.0
-    """Sum of the seconds by which it expected the first token sooner than the serving policy did."""
+    """Sum of the seconds by which the compared policy predicted earlier first tokens."""
 
 
 @dataclass(slots=True)
-class Comparison:
-    """All tallies of this VM."""
+class PolicyComparison:
+    """The statistics of all policies on this VM."""
 
-    tallies: dict[str, Tally] = field(default_factory=dict)
+    stats: dict[str, PolicyStats] = field(default_factory=dict)
     agreements: dict[tuple[str, str], Agreement] = field(default_factory=dict)
-    """By serving and compared policy."""
+    """By serving policy and compared policy."""
 
-    def note_served(self, policy: str, sample: Sample) -> None:
-        """Take in how a request of a policy went."""
-        self.tallies.setdefault(policy, Tally()).add(sample)
+    def record_served(self, policy: str, sample: Sample) -> None:
+        """Record the measurements of a request that a policy served."""
+        self.stats.setdefault(policy, PolicyStats()).add(sample)
 
-    def note_decision(self, serving: str, compared: str, same: bool | None, sooner: float) -> None:
-        """Take in a decision without effect; ``same`` is None where the compared policy would have waited."""
+    def record_decision(self, serving: str, compared: str, same: bool | None, sooner: float) -> None:
+        """Record a decision of a compared policy; ``same`` is None if that policy would have let the request wait."""
         agreement = self.agreements.setdefault((serving, compared), Agreement())
         agreement.asked += 1
         agreement.same += bool(same)
@@ -104,23 +104,25 @@
         agreement.sooner += sooner
 
 
-def judge(first: Interval, second: Interval, first_count: int, second_count: int, *, more_is_better: bool) -> Verdict:
-    """Tell whether the second of two shares is really better than the first."""
-    if min(first_count, second_count) < SAMPLES_TO_TELL:
+def compare_shares(
+    first: Interval, second: Interval, first_count: int, second_count: int, *, more_is_better: bool
+) -> Verdict:
+    """Return whether the second of two proportions is significantly better or worse than the first."""
+    if min(first_count, second_count) < MIN_SAMPLES:
         return Verdict.TOO_FEW
     error = math.sqrt(first.value * (1 - first.value) / first_count + second.value * (1 - second.value) / second_count)
     difference = second.value - first.value
-    if abs(difference) <= SURE * error or difference == 0:
+    if abs(difference) <= Z_SCORE * error or difference == 0:
         return Verdict.NO_DIFFERENCE
     return Verdict.BETTER if (difference > 0) == more_is_better else Verdict.WORSE
 
 
-def _measure_share(hits: int, count: int) -> Interval:
-    """Return a share with its Wilson interval."""
+def _compute_share(hits: int, count: int) -> Interval:
+    """Return a proportion with its Wilson score interval."""
     if count == 0:
         return Interval(0.0, 0.0, 1.0)
     share = hits / count
-    square = SURE**2
-    middle = (share + square / (2 * count)) / (1 + square / count)
-    spread = SURE * math.sqrt(share * (1 - share) / count + square / (4 * count**2)) / (1 + square / count)
-    return Interval(share, max(0.0, middle - spread), min(1.0, middle + spread))
+    square = Z_SCORE**2
+    center = (share + square / (2 * count)) / (1 + square / count)
+    margin = Z_SCORE * math.sqrt(share * (1 - share) / count + square / (4 * count**2)) / (1 + square / count)
+    return Interval(share, max(0.0, center - margin), min(1.0, center + margin))
--- a/src/beamhatch/decide/effect.py
+++ b/src/beamhatch/decide/effect.py
@@ -1,4 +1,4 @@
-"""The effects that a request asks for: what a task must do next."""
+"""Output effects of the request state machine: the actions that a task must carry out next."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskRecord:
-    """Record the caller's key on its holders."""
+class WriteRecord:
+    """Record the idempotency key on its holders."""
 
 
 @dataclass(frozen=True, slots=True)
-class AskPlacement:
-    """Choose upstreams for the request, leaving out those that failed it."""
+class ChooseFirst:
+    """Choose the first upstream, except those that have failed this request."""
 
     exclude: frozenset[UpstreamName]
 
 
 @dataclass(frozen=True, slots=True)
-class AskLanding:
-    """Choose a decode engine for the export that is held."""
+class ChooseDecode:
+    """Choose a decode engine for the exported KV cache."""
 
     exclude: frozenset[UpstreamName]
 
 
 @dataclass(frozen=True, slots=True)
-class FreePlacement:
-    """Give back queue place and reservations."""
+class ReleasePlacement:
+    """Release the queue entry and all reservations."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,29 +40,29 @@
 
     run: RunId
     upstream: UpstreamName
-    behind_sent: bool
-    """True where what the caller already has is to be prefilled behind the prompt."""
+    continues_output: bool
+    """True if the output that the caller already has is prefilled after the prompt."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartDecode:
-    """Have a decode engine fetch the export and generate."""
+    """Have a decode engine fetch the exported KV cache and generate the output."""
 
     run: RunId
     upstream: UpstreamName
-    behind_sent: bool
+    continues_output: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeDecode:
-    """Ask the same engine for the rest of a stream that broke."""
+    """Request the remainder of an interrupted stream from the same engine."""
 
     run: RunId
     upstream: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
-class StartCall:
+class StartServiceCall:
     """Send the request to a plain service."""
 
     run: RunId
@@ -71,28 +71,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRun:
-    """Have an upstream let go of everything it holds for a run; repeated until it is acknowledged."""
+    """Have an upstream release all resources of a run; repeated until acknowledged."""
 
     run: RunId
     upstream: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
-    """Tell the caller how it ended; the last effect of every request."""
+class FinishRequest:
+    """Report the outcome to the caller; the last effect of every request."""
 
     outcome: Outcome
 
 
-Effect = (
-    AskRecord
-    | AskPlacement
-    | AskLanding
-    | FreePlacement
+RequestEffect = (
+    WriteRecord
+    | ChooseFirst
+    | ChooseDecode
+    | ReleasePlacement
     | StartPrefill
     | StartDecode
     | ResumeDecode
-    | StartCall
+    | StartServiceCall
     | CancelRun
-    | Finish
+    | FinishRequest
 )
--- a/src/beamhatch/decide/fact.py
+++ b/src/beamhatch/decide/fact.py
@@ -1,4 +1,4 @@
-"""The facts that a request takes in: what a task observed of its caller, its record and its upstreams."""
+"""Input events of the request state machine, from the caller, the idempotency record and the upstreams."""
 
 from __future__ import annotations
 
@@ -20,39 +20,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """The request is whole and valid."""
+class RequestValidated:
+    """The request was received completely and is valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordGranted:
-    """Enough holders have recorded the caller's key for this request."""
+    """A majority of the holders has recorded the idempotency key for this request."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordSettled:
-    """The caller's key is taken, or could not be recorded: this is the answer."""
+    """The idempotency key is taken or could not be recorded; the request ends with the given outcome."""
 
     outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """The upstream for the first stage was chosen; a place to land may be counted on besides."""
+class FirstChosen:
+    """The upstream of the first stage was chosen; decode memory may have been reserved as well."""
 
     first: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
-class Landed:
-    """A decode engine was chosen for a prefill that has ended."""
+class DecodeChosen:
+    """The decode engine for a completed prefill was chosen."""
 
     decode: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementRefused:
-    """No place can be had in time."""
+class PlacementFailed:
+    """No upstream is available in time."""
 
     reason: Reason
     detail: str = ""
@@ -60,21 +60,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PrefillEnded:
+class PrefillCompleted:
     """The prefill engine holds the exported KV cache."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
-    """The upstream answered that the request itself is wrong; its answer is passed on."""
+class RequestRejected:
+    """The upstream responded that the request is invalid; its response is forwarded to the caller."""
 
     stage: Stage
     status: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """The upstream refused, with proof that it did not run."""
+class UpstreamRefused:
+    """The upstream refused the request and is known not to have run it."""
 
     stage: Stage
     detail: str
@@ -84,8 +84,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broke:
-    """The exchange with the upstream broke off; it may have run."""
+class UpstreamFailed:
+    """The exchange with the upstream was interrupted; the upstream may have run the request."""
 
     stage: Stage
     detail: str
@@ -93,48 +93,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstFrame:
-    """The decode engine holds the KV cache and its answer has begun."""
+class DecodeStarted:
+    """The decode engine holds the KV cache and has begun its response."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """The whole answer was passed on."""
+class ResponseCompleted:
+    """The complete response was forwarded to the caller."""
 
     status: int = 200
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
-    """The caller closed its connection, or stopped reading for too long."""
+class CallerDisconnected:
+    """The caller closed its connection or did not read for too long."""
 
 
 @dataclass(frozen=True, slots=True)
-class DeadlinePassed:
+class DeadlineExceeded:
     """The caller's own deadline passed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """The VM must let go of the request now."""
+class RequestAborted:
+    """The VM aborts the request, as on shutdown or when another VM supersedes it."""
 
     reason: Reason
 
 
-Fact = (
-    Begin
+RequestEvent = (
+    RequestValidated
     | RecordGranted
     | RecordSettled
-    | Placed
-    | Landed
-    | PlacementRefused
-    | PrefillEnded
-    | Rejected
-    | Refused
-    | Broke
-    | FirstFrame
-    | Ended
-    | CallerGone
-    | DeadlinePassed
-    | Cut
+    | FirstChosen
+    | DecodeChosen
+    | PlacementFailed
+    | PrefillCompleted
+    | RequestRejected
+    | UpstreamRefused
+    | UpstreamFailed
+    | DecodeStarted
+    | ResponseCompleted
+    | CallerDisconnected
+    | DeadlineExceeded
+    | RequestAborted
 )
--- a/src/beamhatch/decide/idempotency.py
+++ b/src/beamhatch/decide/idempotency.py
@@ -1,8 +1,8 @@
-"""The idempotency records that one VM holds.
+"""The store of idempotency records on one VM.
 
-A record says that a caller's key was taken by one request of one VM. It is written before anything is dispatched, on
-a majority of the VMs that hold the key, so that any two attempts meet at a holder. It is never forgotten before the
-retention has passed; when memory is full, new keys are refused instead.
+A record binds an idempotency key to one request of one VM. It is written to a majority of the key's holders before the
+request is dispatched, so any two attempts share a holder. Records are kept for the retention period; when the store is
+full, new keys are refused.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 if TYPE_CHECKING:
     from beamhatch.ids import Boot, RecordKey, RequestId, VmName
 
-RECORD_OVERHEAD = 400
-"""Bytes that a record costs beside its key and its answer; measured by benchmarks/slopes.py."""
+RECORD_OVERHEAD_BYTES = 400
+"""Memory of a record without its key and its response; see benchmarks/slopes.py."""
 
 
 class RecordState(Enum):
-    """How far the request behind a record is."""
+    """The progress of the request that owns a record."""
 
     RECORDED = "recorded"
-    """May be dispatched at any moment."""
+    """The request may be dispatched at any time."""
     ENDED = "ended"
     LOST = "lost"
-    """Its VM is gone; nobody knows whether it ran."""
+    """The request's VM is gone; whether the request ran is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
-    """How a request ended, with its answer where that is short enough to keep."""
+class StoredResponse:
+    """The outcome of a request, with its response body if that is small enough to store."""
 
     outcome: str
     reason: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One key and the request that took it."""
+    """An idempotency key and the request that owns it."""
 
     key: RecordKey
     digest: str
@@ -51,82 +51,82 @@
     boot: Boot
     request: RequestId
     state: RecordState
-    written: float
-    """Monotonic seconds of the holder."""
-    answer: KeptAnswer | None = None
+    written_at: float
+    """Time of the holder's monotonic clock, in seconds."""
+    response: StoredResponse | None = None
 
     @property
     def size(self) -> int:
-        """Return the bytes it takes in memory, about."""
-        body = len(self.answer.body) if self.answer and self.answer.body else 0
-        return RECORD_OVERHEAD + 2 * len(self.key) + body
+        """Return the approximate size in memory, in bytes."""
+        body = len(self.response.body) if self.response and self.response.body else 0
+        return RECORD_OVERHEAD_BYTES + 2 * len(self.key) + body
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
-    """The key was free and is now taken by the asking request."""
+class KeyGranted:
+    """The key is recorded for the request."""
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """The key belongs to another request."""
+class KeyTaken:
+    """The key belongs to another request, or its request has ended or is lost."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
-    """No memory for a new record."""
+class StoreFull:
+    """The store has no room for a new record."""
 
 
-Put = Granted | Taken | Full
+PutResult = KeyGranted | KeyTaken | StoreFull
 
 
 @dataclass(slots=True)
 class RecordStore:
-    """All records that one VM holds."""
+    """The idempotency records of one VM."""
 
-    most_records: int
-    most_bytes: int
+    max_records: int
+    max_bytes: int
     retention: float
     records: OrderedDict[RecordKey, Record] = field(default_factory=OrderedDict)
-    """In the order in which they were written."""
+    """Records by key, in insertion order."""
     bytes_held: int = 0
 
-    def put(self, key: RecordKey, digest: str, vm: VmName, boot: Boot, request: RequestId, now: float) -> Put:
-        """Take a key for a request; asking again for the same request changes nothing."""
+    def put(self, key: RecordKey, digest: str, vm: VmName, boot: Boot, request: RequestId, now: float) -> PutResult:
+        """Record a key for a request; idempotent until the request ends."""
         self.expire(now)
         record = self.records.get(key)
         if record is not None:
-            mine = record.request == request and record.state is RecordState.RECORDED
-            return Granted() if mine else Taken(record)
+            is_repeat = record.request == request and record.state is RecordState.RECORDED
+            return KeyGranted() if is_repeat else KeyTaken(record)
         record = Record(key, digest, vm, boot, request, RecordState.RECORDED, now)
-        if len(self.records) >= self.most_records or self.bytes_held + record.size > self.most_bytes:
-            return Full()
+        if len(self.records) >= self.max_records or self.bytes_held + record.size > self.max_bytes:
+            return StoreFull()
         self._set(record)
-        return Granted()
+        return KeyGranted()
 
-    def end(self, key: RecordKey, request: RequestId, answer: KeptAnswer) -> Record | None:
-        """Note how a request ended; a body that does not fit is left out."""
+    def complete(self, key: RecordKey, request: RequestId, response: StoredResponse) -> Record | None:
+        """Record the outcome of a request; a body that exceeds the memory limit is omitted."""
         record = self.records.get(key)
         if record is None or record.request != request or record.state is RecordState.ENDED:
             return None
-        if answer.body is not None and self.bytes_held + len(answer.body) > self.most_bytes:
-            answer = replace(answer, body=None)
-        ended = replace(record, state=RecordState.ENDED, answer=answer)
-        self._set(ended)
-        return ended
+        if response.body is not None and self.bytes_held + len(response.body) > self.max_bytes:
+            response = replace(response, body=None)
+        completed = replace(record, state=RecordState.ENDED, response=response)
+        self._set(completed)
+        return completed
 
     def drop(self, key: RecordKey, request: RequestId) -> bool:
-        """Free a key because its request is proved not to have run."""
+        """Remove the record of a request that provably has not run; return whether it was removed."""
         record = self.records.get(key)
         if record is None or record.request != request or record.state is RecordState.ENDED:
             return False
         self._remove(key)
         return True
 
-    def lose_owner(self, vm: VmName, boot: Boot) -> list[Record]:
-        """Note that a VM is gone, up to one of its starts; return the records that are lost by that."""
+    def mark_owner_lost(self, vm: VmName, boot: Boot) -> list[Record]:
+        """Mark the unfinished records of a VM, up to the given boot, as lost; return them."""
         lost = [
             record
             for record in self.records.values()
@@ -137,16 +137,16 @@
         return [replace(record, state=RecordState.LOST) for record in lost]
 
     def merge(self, record: Record) -> None:
-        """Take in another holder's record; what is further on wins."""
+        """Merge a record of another holder; the more advanced state takes precedence."""
         known = self.records.get(record.key)
-        if known is None or _RANK[record.state] > _RANK[known.state]:
+        if known is None or _STATE_RANKS[record.state] > _STATE_RANKS[known.state]:
             self._set(record)
 
     def expire(self, now: float) -> None:
-        """Forget records whose retention has passed and whose request has ended or is lost."""
+        """Remove expired records in insertion order, up to the first that is unexpired or whose request is open."""
         while self.records:
             record = next(iter(self.records.values()))
-            if now - record.written < self.retention or record.state is RecordState.RECORDED:
+            if now - record.written_at < self.retention or record.state is RecordState.RECORDED:
                 return
             self._remove(record.key)
 
@@ -159,4 +159,4 @@
         self.bytes_held -= self.records.pop(key).size
 
 
-_RANK = {RecordState.RECORDED: 0, RecordState.LOST: 1, RecordState.ENDED: 2}
+_STATE_RANKS = {RecordState.RECORDED: 0, RecordState.LOST: 1, RecordState.ENDED: 2}
--- a/src/beamhatch/decide/ledger.py
+++ b/src/beamhatch/decide/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger of one upstream: what this VM has there, what the other entry VMs say they have, and its lagging report.
+"""Load accounting for one upstream: this VM's requests, the loads of the other entry VMs and the upstream's reports.
 
-A report is true of a moment in the past. What all entry VMs together knew of at that moment is taken off it; the rest
-is work that nobody here knows. The load now is what is known now, plus that rest.
+A report describes the load at a time in the past. The load that the entry VMs knew of at that time is subtracted from
+it; the remainder is unattributed. The estimated current load is the load known now plus the unattributed load.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from beamhatch.decide.circuit import Breaker
+from beamhatch.decide.circuit import CircuitBreaker
 
 if TYPE_CHECKING:
     from beamhatch.ids import HallName, RequestId, UpstreamName
 
-KEPT_MOMENTS = 5.0
-"""Seconds for which it is remembered what was known; reports lag by less."""
+HISTORY_S = 5.0
+"""Time for which known loads are kept; it must exceed the delay of reports."""
 
 
-class Standing(Enum):
-    """Whether an upstream takes new work."""
+class UpstreamState(Enum):
+    """The lifecycle state of an upstream; only a serving one takes new requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
-    """What the configuration says of an upstream."""
+class UpstreamConfig:
+    """The configuration of one upstream; rates are in tokens per second."""
 
     name: UpstreamName
     address: str
@@ -43,10 +43,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """A load report, with its moment moved to this VM's monotonic clock."""
+class LoadSnapshot:
+    """A load report of an upstream; its time is on this VM's monotonic clock."""
 
-    at: float
+    time: float
     held_tokens: int
     capacity_tokens: int
     jobs: int
@@ -54,153 +54,153 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
-    """What one other entry VM has at an upstream."""
+class VmLoad:
+    """The load that one entry VM has at an upstream: KV tokens held and reserved, and requests."""
 
-    held: int
-    promised: int
+    held_tokens: int
+    reserved_tokens: int
     jobs: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Moment:
-    at: float
-    held: int
+class _KnownLoad:
+    time: float
+    held_tokens: int
     jobs: int
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Load and standing of one upstream, as this VM sees it."""
-
-    facts: Facts
-    standing: Standing = Standing.SERVING
-    breaker: Breaker = field(default_factory=Breaker)
-    report: Report | None = None
-    own: dict[RequestId, int] = field(default_factory=dict)
-    """KV tokens of this VM's own work there."""
-    promises: dict[RequestId, int] = field(default_factory=dict)
-    """Memory that this VM counts on for prefills that have not landed yet."""
-    shares: dict[str, Share] = field(default_factory=dict)
-    """By the other entry VMs."""
+    """The load and the state of one upstream as known to this VM."""
+
+    config: UpstreamConfig
+    state: UpstreamState = UpstreamState.SERVING
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
+    report: LoadSnapshot | None = None
+    own_runs: dict[RequestId, int] = field(default_factory=dict)
+    """KV tokens by request of this VM."""
+    reservations: dict[RequestId, int] = field(default_factory=dict)
+    """KV tokens that this VM has reserved for requests whose handoff has not started."""
+    vm_loads: dict[str, VmLoad] = field(default_factory=dict)
+    """Loads of the other entry VMs, by VM."""
     own_tokens: int = 0
-    own_promised: int = 0
+    own_reserved: int = 0
     _others_held: int = 0
-    _others_promised: int = 0
+    _others_reserved: int = 0
     _others_jobs: int = 0
-    _unknown_held: int = 0
-    _unknown_jobs: int = 0
-    _moments: deque[_Moment] = field(default_factory=deque)
+    _unattributed_held: int = 0
+    _unattributed_jobs: int = 0
+    _history: deque[_KnownLoad] = field(default_factory=deque)
 
     @property
-    def capacity(self) -> int:
-        """Return the KV tokens that fit."""
+    def capacity_tokens(self) -> int:
+        """Return the capacity in KV tokens, as reported or else as configured."""
         return (
-            self.report.capacity_tokens if self.report and self.report.capacity_tokens else self.facts.capacity_tokens
+            self.report.capacity_tokens if self.report and self.report.capacity_tokens else self.config.capacity_tokens
         )
 
     @property
-    def held(self) -> int:
-        """Return the KV tokens that are held, as far as is known."""
-        return self.own_tokens + self._others_held + self._unknown_held
+    def held_tokens(self) -> int:
+        """Return the estimated number of KV tokens held."""
+        return self.own_tokens + self._others_held + self._unattributed_held
 
     @property
-    def promised_tokens(self) -> int:
-        """Return the KV tokens that all entry VMs count on for prefills under way."""
-        return self.own_promised + self._others_promised
+    def reserved_tokens(self) -> int:
+        """Return the KV tokens that all entry VMs have reserved."""
+        return self.own_reserved + self._others_reserved
 
     @property
     def jobs(self) -> int:
-        """Return the number of requests there, as far as is known."""
-        return len(self.own) + self._others_jobs + self._unknown_jobs
+        """Return the estimated number of requests at the upstream."""
+        return len(self.own_runs) + self._others_jobs + self._unattributed_jobs
 
     @property
-    def free(self) -> int:
-        """Return the KV tokens that are free."""
-        return self.capacity - self.held
+    def free_tokens(self) -> int:
+        """Return the estimated number of free KV tokens, reserved ones included."""
+        return self.capacity_tokens - self.held_tokens
 
     @property
-    def pressure(self) -> float:
-        """Return the share of the memory that is held or promised; above 1 where promises wait for others to end."""
-        return (self.held + self.promised_tokens) / self.capacity
+    def utilization(self) -> float:
+        """Return the fraction of the memory that is held or reserved; above 1 if memory is overcommitted."""
+        return (self.held_tokens + self.reserved_tokens) / self.capacity_tokens
 
     @property
-    def own_share(self) -> Share:
-        """Return what this VM has there, to tell the others."""
-        return Share(self.own_tokens, self.own_promised, len(self.own))
+    def own_load(self) -> VmLoad:
+        """Return this VM's own load, as sent to the other entry VMs."""
+        return VmLoad(self.own_tokens, self.own_reserved, len(self.own_runs))
 
-    def is_usable(self, now: float, age_limit: float) -> bool:
-        """Tell whether new work may go there."""
-        if self.standing is not Standing.SERVING or not self.breaker.allows(now):
+    def is_usable(self, now: float, max_report_age: float) -> bool:
+        """Return whether the upstream serves, its circuit admits requests and its last report is recent enough."""
+        if self.state is not UpstreamState.SERVING or not self.breaker.allows_request(now):
             return False
-        return self.report is not None and now - self.report.at <= age_limit
+        return self.report is not None and now - self.report.time <= max_report_age
 
-    def send(self, request: RequestId, tokens: int, now: float) -> None:
-        """Enter work that goes there."""
-        self.own[request] = tokens
+    def record_dispatch(self, request: RequestId, tokens: int, now: float) -> None:
+        """Record that a request was sent to the upstream."""
+        self.own_runs[request] = tokens
         self.own_tokens += tokens
-        self.breaker.note_dispatch(now)
-        self._note_moment(now)
+        self.breaker.record_dispatch(now)
+        self._record_known_load(now)
 
-    def end(self, request: RequestId, now: float) -> None:
-        """Enter that work has ended."""
-        tokens = self.own.pop(request, None)
+    def record_end(self, request: RequestId, now: float) -> None:
+        """Record that a request has ended."""
+        tokens = self.own_runs.pop(request, None)
         if tokens is None:
             return
         self.own_tokens -= tokens
-        self.breaker.note_release()
-        self._note_moment(now)
-
-    def promise(self, request: RequestId, tokens: int) -> None:
-        """Count on memory for a prefill that is to land here."""
-        self.promises[request] = tokens
-        self.own_promised += tokens
-
-    def withdraw(self, request: RequestId) -> None:
-        """Take back a promise."""
-        self.own_promised -= self.promises.pop(request, 0)
-
-    def take_share(self, vm: str, share: Share | None, now: float) -> None:
-        """Enter what another entry VM says it has there; None where it is gone."""
-        old = self.shares.pop(vm, None) or Share(0, 0, 0)
-        new = share or Share(0, 0, 0)
-        if share is not None:
-            self.shares[vm] = share
-        self._others_held += new.held - old.held
-        self._others_promised += new.promised - old.promised
+        self.breaker.record_release()
+        self._record_known_load(now)
+
+    def reserve(self, request: RequestId, tokens: int) -> None:
+        """Reserve memory for a request that is to be handed to this engine."""
+        self.reservations[request] = tokens
+        self.own_reserved += tokens
+
+    def cancel_reservation(self, request: RequestId) -> None:
+        """Cancel a reservation."""
+        self.own_reserved -= self.reservations.pop(request, 0)
+
+    def apply_vm_load(self, vm: str, load: VmLoad | None, now: float) -> None:
+        """Apply the load of another entry VM; None if that VM is gone."""
+        old = self.vm_loads.pop(vm, None) or VmLoad(0, 0, 0)
+        new = load or VmLoad(0, 0, 0)
+        if load is not None:
+            self.vm_loads[vm] = load
+        self._others_held += new.held_tokens - old.held_tokens
+        self._others_reserved += new.reserved_tokens - old.reserved_tokens
         self._others_jobs += new.jobs - old.jobs
-        self._note_moment(now)
+        self._record_known_load(now)
 
-    def take_report(self, report: Report) -> None:
-        """Enter a report; one that is older than the last changes nothing."""
-        if self.report is not None and report.at < self.report.at:
+    def apply_report(self, report: LoadSnapshot) -> None:
+        """Apply a report; one older than the last is ignored."""
+        if self.report is not None and report.time < self.report.time:
             return
         self.report = report
-        known = self._find_moment(report.at)
-        self._unknown_held = max(0, report.held_tokens - known.held)
-        self._unknown_jobs = max(0, report.jobs - known.jobs)
+        known = self._get_known_load(report.time)
+        self._unattributed_held = max(0, report.held_tokens - known.held_tokens)
+        self._unattributed_jobs = max(0, report.jobs - known.jobs)
         if report.leaving:
-            self.standing = Standing.LEAVING
+            self.state = UpstreamState.LEAVING
 
-    def predict_free(self, seconds: float, lifetime: float) -> float:
-        """Return the KV tokens that are expected to be free after some seconds.
+    def predict_free_tokens(self, seconds: float, residence: float) -> float:
+        """Return the KV tokens that are expected to be free after some seconds, without the reserved ones.
 
-        What is held is expected to end evenly over a lifetime. The predicted end of each single answer is no help:
-        those that last longer than the mean are overdue, and would be taken as free at any moment.
+        Held memory is assumed to be released uniformly over the mean residence time. Per-request predictions would
+        count requests that outlast the mean as about to end.
         """
-        ending = self.held * min(1.0, seconds / max(lifetime, 0.001))
-        return self.free - self.promised_tokens + ending
+        ending = self.held_tokens * min(1.0, seconds / max(residence, 0.001))
+        return self.free_tokens - self.reserved_tokens + ending
 
-    def _note_moment(self, now: float) -> None:
+    def _record_known_load(self, now: float) -> None:
         held = self.own_tokens + self._others_held
-        jobs = len(self.own) + self._others_jobs
-        self._moments.append(_Moment(now, held, jobs))
-        while self._moments[0].at < now - KEPT_MOMENTS and len(self._moments) > 1:
-            self._moments.popleft()
-
-    def _find_moment(self, at: float) -> _Moment:
-        """Return what was known at a time."""
-        for moment in reversed(self._moments):
-            if moment.at <= at:
-                return moment
-        return _Moment(at, 0, 0)
+        jobs = len(self.own_runs) + self._others_jobs
+        self._history.append(_KnownLoad(now, held, jobs))
+        while self._history[0].time < now - HISTORY_S and len(self._history) > 1:
+            self._history.popleft()
+
+    def _get_known_load(self, at: float) -> _KnownLoad:
+        """Return the load that was known at a time."""
+        for known in reversed(self._history):
+            if known.time <= at:
+                return known
+        return _KnownLoad(at, 0, 0)
--- a/src/beamhatch/decide/policy/api.py
+++ b/src/beamhatch/decide/policy/api.py
@@ -1,4 +1,4 @@
-"""What a routing policy is."""
+"""The interface of routing policies."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 @dataclass(slots=True)
-class Need:
-    """What a request needs of a pool."""
+class ResourceNeed:
+    """The resources and targets of a request in a pool; times are in seconds."""
 
     request: RequestId
     workspace: WorkspaceName
     prompt_tokens: int
     output_tokens: int
-    arrived: float
+    arrival_time: float
     priority: Priority = Priority.NORMAL
     first_token_target: float = 0.32
-    pace_target: float = 0.076
+    token_interval_target: float = 0.076
     deadline: float | None = None
     drop_if_late: bool = False
     weight: float = 1.0
@@ -35,49 +35,49 @@
     exclude: frozenset[str] = frozenset()
     labels: dict[str, str] = field(default_factory=dict)
     policy: str = ""
-    """Name of the policy that serves it."""
-    lead: float = 0.0
-    """Seconds that it needs from its start to its first token, with nobody before it."""
+    """Name of the serving policy."""
+    first_token_delay: float = 0.0
+    """Estimated seconds from start to first token on idle engines, plus a margin."""
 
     @property
     def tokens(self) -> int:
-        """Return the KV tokens held at the end of the answer."""
+        """Return the KV tokens held when the output is complete."""
         return self.prompt_tokens + self.output_tokens
 
     @property
-    def due(self) -> float:
-        """Return when the first token should be with the caller."""
-        return self.arrived + self.first_token_target
+    def first_token_due(self) -> float:
+        """Return the time at which the caller should have the first token."""
+        return self.arrival_time + self.first_token_target
 
     @property
     def latest_start(self) -> float:
-        """Return the last moment at which a start still meets the target."""
-        return self.due - self.lead
+        """Return the latest start time that meets the first-token target."""
+        return self.first_token_due - self.first_token_delay
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """Where a request goes; ``decode`` is None where that is left until the prefill has ended."""
+class UpstreamChoice:
+    """The upstreams of a request; ``decode`` is None if it is chosen after the prefill."""
 
     first: Ledger
     decode: Ledger | None
-    first_token_at: float
-    """When the first token is expected."""
+    first_token_time: float
+    """Expected time of the first token."""
 
 
 class Policy(ABC):
-    """Chooses upstreams. It only looks; what it chose is entered by the pool."""
+    """A strategy that chooses upstreams; it changes no load accounting, which the pool updates."""
 
-    queues = True
-    """Whether requests that find no place wait for one, rather than being sent on regardless."""
+    queues_requests = True
+    """True if requests wait for capacity; if False, a request for which nothing is chosen is refused."""
 
     def __init__(self, parameters: Mapping[str, float] | None = None) -> None:
         self.parameters = dict(parameters or {})
 
     @abstractmethod
-    def start(self, need: Need, fleet: Fleet, now: float) -> Choice | None:
-        """Choose where a request begins, or return None to let it wait."""
+    def choose_first(self, need: ResourceNeed, fleet: Fleet, now: float) -> UpstreamChoice | None:
+        """Choose the first upstream of a request, or return None to let it wait."""
 
     @abstractmethod
-    def land(self, need: Need, fleet: Fleet, now: float) -> Ledger | None:
-        """Choose the decode engine for a prefill that has ended, or return None to let it wait."""
+    def choose_decode(self, need: ResourceNeed, fleet: Fleet, now: float) -> Ledger | None:
+        """Choose the decode engine for a completed prefill, or return None to let it wait."""
--- a/src/beamhatch/decide/promotion.py
+++ b/src/beamhatch/decide/promotion.py
@@ -1,4 +1,4 @@
-"""What promoting and withdrawing a policy mean for the slices."""
+"""Compute the slice changes that promote or withdraw a policy."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
     from collections.abc import Sequence
 
 DEFAULT_SLICE = Slice(name="default", policy=DEFAULT_POLICY)
-"""What serves where no slice is configured."""
+"""The slice that applies if none is configured."""
 
-Rearranged = tuple[list[Slice], list[str]]
-"""Slices to put, and full names of slices to remove."""
+SliceChanges = tuple[list[Slice], list[str]]
+"""Slices to write, and document names of slices to remove."""
 
 
 class PromotionError(ValueError):
-    """The slices can't be rearranged like that."""
+    """The policy cannot be promoted or withdrawn."""
 
 
-def promote(slices: Sequence[Slice], policy: str, _: str | None = None) -> Rearranged:
-    """Let a policy serve all traffic that no other slice takes, and compare the one before with it."""
+def promote(slices: Sequence[Slice], policy: str, _: str | None = None) -> SliceChanges:
+    """Make a policy serve the default slice, and compare the previous policy with it."""
     default = _find_default(slices)
     compared = [name for name in dict.fromkeys([default.policy, *default.compared]) if name != policy]
     put = [replace(default, policy=policy, compared=compared if slices else [])]
@@ -32,11 +32,11 @@
     return put, remove
 
 
-def withdraw(slices: Sequence[Slice], policy: str, to: str | None = None) -> Rearranged:
-    """Take a policy out of all slices.
+def withdraw(slices: Sequence[Slice], policy: str, replacement: str | None = None) -> SliceChanges:
+    """Remove a policy from all slices.
 
-    :param to: what serves all traffic instead, where the policy does so now
-    :raises PromotionError: where the policy serves all traffic and nothing is named instead
+    :param replacement: the policy that takes over the default slice if the withdrawn policy serves it
+    :raises PromotionError: if the policy serves the default slice and no other policy is named
     """
     default = _find_default(slices)
     put: list[Slice] = []
@@ -48,10 +48,14 @@
         elif item.policy == policy and item is not default:
             remove.append(f"slice/{item.name}")
     if default.policy == policy:
-        if to is None or to == policy:
-            raise PromotionError(f"{policy!r} serves all traffic; name the policy that is to serve instead")
+        if replacement is None or replacement == policy:
+            raise PromotionError(f"{policy!r} serves all traffic; name the policy that replaces it")
         put.append(
-            replace(default, policy=to, compared=[name for name in default.compared if name not in (policy, to)])
+            replace(
+                default,
+                policy=replacement,
+                compared=[name for name in default.compared if name not in (policy, replacement)],
+            )
         )
     return put, remove
 
--- a/src/beamhatch/decide/traffic.py
+++ b/src/beamhatch/decide/traffic.py
@@ -1,4 +1,4 @@
-"""Which policy serves a request: slices of the traffic, cut by labels and by a stable hash."""
+"""Assign requests to policies by traffic slices, which select by labels and by a stable hash."""
 
 from __future__ import annotations
 
@@ -17,61 +17,61 @@
     from beamhatch.settings.schema import Slice
 
 DEFAULT_POLICY = "predicted"
-"""Serves where no slice says otherwise."""
+"""The policy of requests that no slice selects."""
 
-_PARTS = 10_000
+_BUCKET_COUNT = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class Serving:
-    """The policies for one request."""
+class PolicyAssignment:
+    """The serving policy and the compared policies of a request."""
 
     policy: str
-    compared: tuple[str, ...] = ()
+    compared_policies: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class _Cut:
+class _SliceRule:
     selector: Selector
     salt: str
-    parts: int
-    serving: Serving
+    bucket_count: int
+    assignment: PolicyAssignment
 
 
 @dataclass(slots=True)
-class Traffic:
-    """All slices and policies of a configuration."""
+class TrafficSlices:
+    """The slices and policies of a configuration."""
 
-    cuts: list[_Cut] = field(default_factory=list)
+    rules: list[_SliceRule] = field(default_factory=list)
     policies: dict[str, Policy] = field(default_factory=dict)
 
     def apply(self, slices: Sequence[Slice], documents: Sequence[PolicyDocument]) -> None:
-        """Take the slices and policies of a configuration; a policy that did not change keeps what it learned."""
-        self.cuts = [
-            _Cut(
+        """Replace all slices and policies by those of a configuration."""
+        self.rules = [
+            _SliceRule(
                 parse_selector(item.selector),
                 item.name,
-                round(item.percent * _PARTS / 100),
-                Serving(item.policy, tuple(item.compared)),
+                round(item.percent * _BUCKET_COUNT / 100),
+                PolicyAssignment(item.policy, tuple(item.compared)),
             )
             for item in slices
         ]
         self.policies = {item.name: make_policy(item.algorithm, item.parameters) for item in documents}
         self.policies.setdefault(DEFAULT_POLICY, make_policy(DEFAULT_POLICY))
 
-    def find(self, labels: Mapping[str, str], identity: str) -> Serving:
-        """Return the policies for a request; the same identity always gives the same ones."""
-        for cut in self.cuts:
-            if select(cut.selector, labels) and hash_part(cut.salt, identity) < cut.parts:
-                return cut.serving
-        return Serving(DEFAULT_POLICY)
+    def get_assignment(self, labels: Mapping[str, str], identity: str) -> PolicyAssignment:
+        """Return the policies for a request; the same labels and identity give the same policies."""
+        for rule in self.rules:
+            if select(rule.selector, labels) and compute_bucket(rule.salt, identity) < rule.bucket_count:
+                return rule.assignment
+        return PolicyAssignment(DEFAULT_POLICY)
 
     def get_policy(self, name: str) -> Policy:
-        """Return a policy, or the default one if it was withdrawn meanwhile."""
+        """Return a policy by name, or the default policy if it no longer exists."""
         return self.policies.get(name) or self.policies[DEFAULT_POLICY]
 
 
-def hash_part(salt: str, identity: str) -> int:
-    """Return which of 10,000 parts an identity falls into; growing a slice keeps what was in it."""
+def compute_bucket(salt: str, identity: str) -> int:
+    """Return the bucket, of 10,000, of an identity; a slice that grows keeps the buckets that it had."""
     digest = hashlib.blake2b(f"{salt}/{identity}".encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") % _PARTS
+    return int.from_bytes(digest, "big") % _BUCKET_COUNT
--- a/src/beamhatch/decide/waiting.py
+++ b/src/beamhatch/decide/waiting.py
@@ -1,8 +1,7 @@
-"""The order in which waiting requests are served.
+"""The queue of the requests that wait for capacity of one pool.
 
-By priority; within a priority those that can still meet their target before those that cannot; among workspaces by
-weighted fair shares; within a workspace by due time. A request that has waited long moves up a priority, so that
-every class moves on.
+Requests are ordered by priority, then on-time requests before late ones, then by weighted fair sharing among
+workspaces, then by latest start. Every ``LATE_TURN_PERIOD``-th turn serves late requests of all priorities first.
 """
 
 from __future__ import annotations
@@ -17,116 +16,118 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from beamhatch.decide.policy.api import Need
+    from beamhatch.decide.policy.api import ResourceNeed
     from beamhatch.ids import RequestId, WorkspaceName
 
-LATE_TURN = 32
-"""Every so many turns, a request that is already late goes first."""
+LATE_TURN_PERIOD = 32
+"""Number of turns of which one serves late requests first."""
 
 
 Lane = tuple[Priority, bool]
 """A priority, and whether its requests are late."""
 
 
-class _Line:
-    """The waiting requests of one workspace in one lane, in the order of their latest starts."""
+class _WorkspaceQueue:
+    """The queued requests of one workspace in one lane, sorted by latest start."""
 
     def __init__(self) -> None:
         self.needs: SortedKeyList = SortedKeyList(key=lambda need: (need.latest_start, need.request))
 
 
 @dataclass(slots=True)
-class Waiting:
-    """All waiting requests of one pool."""
+class WaitQueue:
+    """The queued requests of one pool."""
 
-    needs: dict[RequestId, Need] = field(default_factory=dict)
+    needs: dict[RequestId, ResourceNeed] = field(default_factory=dict)
     _tokens: dict[Lane, int] = field(default_factory=dict)
-    _lines: dict[Lane, dict[WorkspaceName, _Line]] = field(default_factory=dict)
-    _served: dict[WorkspaceName, float] = field(default_factory=dict)
-    _where: dict[RequestId, Lane] = field(default_factory=dict)
-    _floor: float = 0.0
+    _queues: dict[Lane, dict[WorkspaceName, _WorkspaceQueue]] = field(default_factory=dict)
+    _service_received: dict[WorkspaceName, float] = field(default_factory=dict)
+    _lanes: dict[RequestId, Lane] = field(default_factory=dict)
+    _virtual_time: float = 0.0
     _turns: int = 0
 
     def __len__(self) -> int:
         return len(self.needs)
 
-    def add(self, need: Need, *, late: bool) -> None:
-        """Let a request wait."""
+    def add(self, need: ResourceNeed, *, late: bool) -> None:
+        """Add a request to the queue."""
         self.needs[need.request] = need
-        self._served[need.workspace] = max(self._served.get(need.workspace, 0.0), self._floor)
-        self._enter(need, (need.priority, late))
+        self._service_received[need.workspace] = max(
+            self._service_received.get(need.workspace, 0.0), self._virtual_time
+        )
+        self._insert(need, (need.priority, late))
 
-    def remove(self, request: RequestId) -> Need | None:
-        """Take a request out, without serving it."""
+    def remove(self, request: RequestId) -> ResourceNeed | None:
+        """Remove a request without charging its workspace."""
         need = self.needs.pop(request, None)
         if need is not None:
-            self._leave(need)
+            self._discard(need)
         return need
 
-    def serve(self, request: RequestId) -> None:
-        """Take a request out because it is served now, and charge its workspace."""
+    def pop_for_start(self, request: RequestId) -> None:
+        """Remove a request that starts now, and charge its workspace."""
         need = self.remove(request)
         if need is None:
             return
         self._turns += 1
-        self._floor = self._served[need.workspace]
-        self._served[need.workspace] += need.tokens / need.weight
+        self._virtual_time = self._service_received[need.workspace]
+        self._service_received[need.workspace] += need.tokens / need.weight
 
-    def list_next(self) -> Iterator[Need]:
-        """Yield the requests that are next, one of each line, best first."""
+    def iterate_next(self) -> Iterator[ResourceNeed]:
+        """Yield the first request of each workspace and lane, in the order in which they are served."""
         for lane in self._order_lanes():
-            lines = self._lines.get(lane, {})
-            for workspace in sorted(lines, key=lambda name: self._served[name]):
-                yield lines[workspace].needs[0]
+            queues = self._queues.get(lane, {})
+            for workspace in sorted(queues, key=lambda name: self._service_received[name]):
+                yield queues[workspace].needs[0]
 
-    def goes_first(self, priority: Priority) -> bool:
-        """Tell whether a request that comes now goes before all that wait."""
-        return not any(self._tokens.get(lane) for lane in self._lines if lane <= (priority, False))
+    def precedes_all(self, priority: Priority) -> bool:
+        """Return whether a new on-time request of this priority precedes all queued requests."""
+        return not any(self._tokens.get(lane) for lane in self._queues if lane <= (priority, False))
 
     def count_tokens_before(self, priority: Priority) -> int:
-        """Return the KV tokens of those that go before a request that comes now and is on time."""
+        """Return the KV tokens of the requests that precede a new on-time request of this priority."""
         return sum(tokens for lane, tokens in self._tokens.items() if lane <= (priority, False))
 
     def count_tokens(self) -> int:
-        """Return the KV tokens of all that wait."""
+        """Return the KV tokens of all queued requests."""
         return sum(self._tokens.values())
 
     def count_late_tokens(self) -> int:
-        """Return the KV tokens of those that are late."""
+        """Return the KV tokens of all late requests."""
         return sum(tokens for (_, late), tokens in self._tokens.items() if late)
 
     def move_late(self, now: float) -> None:
-        """Move those that can't meet their target any more behind the others of their priority."""
+        """Move requests whose latest start has passed to the late lane of their priority."""
         for priority in Priority:
-            for line in list(self._lines.get((priority, False), {}).values()):
-                while line.needs and line.needs[0].latest_start < now:
-                    need = line.needs[0]
-                    self._leave(need)
-                    self._enter(need, (priority, True))
-
-    def pick_least(self) -> Need | None:
-        """Return the late request that matters least: of the lowest priority, the one that came last."""
+            for queue in list(self._queues.get((priority, False), {}).values()):
+                while queue.needs and queue.needs[0].latest_start < now:
+                    need = queue.needs[0]
+                    self._discard(need)
+                    self._insert(need, (priority, True))
+
+    def get_least_urgent_late(self) -> ResourceNeed | None:
+        """Return a late request of the lowest priority, the most recent among the last of each workspace."""
         for priority in reversed(Priority):
-            lines = self._lines.get((priority, True), {})
-            if lines:
-                return max((line.needs[-1] for line in lines.values()), key=lambda need: need.arrived)
+            queues = self._queues.get((priority, True), {})
+            if queues:
+                return max((queue.needs[-1] for queue in queues.values()), key=lambda need: need.arrival_time)
         return None
 
     def _order_lanes(self) -> list[Lane]:
-        late_first = self._turns % LATE_TURN == LATE_TURN - 1
+        late_first = self._turns % LATE_TURN_PERIOD == LATE_TURN_PERIOD - 1
         if late_first:
             return [(priority, late) for late in (True, False) for priority in Priority]
         return [(priority, late) for priority in Priority for late in (False, True)]
 
-    def _enter(self, need: Need, lane: Lane) -> None:
-        self._where[need.request] = lane
+    def _insert(self, need: ResourceNeed, lane: Lane) -> None:
+        self._lanes[need.request] = lane
         self._tokens[lane] = self._tokens.get(lane, 0) + need.tokens
-        self._lines.setdefault(lane, {}).setdefault(need.workspace, _Line()).needs.add(need)
+        self._queues.setdefault(lane, {}).setdefault(need.workspace, _WorkspaceQueue()).needs.add(need)
 
-    def _leave(self, need: Need) -> None:
-        lane = self._where.pop(need.request)
+    def _discard(self, need: ResourceNeed) -> None:
+        lane = self._lanes.pop(need.request)
         self._tokens[lane] -= need.tokens
-        lines = self._lines[lane]
-        lines[need.workspace].needs.remove(need)
-        if not lines[need.workspace].needs:
-            del lines[need.workspace]
+        queues = self._queues[lane]
+        queues[need.workspace].needs.remove(need)
+        if not queues[need.workspace].needs:
+            del queues[need.workspace]
