--- a/benchmarks/own_words.py
+++ b/benchmarks/own_words.py
@@ -33,7 +33,7 @@
 def play_departure(vms: int, halls: int) -> dict[str, object]:
     """Have one VM hear that an engine leaves, and wait until all know."""
     platform = make_fleet(vms, halls)
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(1.0)
     life = Life(UpstreamId("decode-0"), platform.upstreams["decode-0"].born)
     daemons = list(platform.vms.values())
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -56,7 +56,7 @@
     """End three engines with full streams, and wait until all VMs keep the request away."""
     platform = make_fleet(vms, halls)
     names = list(platform.vms)
-    platform.ledger.deadly.add(TARGET)
+    platform.ledger.crash_inducing.add(TARGET)
     number = 0
     while len(platform.ledger.crashes) < ENDS:
         number += 1
--- a/benchmarks/restores.py
+++ b/benchmarks/restores.py
@@ -12,7 +12,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from beamhatch.platform.epochs import find_epoch
+from beamhatch.platform.epochs import get_epoch
 from beamhatch.platform.standin.store import StoreFault
 from benchmarks.quarantine import make_fleet
 
@@ -39,7 +39,7 @@
 
 def lose_changes(platform: Platform, *, restores: bool) -> None:
     """Have some hundred changes and entries written, and the store restored from a backup that lacks them."""
-    backup = platform.store.make_copy()
+    backup = platform.store.make_backup()
     for number in range(CHANGES):
         platform.store.put(f"status/{number % 7}", b"")
     for name in platform.upstreams:
@@ -47,10 +47,10 @@
     platform.network.run(2.0)
     if not restores:
         return
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(AWAY)
     platform.store.fault = StoreFault.NONE
-    platform.store.come_back_from(backup)
+    platform.store.restore(backup)
 
 
 def follow(platform: Platform, epoch: int) -> float:
@@ -64,7 +64,7 @@
     written = platform.clock.now() - begun
 
     def knows_all() -> bool:
-        return all(vm.core.version == 2 and find_epoch(vm.core.revision) == epoch for vm in platform.vms.values())
+        return all(vm.core.version == 2 and get_epoch(vm.core.revision) == epoch for vm in platform.vms.values())
 
     platform.network.run_until(knows_all, 20.0)
     return platform.clock.now() - begun - written
--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -14,21 +14,21 @@
 from beamhatch.relay.upstreams.retry_after import read_retry_after
 from beamhatch.relay.workspaces.workspace import KeyDigest, digest_key
 
-REQUEST_ID = "request-id"
-DEADLINE = "deadline-ms"
-LAST_EVENT = "last-event-id"
-PARTS = "prompt-prefix"
-TOKENS = "token-count"
-GUESS = "length-hint"
+REQUEST_ID_HEADER = "request-id"
+DEADLINE_HEADER = "deadline-ms"
+LAST_EVENT_HEADER = "last-event-id"
+PROMPT_PREFIX_HEADER = "prompt-prefix"
+TOKEN_COUNT_HEADER = "token-count"
+LENGTH_HINT_HEADER = "length-hint"
 """The caller's guess of the tokens that the answer will have."""
 
-KEY = "authorization"
+KEY_HEADER = "authorization"
 KEY_SCHEME = "bearer"
-WORKSPACE = "tenant"
+WORKSPACE_HEADER = "tenant"
 
-OWN = frozenset(
+INTERNAL_HEADERS = frozenset(
     {
-        DEADLINE,
+        DEADLINE_HEADER,
         "expect-instance",
         "expect-version",
         "stage",
@@ -42,38 +42,38 @@
 )
 """Headers that only the system sets; what a caller sends of them is dropped."""
 
-OF_WORKSPACES = frozenset({KEY, WORKSPACE})
+WORKSPACE_HEADERS = frozenset({KEY_HEADER, WORKSPACE_HEADER})
 """Headers that concern nobody but the relay where it admits requests by keys."""
 
-LEAVING = "server-leaving"
-LIMIT = "server-limit"
-SAYS_SO = "1"
+LEAVING_HEADER = "server-leaving"
+LIMIT_HEADER = "server-limit"
+LEAVING_VALUE = "1"
 """The only value by which an upstream says that it leaves; any other says nothing."""
 
-TURNED_AWAY = frozenset({429, 503})
+BACKOFF_STATUSES = frozenset({429, 503})
 """Statuses by which an upstream turns a request away; with these it may ask for rest."""
 
-MOST_ID_BYTES = 200
+MAX_REQUEST_ID_LENGTH = 200
 """Characters of a request id at the most: ids of the platform have 16, and logs repeat them."""
 
 
 _DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+", re.ASCII)
 
 
-class _Prefilled(msgspec.Struct):
+class _PrefillResponse(msgspec.Struct):
     """The answer to a prefill."""
 
     kv_handle: str
 
 
-class _Held(msgspec.Struct):
+class _ReservationResponse(msgspec.Struct):
     """The answer to a reservation."""
 
     hold: str | int
 
 
-_read_held = msgspec.json.Decoder(_Held).decode
-_read_prefilled = msgspec.json.Decoder(_Prefilled).decode
+_decode_reservation = msgspec.json.Decoder(_ReservationResponse).decode
+_decode_prefill = msgspec.json.Decoder(_PrefillResponse).decode
 
 
 class PlatformDialect(Dialect):
@@ -85,32 +85,32 @@
         keys: list[str] = []
         for name, value in headers:
             lower = name.lower()
-            if lower == REQUEST_ID and lower in found:
+            if lower == REQUEST_ID_HEADER and lower in found:
                 return BadRequest(400, "more than one Request-Id")
-            if lower == KEY:
+            if lower == KEY_HEADER:
                 keys.append(value)
             found[lower] = value
-        request = found.get(REQUEST_ID, "")
-        if not request or len(request) > MOST_ID_BYTES:
+        request = found.get(REQUEST_ID_HEADER, "")
+        if not request or len(request) > MAX_REQUEST_ID_LENGTH:
             return BadRequest(400, "no usable Request-Id")
-        deadline = _read_number(found.get(DEADLINE))
-        prompt, output = _read_tokens(found.get(TOKENS))
+        deadline = _parse_number(found.get(DEADLINE_HEADER))
+        prompt, output = _parse_token_counts(found.get(TOKEN_COUNT_HEADER))
         return RequestFacts(
             id=request,
             time_left=None if deadline is None else deadline / 1000,
-            last_event=_read_number(found.get(LAST_EVENT)),
+            last_event=_parse_number(found.get(LAST_EVENT_HEADER)),
             prompt_tokens=prompt,
             output_tokens=output,
-            parts=_read_parts(found.get(PARTS)),
-            output_guess=_read_number(found.get(GUESS)) or 0,
-            key=_read_key(keys),
+            parts=_parse_prompt_parts(found.get(PROMPT_PREFIX_HEADER)),
+            output_guess=_parse_number(found.get(LENGTH_HINT_HEADER)) or 0,
+            key=_parse_key(keys),
         )
 
     def write_request(self, headers: Headers, terms: SendTerms) -> Headers:
         """Return the headers for an upstream."""
-        dropped = OWN | {LAST_EVENT} if terms.last_event is not None else OWN
+        dropped = INTERNAL_HEADERS | {LAST_EVENT_HEADER} if terms.last_event is not None else INTERNAL_HEADERS
         if terms.keyed:
-            dropped |= OF_WORKSPACES
+            dropped |= WORKSPACE_HEADERS
         written = [(name, value) for name, value in headers if name.lower() not in dropped]
         written.append(("Deadline-Ms", str(max(1, int(terms.time_left * 1000)))))
         written.append(("Expect-Instance", terms.expect))
@@ -130,20 +130,20 @@
         """Return what an upstream's headers say."""
         found = {name.lower(): value for name, value in headers}
         return AnswerFacts(
-            request=found.get(REQUEST_ID),
+            request=found.get(REQUEST_ID_HEADER),
             signed="response-signature" in found,
             not_run="not-executed" in found,
             encoded=found.get("content-encoding", "identity").lower() != "identity",
-            load=_read_load(found.get("server-load")),
-            leaving=found.get(LEAVING, "").strip() == SAYS_SO,
-            rest=read_retry_after(found.get("retry-after"), found.get("date")) if status in TURNED_AWAY else None,
-            limit=_read_limit(found.get(LIMIT)),
+            load=_parse_load(found.get("server-load")),
+            leaving=found.get(LEAVING_HEADER, "").strip() == LEAVING_VALUE,
+            rest=read_retry_after(found.get("retry-after"), found.get("date")) if status in BACKOFF_STATUSES else None,
+            limit=_parse_limit(found.get(LIMIT_HEADER)),
         )
 
     def read_handle(self, body: bytes) -> str | None:
         """Return the id of the KV cache that was prefilled."""
         try:
-            return _read_prefilled(body).kv_handle
+            return _decode_prefill(body).kv_handle
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
@@ -159,7 +159,7 @@
     def read_reservation(self, body: bytes) -> str | None:
         """Return the id of what was set aside."""
         try:
-            return str(_read_held(body).hold)
+            return str(_decode_reservation(body).hold)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
@@ -180,11 +180,11 @@
     return Call(method, path, headers, body)
 
 
-def _read_number(text: str | None) -> int | None:
+def _parse_number(text: str | None) -> int | None:
     return int(text) if text is not None and text.isascii() and text.isdigit() else None
 
 
-def _read_key(values: list[str]) -> KeyDigest | None:
+def _parse_key(values: list[str]) -> KeyDigest | None:
     """Return the digest of the one key that a caller showed; several, or another scheme's, count as none."""
     if len(values) != 1:
         return None
@@ -193,21 +193,21 @@
     return digest_key(key) if key and scheme.lower() == KEY_SCHEME else None
 
 
-def _read_tokens(text: str | None) -> tuple[int, int]:
+def _parse_token_counts(text: str | None) -> tuple[int, int]:
     prompt, _, output = (text or "").partition(",")
-    return _read_number(prompt.strip()) or 0, _read_number(output.strip()) or 0
+    return _parse_number(prompt.strip()) or 0, _parse_number(output.strip()) or 0
 
 
-def _read_parts(text: str | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(text: str | None) -> tuple[PromptPart, ...]:
     parts = []
     for word in (text or "").split(","):
         name, _, tokens = word.strip().partition(":")
         if name:
-            parts.append(PromptPart(name, _read_number(tokens) or 0))
+            parts.append(PromptPart(name, _parse_number(tokens) or 0))
     return tuple(parts)
 
 
-def _read_limit(text: str | None) -> NamedLimit | None:
+def _parse_limit(text: str | None) -> NamedLimit | None:
     """Return the limit that an upstream names; a negative number, a word or one beyond all numbers is not clear."""
     if text is None:
         return None
@@ -216,8 +216,8 @@
     return NamedLimit(rate) if math.isfinite(rate) else UNCLEAR_LIMIT
 
 
-def _read_load(text: str | None) -> Load | None:
-    numbers = [_read_number(word.strip()) for word in (text or "").split(",")]
+def _parse_load(text: str | None) -> Load | None:
+    numbers = [_parse_number(word.strip()) for word in (text or "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     running, waiting, slots = (number or 0 for number in numbers)
--- a/src/beamhatch/platform/documents.py
+++ b/src/beamhatch/platform/documents.py
@@ -35,26 +35,26 @@
     from beamhatch.observe.journal import Journal
 
 
-MOST_NAME = 200
+MAX_NAME_LENGTH = 200
 """Characters of a name in an entry at the most: the limit that the store's pages set for keys."""
 
-MOST_SLOTS = 65_535
+MAX_SLOTS = 65_535
 """Requests at once: one caller has no more connections to an address, by the number of its ports. Engines have 128."""
 
-LARGEST_WHOLE = 2**53 - 1
+MAX_SAFE_INTEGER = 2**53 - 1
 """The largest number that all who read JSON read alike (RFC 8259, section 6). As milliseconds it is 285,000 years."""
 
-LONGEST_HOST = 253
+MAX_HOST_NAME_LENGTH = 253
 """Characters of a host's name at the most (RFC 1035, section 2.3.4, written out)."""
 
 _HOST_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?(\.[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?)*")
 """Labels of letters, digits and inner hyphens (RFC 1123, section 2.1)."""
 
-LONGEST_COLD_MS = 86_400_000
+MAX_COLD_MS = 86_400_000
 """Milliseconds: a day. Upstreams of the measured deployments are cold for 25 s at the most."""
 
 
-class _Split(msgspec.Struct):
+class _TrafficSplit(msgspec.Struct):
     service: str
     weight: float
 
@@ -67,7 +67,7 @@
     timeout_ms: float
     target_latency_ms: float
     service: str = ""
-    traffic_split: list[_Split] = []
+    traffic_split: list[_TrafficSplit] = []
     max_attempts: int = 1
     resumable: bool = False
     target_gap_ms: float = 300
@@ -127,37 +127,37 @@
     tenants: list[_Tenant] = []
 
 
-class _State(Enum):
+class _UpstreamState(Enum):
     READY = "ready"
     DRAINING = "draining"
 
 
-class _Server(msgspec.Struct):
+class _UpstreamEntry(msgspec.Struct):
     """An upstream's entry. What lacks any of these, or has them otherwise, was written by somebody else."""
 
-    service: Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+    service: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
     address: str
-    zone: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
-    version: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
-    capacity: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
-    state: _State
-    cold_remaining_ms: Annotated[float, msgspec.Meta(le=LONGEST_COLD_MS)]
+    zone: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
+    version: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
+    capacity: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
+    state: _UpstreamState
+    cold_remaining_ms: Annotated[float, msgspec.Meta(le=MAX_COLD_MS)]
     """Below 0 where it has been warm for some time."""
-    sequence: Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)]
+    sequence: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
     """Counts the upstream's own words; it starts anew with each life, so nothing is ordered by it."""
-    born: Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)] = 0
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)] = 0
     phase: str = ""
 
 
 BYTES_PER_MBIT = 125_000
 """Bytes a second of 1 Mbit/s, by definition; link rates are written in Mbit/s."""
 
-TOKEN_UNITS = "token"
+TOKEN_UNIT_PREFIX = "token"
 """How the units begin that count tokens; all others count requests."""
 
-_read_configuration = msgspec.json.Decoder(_Configuration).decode
-_read_server = msgspec.json.Decoder(_Server).decode
-_PROBLEMS = (msgspec.DecodeError, msgspec.ValidationError, ValueError, RecursionError)
+_decode_configuration = msgspec.json.Decoder(_Configuration).decode
+_decode_upstream_entry = msgspec.json.Decoder(_UpstreamEntry).decode
+_DECODING_ERRORS = (msgspec.DecodeError, msgspec.ValidationError, ValueError, RecursionError)
 
 
 class PlatformDocuments(Documents):
@@ -169,9 +169,9 @@
     def read_configuration(self, raw: bytes) -> Table | None:
         """Return the operators' configuration, or None where it can't be read."""
         try:
-            read = _read_configuration(raw)
+            read = _decode_configuration(raw)
             routes = [_make_route(route) for route in read.routes]
-        except _PROBLEMS as problem:
+        except _DECODING_ERRORS as problem:
             self.journal.write("CONFIG", "unreadable", bytes=len(raw), detail=str(problem))
             return None
         unbound = [route.name for route in read.routes if route.allowed_regions == []]
@@ -190,29 +190,29 @@
         if raw is None:
             return Entry(upstream, revision, None)
         try:
-            found = _read_upstream(upstream, raw)
-        except _PROBLEMS as problem:
+            found = _make_upstream(upstream, raw)
+        except _DECODING_ERRORS as problem:
             self.journal.write("LISTING", "unreadable", upstream=upstream, revision=revision, detail=str(problem))
             return Entry(upstream, revision, None, readable=False)
         return Entry(upstream, revision, found)
 
 
-def _read_upstream(upstream: UpstreamId, raw: bytes) -> Upstream:
-    read = _read_server(raw)
+def _make_upstream(upstream: UpstreamId, raw: bytes) -> Upstream:
+    entry = _decode_upstream_entry(raw)
     return Upstream(
         id=upstream,
-        service=ServiceName(read.service),
-        address=_read_address(read.address),
-        hall=read.zone,
-        draining=read.state is _State.DRAINING,
-        phase=Phase(read.phase) if read.phase else Phase.PLAIN,
-        slots=read.capacity,
-        cold_left=max(0.0, read.cold_remaining_ms / 1000),
-        born=read.born,
+        service=ServiceName(entry.service),
+        address=_parse_address(entry.address),
+        hall=entry.zone,
+        draining=entry.state is _UpstreamState.DRAINING,
+        phase=Phase(entry.phase) if entry.phase else Phase.PLAIN,
+        slots=entry.capacity,
+        cold_left=max(0.0, entry.cold_remaining_ms / 1000),
+        born=entry.born,
     )
 
 
-def _read_address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     """Return an address.
 
     :raises ValueError: where it has no host or no port
@@ -229,67 +229,69 @@
         ip_address(text)
     except ValueError:
         last = text.rpartition(".")[2]
-        return len(text) <= LONGEST_HOST and _HOST_NAME.fullmatch(text) is not None and not last.isdigit()
+        return len(text) <= MAX_HOST_NAME_LENGTH and _HOST_NAME.fullmatch(text) is not None and not last.isdigit()
     return True
 
 
-def _read_regions(names: list[str] | None) -> Regions:
+def _make_regions(names: list[str] | None) -> Regions:
     """Return the regions that a document names; an empty list, as none at all, leaves all of them."""
     return frozenset(RegionName(name) for name in names) if names else None
 
 
-def _make_route(read: _Route) -> Route:
-    shares = tuple(Share(ServiceName(split.service), split.weight) for split in read.traffic_split if split.weight > 0)
+def _make_route(config: _Route) -> Route:
+    shares = tuple(
+        Share(ServiceName(split.service), split.weight) for split in config.traffic_split if split.weight > 0
+    )
     return Route(
-        name=read.name,
-        host=read.host.lower(),
-        prefix=read.path_prefix,
-        kind=RouteKind(read.route_type),
-        shares=shares or (Share(ServiceName(read.service), 1.0),),
-        timeout=read.timeout_ms / 1000,
-        target_latency=read.target_latency_ms / 1000,
-        max_attempts=read.max_attempts,
-        resumable=read.resumable,
-        target_gap=read.target_gap_ms / 1000,
-        caller_patience=max(2.0, 4 * read.target_latency_ms / 1000, 8 * read.target_gap_ms / 1000),
-        public=read.public,
-        regions=_read_regions(read.allowed_regions),
-        priority=read.priority,
+        name=config.name,
+        host=config.host.lower(),
+        prefix=config.path_prefix,
+        kind=RouteKind(config.route_type),
+        shares=shares or (Share(ServiceName(config.service), 1.0),),
+        timeout=config.timeout_ms / 1000,
+        target_latency=config.target_latency_ms / 1000,
+        max_attempts=config.max_attempts,
+        resumable=config.resumable,
+        target_gap=config.target_gap_ms / 1000,
+        caller_patience=max(2.0, 4 * config.target_latency_ms / 1000, 8 * config.target_gap_ms / 1000),
+        public=config.public,
+        regions=_make_regions(config.allowed_regions),
+        priority=config.priority,
     )
 
 
-def _make_workspace(read: _Tenant) -> Workspace:
+def _make_workspace(tenant: _Tenant) -> Workspace:
     quota = None
-    if read.rate_per_s > 0:
-        unit = QuotaUnit.TOKEN if read.unit.startswith(TOKEN_UNITS) else QuotaUnit.REQUEST
-        quota = Quota(unit, read.rate_per_s, read.burst, read.plain_tokens)
+    if tenant.rate_per_s > 0:
+        unit = QuotaUnit.TOKEN if tenant.unit.startswith(TOKEN_UNIT_PREFIX) else QuotaUnit.REQUEST
+        quota = Quota(unit, tenant.rate_per_s, tenant.burst, tenant.plain_tokens)
     return Workspace(
-        name=WorkspaceName(read.name),
-        keys=tuple(digest_key(key) for key in read.api_keys),
-        priority=read.priority,
+        name=WorkspaceName(tenant.name),
+        keys=tuple(digest_key(key) for key in tenant.api_keys),
+        priority=tenant.priority,
         quota=quota,
-        regions=_read_regions(read.allowed_regions),
+        regions=_make_regions(tenant.allowed_regions),
     )
 
 
-def _make_service(read: _Service) -> Service:
+def _make_service(config: _Service) -> Service:
     engine = None
-    if read.engine is not None:
+    if config.engine is not None:
         engine = Engine(
-            slots=read.engine.capacity,
-            kv_tokens=read.engine.kv_capacity,
-            handle_lifetime=read.engine.kv_ttl_s,
-            hold_lifetime=read.engine.hold_ms / 1000,
-            switch_time=read.engine.reconfig_s,
-            event_tokens=read.engine.stride,
-            kv_token_bytes=read.engine.token_kv_bytes,
-            link_rate=read.engine.link_mbps * BYTES_PER_MBIT,
+            slots=config.engine.capacity,
+            kv_tokens=config.engine.kv_capacity,
+            handle_lifetime=config.engine.kv_ttl_s,
+            hold_lifetime=config.engine.hold_ms / 1000,
+            switch_time=config.engine.reconfig_s,
+            event_tokens=config.engine.stride,
+            kv_token_bytes=config.engine.token_kv_bytes,
+            link_rate=config.engine.link_mbps * BYTES_PER_MBIT,
         )
-    cold = ColdTerms(read.cold_start_s, read.cold_per_s) if read.cold_per_s > 0 else None
-    return Service(ServiceName(read.name), engine, cold)
+    cold = ColdTerms(config.cold_start_s, config.cold_per_s) if config.cold_per_s > 0 else None
+    return Service(ServiceName(config.name), engine, cold)
 
 
-def _make_limits(read: _Limits) -> CallerLimits:
+def _make_limits(config: _Limits) -> CallerLimits:
     return CallerLimits(
-        read.max_header_bytes, read.max_body_bytes, read.header_timeout_ms / 1000, read.idle_timeout_ms / 1000
+        config.max_header_bytes, config.max_body_bytes, config.header_timeout_ms / 1000, config.idle_timeout_ms / 1000
     )
--- a/src/beamhatch/platform/run.py
+++ b/src/beamhatch/platform/run.py
@@ -29,21 +29,21 @@
 EXIT_USAGE = 2
 """Exit code where the settings or the command line can not be used, as is customary."""
 
-LOOK_INTERVAL = 1.0
+SETTINGS_CHECK_INTERVAL_S = 1.0
 """Seconds between two looks at the settings file, which may change without a signal."""
 
 
 class Program:
     """The process around a relay."""
 
-    def __init__(self, path: str, settings: RelaySettings, seen: tuple[int, int]) -> None:
+    def __init__(self, path: str, settings: RelaySettings, file_stamp: tuple[int, int]) -> None:
         """Make one.
 
         :param seen: the stamp of the settings file from before it was read, so that no later change is missed
         """
         self._path = path
         self._without = settings.without
-        self._seen = seen
+        self._file_stamp = file_stamp
         self._clock = Clock(reactor)
         self._journal = Journal(self._clock, vm=settings.vm)
         documents = PlatformDocuments(self._journal)
@@ -53,9 +53,9 @@
 
     def run(self) -> int:
         """Run until the planned stop; return the exit code."""
-        signal.signal(signal.SIGTERM, lambda *_: self._soon(self._daemon.stop))
-        signal.signal(signal.SIGINT, lambda *_: self._soon(self._daemon.stop))
-        signal.signal(signal.SIGHUP, lambda *_: self._soon(self._reload))
+        signal.signal(signal.SIGTERM, lambda *_: self._call_in_reactor(self._daemon.stop))
+        signal.signal(signal.SIGINT, lambda *_: self._call_in_reactor(self._daemon.stop))
+        signal.signal(signal.SIGHUP, lambda *_: self._call_in_reactor(self._reload))
         runtime: Any = reactor
         runtime.callWhenRunning(self._start)
         runtime.run(installSignalHandlers=False)
@@ -69,15 +69,15 @@
             self._exit_code = EXIT_USAGE
             self._clock.reactor.stop()
             return
-        self._clock.call_later(LOOK_INTERVAL, self._look)
+        self._clock.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
 
-    def _look(self) -> None:
-        if _read_stamp(self._path) != self._seen:
+    def _check_settings_file(self) -> None:
+        if _get_file_stamp(self._path) != self._file_stamp:
             self._reload()
-        self._clock.call_later(LOOK_INTERVAL, self._look)
+        self._clock.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
 
     def _reload(self) -> None:
-        self._seen = _read_stamp(self._path)
+        self._file_stamp = _get_file_stamp(self._path)
         try:
             settings = read_settings(self._path, self._without)
         except SettingsError as problem:
@@ -85,11 +85,11 @@
             return
         self._daemon.reload(settings)
 
-    def _soon(self, function: Any) -> None:
+    def _call_in_reactor(self, function: Any) -> None:
         self._clock.reactor.callFromThread(function)
 
 
-def _read_stamp(path: str) -> tuple[int, int]:
+def _get_file_stamp(path: str) -> tuple[int, int]:
     try:
         status = Path(path).stat()
     except OSError:
@@ -108,13 +108,13 @@
         choices=[one.value for one in Mechanism],
         help="leave a mechanism out, to measure what it is worth; may be given several times",
     )
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     path = os.environ.get(SETTINGS_VARIABLE, "")
-    seen = _read_stamp(path)
+    file_stamp = _get_file_stamp(path)
     try:
-        settings = read_settings(path, frozenset(Mechanism(name) for name in asked.without))
+        settings = read_settings(path, frozenset(Mechanism(name) for name in arguments.without))
     except SettingsError as problem:
         print(f"beamhatch: {problem}", file=sys.stderr)
         return EXIT_USAGE
     make_nonblocking(sys.stdout.fileno())
-    return Program(path, settings, seen).run()
+    return Program(path, settings, file_stamp).run()
--- a/src/beamhatch/platform/settings.py
+++ b/src/beamhatch/platform/settings.py
@@ -19,7 +19,7 @@
 """TCP port of the figures; ``deploy/system.toml`` names the same."""
 
 METRICS_PATH = "/metrics"
-DEFAULT_GRACE = 8.0
+DEFAULT_GRACE_S = 8.0
 """Seconds for a planned stop where the settings name none, as in the platform's example."""
 
 
@@ -34,7 +34,7 @@
 
 
 class _Bounds(msgspec.Struct):
-    grace_s: float = DEFAULT_GRACE
+    grace_s: float = DEFAULT_GRACE_S
     retry_budget_ratio: float = 0.2
     budget_window_s: float = 10
     retry_slack: float = 50
@@ -85,14 +85,14 @@
     return RelaySettings(
         vm=read.node_name,
         hall=read.zone,
-        caller_address=_read_address(read.listen.frontend),
-        ready_address=_read_address(read.listen.ready),
+        caller_address=_parse_address(read.listen.frontend),
+        ready_address=_parse_address(read.listen.ready),
         ready_path=READY_PATH,
-        store_address=_read_address(read.provider.address),
+        store_address=_parse_address(read.provider.address),
         grace=bounds.grace_s,
         budget=BudgetTerms(bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s),
         quota=QuotaTerms(bounds.quota_window_s, bounds.quota_overage, bounds.quota_slack),
-        peer_address=_read_address(read.listen.control) if read.listen.control else None,
+        peer_address=_parse_address(read.listen.control) if read.listen.control else None,
         seeds=read.seeds,
         places=Places({hall: RegionName(region) for hall, region in read.zones.items()}),
         cold_overage=bounds.cold_overage,
@@ -106,6 +106,6 @@
     )
 
 
-def _read_address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
--- a/src/beamhatch/platform/standin/base.py
+++ b/src/beamhatch/platform/standin/base.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from beamhatch.clock import Clock
 
-GENEROUS = CallerLimits(64 * 1024, 64 * 1024 * 1024, 30.0, 60.0)
+CALLER_LIMITS = CallerLimits(64 * 1024, 64 * 1024 * 1024, 30.0, 60.0)
 
 
 class StandIn(ABC):
@@ -22,7 +22,7 @@
     def __init__(self, clock: Clock, address: Address) -> None:
         self.clock = clock
         self.address = address
-        self._server = CallerServer(clock, self.serve, lambda: GENEROUS, lambda status, detail: None)
+        self._server = CallerServer(clock, self.serve, lambda: CALLER_LIMITS, lambda status, detail: None)
         self._port: Any = None
 
     def start(self) -> None:
@@ -38,7 +38,7 @@
         for connection in list(self._server.connections):
             connection.abort()
 
-    def break_connections(self) -> None:
+    def abort_connections(self) -> None:
         """Break all connections, and go on listening."""
         for connection in list(self._server.connections):
             connection.abort()
@@ -58,6 +58,6 @@
     return dict(parse_qsl(incoming.target.partition("?")[2]))
 
 
-def answer_json(responder: Responder, status: int, value: object, *headers: tuple[str, str]) -> None:
+def send_json(responder: Responder, status: int, value: object, *headers: tuple[str, str]) -> None:
     """Send a JSON answer."""
     responder.send_whole(status, [("Content-Type", "application/json"), *headers], json.dumps(value).encode())
--- a/src/beamhatch/platform/standin/store.py
+++ b/src/beamhatch/platform/standin/store.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any
 
-from beamhatch.platform.standin.base import StandIn, answer_json, read_query
+from beamhatch.platform.standin.base import StandIn, read_query, send_json
 from beamhatch.relay.callers.http_server import IncomingRequest, RequestHandler, Responder
 
 if TYPE_CHECKING:
@@ -20,11 +20,11 @@
     """What is wrong with the store."""
 
     NONE = "none"
-    BUSY = "busy"
+    UNAVAILABLE = "busy"
     """It answers 503 to all."""
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     """It answers nothing."""
-    LOST = "lost"
+    RESPONSE_LOST = "lost"
     """It does what is asked and gives no answer."""
 
 
@@ -32,12 +32,12 @@
 class _Item:
     value: bytes
     revision: int
-    made: int
+    created_revision: int
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
-class StoreCopy:
+class StoreBackup:
     """What the store had at some time."""
 
     revision: int
@@ -66,10 +66,10 @@
         """Rises each time that it is restored from a backup."""
         self._items: dict[str, _Item] = {}
         self._history: list[tuple[int, str, bytes | None]] = []
-        self._history_from = 0
+        self._history_start = 0
         self._watches: list[_Watch] = []
-        self._leases: dict[int, Any] = {}
-        self._lease_lives: dict[int, float] = {}
+        self._lease_timers: dict[int, Any] = {}
+        self._lease_ttls: dict[int, float] = {}
 
     # --- what the operator and the upstreams do ----------------------------------------------------------------------
 
@@ -78,54 +78,54 @@
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.revision += 1
         known = self._items.get(key)
-        self._items[key] = _Item(raw, self.revision, known.made if known else self.revision, lease)
-        self._note(key, raw)
+        self._items[key] = _Item(raw, self.revision, known.created_revision if known else self.revision, lease)
+        self._record_change(key, raw)
         return self.revision
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         if self._items.pop(key, None) is not None:
             self.revision += 1
-            self._note(key, None)
+            self._record_change(key, None)
 
-    def find_newest(self, prefix: str) -> int:
+    def get_newest_revision(self, prefix: str) -> int:
         """Return the revision of the last change among the keys with a prefix that are there."""
         return max((item.revision for key, item in self._items.items() if key.startswith(prefix)), default=0)
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Forget all changes so far, and cut the watches."""
         self._history.clear()
-        self._history_from = self.revision
+        self._history_start = self.revision
         watches, self._watches = self._watches, []
         for watch in watches:
             watch.responder.abort()
 
-    def make_copy(self) -> StoreCopy:
+    def make_backup(self) -> StoreBackup:
         """Return what there is now, but for what hangs on leases."""
-        return StoreCopy(self.revision, {key: replace(item) for key, item in self._items.items() if not item.lease})
+        return StoreBackup(self.revision, {key: replace(item) for key, item in self._items.items() if not item.lease})
 
-    def come_back_from(self, copy: StoreCopy) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Have what was there at a copy and nothing behind it: revisions are given out again, all leases are gone."""
-        for timer in self._leases.values():
+        for timer in self._lease_timers.values():
             if timer.active():
                 timer.cancel()
-        self._leases.clear()
-        self._items = {key: replace(item) for key, item in copy.items.items()}
-        self.revision = copy.revision
+        self._lease_timers.clear()
+        self._items = {key: replace(item) for key, item in backup.items.items()}
+        self.revision = backup.revision
         self.epoch += 1
         self._history.clear()
-        self._history_from = self.revision
-        self.break_connections()
+        self._history_start = self.revision
+        self.abort_connections()
         self._watches.clear()
 
-    def _answer(self, responder: Responder, status: int, value: object) -> None:
-        answer_json(responder, status, value, ("Store-Era", str(self.epoch)))
+    def _send_response(self, responder: Responder, status: int, value: object) -> None:
+        send_json(responder, status, value, ("Store-Era", str(self.epoch)))
 
-    def _note(self, key: str, value: bytes | None) -> None:
+    def _record_change(self, key: str, value: bytes | None) -> None:
         self._history.append((self.revision, key, value))
         waiting, self._watches = self._watches, []
         for watch in waiting:
-            if not self._answer_watch(watch):
+            if not self._send_watch_events(watch):
                 self._watches.append(watch)
 
     # --- calls -------------------------------------------------------------------------------------------------------
@@ -133,15 +133,15 @@
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
         """Serve one call."""
         self.calls += 1
-        if self.fault is StoreFault.SILENT:
+        if self.fault is StoreFault.UNRESPONSIVE:
             return None
-        if self.fault is StoreFault.BUSY:
-            self._answer(responder, 503, {})
+        if self.fault is StoreFault.UNAVAILABLE:
+            self._send_response(responder, 503, {})
             return None
         name = incoming.path.split("/")[2]
         self.renewals += name == "kv-keep"
-        if self.fault is StoreFault.LOST:
-            responder = _Mute()
+        if self.fault is StoreFault.RESPONSE_LOST:
+            responder = _DiscardingResponder()
         if name == "kv-key":
             self._serve_key(read_query(incoming)["tls_key"], responder)
         elif name == "kv-range":
@@ -149,34 +149,34 @@
         elif name == "kv-watch":
             self._serve_watch(read_query(incoming), responder)
         elif name == "kv-txn":
-            self._serve_change(json.loads(incoming.body), responder)
+            self._serve_transaction(json.loads(incoming.body), responder)
         else:
             self._serve_lease(name, incoming, responder)
         return None
 
     def _serve_key(self, key: str, responder: Responder) -> None:
         if key in self._items:
-            self._answer(responder, 200, {**self._show(key), "at": self.revision})
+            self._send_response(responder, 200, {**self._describe_item(key), "at": self.revision})
         else:
-            self._answer(responder, 404, {"at": self.revision})
+            self._send_response(responder, 404, {"at": self.revision})
 
     def _serve_range(self, query: dict[str, str], responder: Responder) -> None:
         keys = sorted(
             key for key in self._items if key.startswith(query["path_prefix"]) and key > query.get("after", "")
         )
         page = keys[:50]
-        items = [self._show(key) for key in page]
-        self._answer(responder, 200, {"items": items, "more": len(page) < len(keys), "at": self.revision})
+        items = [self._describe_item(key) for key in page]
+        self._send_response(responder, 200, {"items": items, "more": len(page) < len(keys), "at": self.revision})
 
     def _serve_watch(self, query: dict[str, str], responder: Responder) -> None:
         watch = _Watch(query["path_prefix"], int(query["after"]), responder)
-        if not self._history_from <= watch.after <= self.revision:
-            self._answer(responder, 410, {})
-        elif not self._answer_watch(watch):
+        if not self._history_start <= watch.after <= self.revision:
+            self._send_response(responder, 410, {})
+        elif not self._send_watch_events(watch):
             self._watches.append(watch)
             self.clock.call_later(int(query["wait_ms"]) / 1000, self._end_watch, watch)
 
-    def _answer_watch(self, watch: _Watch) -> bool:
+    def _send_watch_events(self, watch: _Watch) -> bool:
         events = []
         for revision, key, value in self._history:
             if revision > watch.after and key.startswith(watch.prefix):
@@ -184,69 +184,75 @@
                 event |= {"gone": True} if value is None else {"value": base64.b64encode(value).decode()}
                 events.append(event)
         if events:
-            self._answer(watch.responder, 200, {"events": events, "at": self.revision})
+            self._send_response(watch.responder, 200, {"events": events, "at": self.revision})
         return bool(events)
 
     def _end_watch(self, watch: _Watch) -> None:
         if watch in self._watches:
             self._watches.remove(watch)
-            self._answer(watch.responder, 200, {"events": [], "at": self.revision})
+            self._send_response(watch.responder, 200, {"events": [], "at": self.revision})
 
-    def _serve_change(self, asked: dict[str, Any], responder: Responder) -> None:
-        conditions = asked.get("if_revision", [])
-        if any(self._find_revision(row["tls_key"]) != row["revision"] for row in conditions):
-            items = [self._show(row["tls_key"]) for row in conditions if row["tls_key"] in self._items]
-            self._answer(responder, 412, {"items": items})
+    def _serve_transaction(self, transaction: dict[str, Any], responder: Responder) -> None:
+        conditions = transaction.get("if_revision", [])
+        if any(self._get_revision(row["tls_key"]) != row["revision"] for row in conditions):
+            items = [self._describe_item(row["tls_key"]) for row in conditions if row["tls_key"] in self._items]
+            self._send_response(responder, 412, {"items": items})
             return
-        if any(row.get("lease", 0) and row["lease"] not in self._leases for row in asked.get("put", [])):
-            self._answer(responder, 404, {})
+        if any(row.get("lease", 0) and row["lease"] not in self._lease_timers for row in transaction.get("put", [])):
+            self._send_response(responder, 404, {})
             return
-        for row in asked.get("put", []):
+        for row in transaction.get("put", []):
             self.put(row["tls_key"], base64.b64decode(row["value"]), row.get("lease", 0))
-        for key in asked.get("remove", []):
+        for key in transaction.get("remove", []):
             self.remove(key)
-        self._answer(responder, 200, {"revision": self.revision})
+        self._send_response(responder, 200, {"revision": self.revision})
 
-    def _find_revision(self, key: str) -> int:
+    def _get_revision(self, key: str) -> int:
         return self._items[key].revision if key in self._items else 0
 
     def _serve_lease(self, name: str, incoming: IncomingRequest, responder: Responder) -> None:
         if name == "kv-lease":
-            lease = 1000 + len(self._lease_lives)
-            self._lease_lives[lease] = json.loads(incoming.body)["ttl_ms"] / 1000
-            self._renew(lease)
-            self._answer(responder, 200, {"lease": lease, "ttl_ms": int(self._lease_lives[lease] * 1000)})
+            lease = 1000 + len(self._lease_ttls)
+            self._lease_ttls[lease] = json.loads(incoming.body)["ttl_ms"] / 1000
+            self._renew_lease(lease)
+            self._send_response(responder, 200, {"lease": lease, "ttl_ms": int(self._lease_ttls[lease] * 1000)})
             return
         lease = int(incoming.path.rpartition("/")[2])
-        if lease not in self._leases:
-            self._answer(responder, 404, {})
+        if lease not in self._lease_timers:
+            self._send_response(responder, 404, {})
         elif name == "kv-keep":
-            self._renew(lease)
-            self._answer(responder, 200, {"ttl_ms": int(self._lease_lives[lease] * 1000)})
+            self._renew_lease(lease)
+            self._send_response(responder, 200, {"ttl_ms": int(self._lease_ttls[lease] * 1000)})
         else:
             self._end_lease(lease)
-            self._answer(responder, 200, {})
+            self._send_response(responder, 200, {})
 
-    def _renew(self, lease: int) -> None:
-        timer = self._leases.get(lease)
+    def _renew_lease(self, lease: int) -> None:
+        timer = self._lease_timers.get(lease)
         if timer is not None and timer.active():
             timer.cancel()
-        self._leases[lease] = self.clock.call_later(self._lease_lives[lease], self._end_lease, lease)
+        self._lease_timers[lease] = self.clock.call_later(self._lease_ttls[lease], self._end_lease, lease)
 
     def _end_lease(self, lease: int) -> None:
-        timer = self._leases.pop(lease, None)
+        timer = self._lease_timers.pop(lease, None)
         if timer is not None and timer.active():
             timer.cancel()
         for key in [key for key, item in self._items.items() if item.lease == lease]:
             self.remove(key)
 
-    def _show(self, key: str) -> dict[str, object]:
+    def _describe_item(self, key: str) -> dict[str, object]:
         item = self._items[key]
         value = base64.b64encode(item.value).decode()
-        return {"tls_key": key, "value": value, "revision": item.revision, "made": item.made, "lease": item.lease}
+        return {
+            "tls_key": key,
+            "value": value,
+            "revision": item.revision,
+            "made": item.created_revision,
+            "lease": item.lease,
+        }
 
 
-class _Mute(Responder):
+class _DiscardingResponder(Responder):
     """Swallows an answer."""
 
     def __init__(self) -> None:
--- a/src/beamhatch/platform/standin/trial.py
+++ b/src/beamhatch/platform/standin/trial.py
@@ -21,7 +21,7 @@
 HOST = "desk.example"
 HALL = "kl-a"
 ANY_PORT = Address("127.0.0.1", 0)
-READY_INTERVAL = 0.05
+READY_CHECK_INTERVAL_S = 0.05
 """Seconds between two looks whether the relay is ready."""
 
 ROUTES = [("accounts", "/accounts/", "safe", "acct-svc"), ("checks", "/checks/", "streaming", "lm-desk")]
@@ -66,7 +66,7 @@
     ]
     for service, upstream in upstreams:
         upstream.start()
-        store.put(f"servers/{upstream.instance}", upstream.describe(service, HALL))
+        store.put(f"servers/{upstream.instance}", upstream.make_entry(service, HALL))
     store.put("op/config", make_configuration())
     return store
 
@@ -96,7 +96,7 @@
 
 def _print_when_ready(daemon: Daemon, clock: Clock) -> None:
     if not daemon.core.ready:
-        clock.call_later(READY_INTERVAL, _print_when_ready, daemon, clock)
+        clock.call_later(READY_CHECK_INTERVAL_S, _print_when_ready, daemon, clock)
         return
     address = f"http://127.0.0.1:{daemon.caller_port}"
     print(f"READY standalone caller={daemon.caller_port}")
--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from beamhatch.platform.epochs import EpochWatch, find_epoch, find_revision, make_position, read_epoch
+from beamhatch.platform.epochs import EpochTracker, get_epoch, get_revision, make_position, read_epoch
 from beamhatch.relay.api import (
     Claimed,
     DirectiveNews,
@@ -36,27 +36,27 @@
     from beamhatch.relay.upstreams.http_client import HttpClient
     from beamhatch.relay.upstreams.listing import Entry
 
-OPERATORS = "op/"
-CONFIGURATION = f"{OPERATORS}config"
-EVACUATIONS = f"{OPERATORS}evacuate/"
+OPERATOR_PREFIX = "op/"
+CONFIGURATION_KEY = f"{OPERATOR_PREFIX}config"
+EVACUATION_PREFIX = f"{OPERATOR_PREFIX}evacuate/"
 """A key of a hall is there as long as the hall is emptied; its value says nothing."""
 
-LONGEST_HALL_NAME = 100
+MAX_HALL_NAME_LENGTH = 100
 """Characters: what is longer names no hall, and would stand in each beat to a peer."""
 
-UPSTREAMS = "servers/"
-OWN = "beamhatch/"
-LEADER = f"{OWN}leader"
-LAST_ORDER = f"{OWN}order"
-QUARANTINE = f"{OWN}quarantine/"
+UPSTREAM_PREFIX = "servers/"
+ROUTER_PREFIX = "beamhatch/"
+LEADER_KEY = f"{ROUTER_PREFIX}leader"
+LAST_ORDER_KEY = f"{ROUTER_PREFIX}order"
+QUARANTINE_PREFIX = f"{ROUTER_PREFIX}quarantine/"
 """A key of a fingerprint is there as long as its quarantine is kept; its value says nothing."""
 
 HEX_DIGITS = frozenset("0123456789abcdef")
 
-READ_TIMEOUT = 2.0
+CALL_TIMEOUT_S = 2.0
 """Seconds for one call: 500 times what an answer takes when the store is well."""
 
-WATCH_MARGIN = 2.0
+WATCH_MARGIN_S = 2.0
 """Seconds beyond its wait after which a watch is taken as lost."""
 
 
@@ -76,27 +76,27 @@
         return None if self.gone else msgspec.json.decode(b'"' + self.value.encode() + b'"', type=bytes)
 
 
-class _Range(msgspec.Struct):
+class _RangeResponse(msgspec.Struct):
     items: list[_Item]
     more: bool
     at: int
     """Behind ``_ask``, this and the items' revisions are positions."""
 
 
-class _Lease(msgspec.Struct):
+class _LeaseResponse(msgspec.Struct):
     lease: int
 
 
-class _Changed(msgspec.Struct):
+class _ChangeResponse(msgspec.Struct):
     revision: int
 
 
-class _Events(msgspec.Struct):
+class _EventsResponse(msgspec.Struct):
     events: list[_Item]
     at: int
 
 
-Listed = TypeVar("Listed", _Range, _Events)
+Listed = TypeVar("Listed", _RangeResponse, _EventsResponse)
 
 
 class PlatformStore(Store):
@@ -107,143 +107,146 @@
         self._clock = clock
         self._address = address
         self._documents = documents
-        self._epochs = EpochWatch()
+        self._epochs = EpochTracker()
         self._leadership_at = 0
         """The position of the last look at who leads, 0 before the first."""
-        self._unsettled: set[str] = set()
+        self._unsettled_prefixes: set[str] = set()
         """Prefixes whose lists were read before they were complete again."""
-        self._read: set[str] = set()
+        self._read_prefixes: set[str] = set()
         """Prefixes whose lists were read at all."""
 
     async def read_directives(self, known: int) -> DirectiveNews | StoreLost:
         """Return the configuration in force, and all halls that are emptied."""
-        items = await self._read_all(OPERATORS)
+        items = await self._read_all(OPERATOR_PREFIX)
         if isinstance(items, StoreLost):
             return items
-        return replace(self._make_directives(items), settled=self._note_read(OPERATORS, known))
+        return replace(self._make_directives(items), settled=self._record_list_read(OPERATOR_PREFIX, known))
 
     async def watch_directives(self, after: int, wait: float) -> DirectiveNews | StoreLost | HistoryGone:
         """Return what the operators changed behind a revision."""
-        events = await self._watch(OPERATORS, after, wait)
-        if not isinstance(events, _Events):
+        events = await self._watch_prefix(OPERATOR_PREFIX, after, wait)
+        if not isinstance(events, _EventsResponse):
             return events
-        settled = OPERATORS not in self._unsettled and not self._epochs.may_be_restored(self._clock.now())
+        settled = OPERATOR_PREFIX not in self._unsettled_prefixes and not self._epochs.may_have_been_restored(
+            self._clock.now()
+        )
         return replace(self._make_directives(events), settled=settled)
 
-    def _make_directives(self, events: _Events) -> DirectiveNews:
-        documents = [item for item in events.events if item.tls_key == CONFIGURATION and not item.gone]
+    def _make_directives(self, events: _EventsResponse) -> DirectiveNews:
+        documents = [item for item in events.events if item.tls_key == CONFIGURATION_KEY and not item.gone]
         evacuations = [
-            Evacuation(item.tls_key.removeprefix(EVACUATIONS), item.revision, not item.gone)
+            Evacuation(item.tls_key.removeprefix(EVACUATION_PREFIX), item.revision, not item.gone)
             for item in events.events
-            if item.tls_key.startswith(EVACUATIONS) and 0 < len(item.tls_key) - len(EVACUATIONS) <= LONGEST_HALL_NAME
+            if item.tls_key.startswith(EVACUATION_PREFIX)
+            and 0 < len(item.tls_key) - len(EVACUATION_PREFIX) <= MAX_HALL_NAME_LENGTH
         ]
-        return DirectiveNews(self._read_document(documents[-1]) if documents else None, evacuations, events.at)
+        return DirectiveNews(self._make_document(documents[-1]) if documents else None, evacuations, events.at)
 
     async def read_listing(self, known: int) -> ListingNews | StoreLost:
         """Return all upstreams."""
-        items = await self._read_all(UPSTREAMS)
+        items = await self._read_all(UPSTREAM_PREFIX)
         if isinstance(items, StoreLost):
             return items
         entries = [self._make_entry(item) for item in items.events]
-        return ListingNews(entries, items.at, settled=self._note_read(UPSTREAMS, known))
+        return ListingNews(entries, items.at, settled=self._record_list_read(UPSTREAM_PREFIX, known))
 
-    def _note_read(self, prefix: str, known: int) -> bool:
+    def _record_list_read(self, prefix: str, known: int) -> bool:
         """Note that a list was read; return whether what it lacks is gone, else it is read again later.
 
         :param known: the position of the oldest news that this VM has from peers, 0 where there are none
         """
         now = self._clock.now()
         if known:
-            self._epochs.note_known(find_epoch(known), now)
+            self._epochs.record_peer_epoch(get_epoch(known), now)
         settled = self._epochs.is_settled(now)
         if settled:
-            self._unsettled.discard(prefix)
+            self._unsettled_prefixes.discard(prefix)
         else:
-            self._unsettled.add(prefix)
-        is_complete = known > 0 or prefix in self._read or not self._epochs.may_be_restored(now)
-        self._read.add(prefix)
+            self._unsettled_prefixes.add(prefix)
+        is_complete = known > 0 or prefix in self._read_prefixes or not self._epochs.may_have_been_restored(now)
+        self._read_prefixes.add(prefix)
         return settled and is_complete
 
     async def watch_listing(self, after: int, wait: float) -> ListingNews | StoreLost | HistoryGone:
         """Return changes of upstreams behind a revision."""
-        events = await self._watch(UPSTREAMS, after, wait)
-        if not isinstance(events, _Events):
+        events = await self._watch_prefix(UPSTREAM_PREFIX, after, wait)
+        if not isinstance(events, _EventsResponse):
             return events
         return ListingNews([self._make_entry(item) for item in events.events], events.at)
 
-    async def _read_all(self, prefix: str) -> _Events | StoreLost:
+    async def _read_all(self, prefix: str) -> _EventsResponse | StoreLost:
         """Return all items with a prefix, as of the first page; a watch from there tells what changed meanwhile."""
         items: list[_Item] = []
         at = None
         query = {"path_prefix": prefix}
         while True:
-            page = self._place(await self._get("kv-range", query), _Range)
+            page = self._decode_items(await self._get("kv-range", query), _RangeResponse)
             if isinstance(page, StoreLost):
                 return page
             at = page.at if at is None else at
-            if find_epoch(page.at) != find_epoch(at):
+            if get_epoch(page.at) != get_epoch(at):
                 return StoreLost("the store was restored between two pages")
             items += page.items
             if not page.more or not page.items:
-                return _Events(items, at)
+                return _EventsResponse(items, at)
             query["after"] = page.items[-1].tls_key
 
     async def keep_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreLost | None:
         """Write the key of a fingerprint under a lease of its own, unless it is there."""
-        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _Lease)
+        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
-        key = f"{QUARANTINE}{fingerprint.hex()}"
+        key = f"{QUARANTINE_PREFIX}{fingerprint.hex()}"
         change = {
             "if_revision": [{"tls_key": key, "revision": 0}],
             "put": [{"tls_key": key, "value": "", "lease": lease.lease}],
             "remove": [],
         }
-        return _find_loss(await self._post("kv-txn", change))
+        return _get_write_failure(await self._post("kv-txn", change))
 
     async def end_quarantine(self, fingerprint: Fingerprint) -> StoreLost | None:
         """Remove the key of a fingerprint."""
-        change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE}{fingerprint.hex()}"]}
-        return _find_loss(await self._post("kv-txn", change))
+        change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE_PREFIX}{fingerprint.hex()}"]}
+        return _get_write_failure(await self._post("kv-txn", change))
 
     async def read_leadership(self) -> LeadershipNews | StoreLost:
         """Return who leads, what the last order was, and which requests are held."""
-        page = self._place(await self._get("kv-range", {"path_prefix": OWN}), _Range)
+        page = self._decode_items(await self._get("kv-range", {"path_prefix": ROUTER_PREFIX}), _RangeResponse)
         if isinstance(page, StoreLost):
             return page
         before, self._leadership_at = self._leadership_at, page.at
         items = {item.tls_key: item for item in page.items}
-        order = items.get(LAST_ORDER)
-        restored = 0 < find_epoch(before) < find_epoch(page.at) or not self._epochs.is_settled(self._clock.now())
+        order = items.get(LAST_ORDER_KEY)
+        restored = 0 < get_epoch(before) < get_epoch(page.at) or not self._epochs.is_settled(self._clock.now())
         return LeadershipNews(
-            taken=LEADER in items,
+            taken=LEADER_KEY in items,
             last_order=0 if order is None else order.revision,
             at=page.at,
             order="" if order is None else (order.raw or b"").decode(),
-            held=[found for found in map(_read_fingerprint, items) if found is not None],
+            held=[found for found in map(_parse_quarantine_key, items) if found is not None],
             restored=restored,
             order_may_be_lost=order is None and (restored or (not before and self._epochs.was_restored)),
         )
 
     async def watch_leadership(self, after: int, wait: float) -> bool | StoreLost:
         """Return True as soon as something changed behind a revision."""
-        events = await self._watch(OWN, after, wait)
+        events = await self._watch_prefix(ROUTER_PREFIX, after, wait)
         if isinstance(events, StoreLost):
             return events
         return isinstance(events, HistoryGone) or bool(events.events)
 
     async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
         """Claim the leadership on the condition that all is as it was seen."""
-        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _Lease)
+        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
         value = base64.b64encode(holder.encode()).decode()
         change = {
             "if_revision": [
-                {"tls_key": LEADER, "revision": 0},
-                {"tls_key": LAST_ORDER, "revision": find_revision(seen.last_order)},
+                {"tls_key": LEADER_KEY, "revision": 0},
+                {"tls_key": LAST_ORDER_KEY, "revision": get_revision(seen.last_order)},
             ],
-            "put": [{"tls_key": LEADER, "value": value, "lease": lease.lease}],
+            "put": [{"tls_key": LEADER_KEY, "value": value, "lease": lease.lease}],
             "remove": [],
         }
         answer = await self._post("kv-txn", change)
@@ -251,11 +254,11 @@
             return StoreLost(answer)
         if answer.head.status == 412:
             return Taken()
-        changed = _decode(answer, _Changed)
+        changed = _decode(answer, _ChangeResponse)
         if isinstance(changed, StoreLost):
             return changed
-        epoch = self._note_epoch(answer)
-        return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == find_epoch(seen.at) else Taken()
+        epoch = self._record_epoch(answer)
+        return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == get_epoch(seen.at) else Taken()
 
     async def keep_leadership(self, claim: Claimed, timeout: float) -> bool | StoreLost:
         """Renew the lease of a claim."""
@@ -263,14 +266,14 @@
         if isinstance(answer, str):
             return StoreLost(answer)
         if answer.head.status in (200, 404):
-            return answer.head.status == 200 and self._note_epoch(answer) == find_epoch(claim.revision)
+            return answer.head.status == 200 and self._record_epoch(answer) == get_epoch(claim.revision)
         return StoreLost(f"status {answer.head.status}")
 
     async def record_order(self, claim: Claimed, order: str) -> bool | StoreLost:
         """Write an order down on the condition that the claim stands."""
         change = {
-            "if_revision": [{"tls_key": LEADER, "revision": find_revision(claim.revision)}],
-            "put": [{"tls_key": LAST_ORDER, "value": base64.b64encode(order.encode()).decode(), "lease": 0}],
+            "if_revision": [{"tls_key": LEADER_KEY, "revision": get_revision(claim.revision)}],
+            "put": [{"tls_key": LAST_ORDER_KEY, "value": base64.b64encode(order.encode()).decode(), "lease": 0}],
             "remove": [],
         }
         answer = await self._post("kv-txn", change)
@@ -278,73 +281,79 @@
             return StoreLost(answer)
         if answer.head.status in (200, 412):
             # after a restore, the revision may be that of another VM's claim
-            return answer.head.status == 200 and self._note_epoch(answer) == find_epoch(claim.revision)
+            return answer.head.status == 200 and self._record_epoch(answer) == get_epoch(claim.revision)
         return StoreLost(f"status {answer.head.status}")
 
-    async def _watch(self, prefix: str, after: int, wait: float) -> _Events | StoreLost | HistoryGone:
+    async def _watch_prefix(self, prefix: str, after: int, wait: float) -> _EventsResponse | StoreLost | HistoryGone:
         """Wait for changes behind a position: none of an earlier epoch, and not beyond the time to read again."""
         now = self._clock.now()
-        if prefix in self._unsettled:
+        if prefix in self._unsettled_prefixes:
             if self._epochs.is_settled(now):
                 return HistoryGone()
             wait = min(wait, self._epochs.settled_at - now)
-        if find_epoch(after) != (self._epochs.epoch or 0):
+        if get_epoch(after) != (self._epochs.epoch or 0):
             return HistoryGone()
-        query = {"path_prefix": prefix, "after": str(find_revision(after)), "wait_ms": str(int(wait * 1000))}
-        answer = await self._get("kv-watch", query, wait + WATCH_MARGIN)
+        query = {"path_prefix": prefix, "after": str(get_revision(after)), "wait_ms": str(int(wait * 1000))}
+        answer = await self._get("kv-watch", query, wait + WATCH_MARGIN_S)
         if not isinstance(answer, str) and answer.head.status == 410:
             return HistoryGone()
-        events = self._place(answer, _Events)
-        return HistoryGone() if isinstance(events, _Events) and find_epoch(events.at) != find_epoch(after) else events
+        events = self._decode_items(answer, _EventsResponse)
+        return (
+            HistoryGone()
+            if isinstance(events, _EventsResponse) and get_epoch(events.at) != get_epoch(after)
+            else events
+        )
 
-    def _note_epoch(self, answer: WholeAnswer) -> Epoch:
+    def _record_epoch(self, answer: WholeAnswer) -> Epoch:
         """Take in the epoch that an answer tells, and return it."""
         epoch = read_epoch(answer.head.headers)
         before = self._epochs.epoch
-        if self._epochs.take(epoch, self._clock.now()):
+        if self._epochs.record(epoch, self._clock.now()):
             self._documents.journal.write("STORE", "restored from a backup", epoch=epoch, before=before)
         return epoch
 
-    def _place(self, answer: WholeAnswer | str, wanted: type[Listed]) -> Listed | StoreLost:
+    def _decode_items(self, answer: WholeAnswer | str, wanted: type[Listed]) -> Listed | StoreLost:
         """Return the items of an answer, with positions in place of revisions."""
         if isinstance(answer, str):
             return StoreLost(answer)
         found = _decode(answer, wanted)
         if isinstance(found, StoreLost):
             return found
-        epoch = self._note_epoch(answer)
+        epoch = self._record_epoch(answer)
         found.at = make_position(epoch, found.at)
-        for item in found.items if isinstance(found, _Range) else found.events:
+        for item in found.items if isinstance(found, _RangeResponse) else found.events:
             item.revision = make_position(epoch, item.revision)
         return found
 
-    async def _post(self, name: str, body: object, timeout: float = READ_TIMEOUT) -> WholeAnswer | str:
+    async def _post(self, name: str, body: object, timeout: float = CALL_TIMEOUT_S) -> WholeAnswer | str:
         headers = [("Host", str(self._address)), ("Content-Type", "application/json")]
         call = Call("POST", f"/api/{name}", headers, msgspec.json.encode(body))
         return await fetch(self._client, self._clock, self._address, call, timeout)
 
-    async def _get(self, name: str, query: dict[str, str], timeout: float = READ_TIMEOUT) -> WholeAnswer | str:
+    async def _get(self, name: str, query: dict[str, str], timeout: float = CALL_TIMEOUT_S) -> WholeAnswer | str:
         call = Call("GET", f"/api/{name}?{urlencode(query)}", [("Host", str(self._address))])
         return await fetch(self._client, self._clock, self._address, call, timeout)
 
-    def _read_document(self, item: _Item) -> Document | None:
+    def _make_document(self, item: _Item) -> Document | None:
         raw = item.raw
         table = None if raw is None else self._documents.read_configuration(raw)
         return None if raw is None or table is None else Document(raw, table)
 
     def _make_entry(self, item: _Item) -> Entry:
-        return self._documents.read_entry(UpstreamId(item.tls_key.removeprefix(UPSTREAMS)), item.revision, item.raw)
+        return self._documents.read_entry(
+            UpstreamId(item.tls_key.removeprefix(UPSTREAM_PREFIX)), item.revision, item.raw
+        )
 
 
-def _read_fingerprint(key: str) -> Fingerprint | None:
+def _parse_quarantine_key(key: str) -> Fingerprint | None:
     """Return the fingerprint whose quarantine a key keeps, or None where it is another key."""
-    name = key.removeprefix(QUARANTINE)
+    name = key.removeprefix(QUARANTINE_PREFIX)
     if len(name) != 2 * FINGERPRINT_BYTES or not set(name) <= HEX_DIGITS:
         return None
     return Fingerprint(bytes.fromhex(name))
 
 
-def _find_loss(answer: WholeAnswer | str) -> StoreLost | None:
+def _get_write_failure(answer: WholeAnswer | str) -> StoreLost | None:
     """Return whether a change may not have been made; where its condition did not hold, another VM has made it."""
     if isinstance(answer, str):
         return StoreLost(answer)
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -74,12 +74,12 @@
 
 def test_the_history_that_the_store_forgot_is_read_anew() -> None:
     platform = make_platform()
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(1.0)
-    platform.store.break_connections()
+    platform.store.abort_connections()
     platform.configure(2, [*ROUTES, NEW_ROUTE])
     platform.drain("plain-0")
-    platform.store.forget_history()
+    platform.store.discard_history()
     platform.store.fault = StoreFault.NONE
     platform.network.run_until(lambda: get_version(platform) == 2, 10.0)
     platform.network.run(0.5)
@@ -101,8 +101,8 @@
 
 def test_a_store_that_is_down_is_not_stormed() -> None:
     platform = make_platform()
-    platform.store.fault = StoreFault.BUSY
-    platform.store.break_connections()
+    platform.store.fault = StoreFault.UNAVAILABLE
+    platform.store.abort_connections()
     before = platform.store.calls
     platform.network.run(10.0)
     assert platform.store.calls - before <= 50
@@ -111,7 +111,7 @@
 
 def test_a_draining_upstream_gets_nothing_new_and_does_not_come_back() -> None:
     platform = make_platform()
-    entry = platform.upstreams["plain-0"].describe(PLAIN, "hall-a")
+    entry = platform.upstreams["plain-0"].make_entry(PLAIN, "hall-a")
     platform.drain("plain-0")
     platform.network.run(0.1)
     platform.store.put("servers/plain-0", entry)
@@ -169,7 +169,7 @@
     table = documents.read_configuration(raw)
     assert table is not None
     vm1.core.take_document(Document(raw, table), "test")
-    entry = json.dumps(platform.upstreams["plain-0"].describe(PLAIN, "hall-a", "draining")).encode()
+    entry = json.dumps(platform.upstreams["plain-0"].make_entry(PLAIN, "hall-a", "draining")).encode()
     vm1.core.take_listing(
         ListingNews([documents.read_entry(UpstreamId("plain-0"), 999, entry)], 999), "test", whole=False
     )
@@ -251,7 +251,7 @@
     assert vm.leadership is not None
     vm.leadership.stop()  # its frequent calls would show that the store is back
     journal = platform.journals["vm1"]
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run_until(lambda: any(line["event"] == "lost" for line in journal.lines), 80.0)
     platform.network.run(silence)
     platform.store.fault = StoreFault.NONE
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -55,22 +55,22 @@
 def test_a_cold_replica_gets_its_part_and_the_warm_ones_the_rest() -> None:
     platform = make_cold("plain-0", plain=2)
     assert {caller.status for caller in ask(platform, "/safe/x", 40, 0.05)} == {200}
-    assert count_most(platform.upstreams["plain-0"].arrived) <= 1
-    assert len(platform.upstreams["plain-1"].arrived) >= 35
+    assert count_most(platform.upstreams["plain-0"].request_times) <= 1
+    assert len(platform.upstreams["plain-1"].request_times) >= 35
 
 
 def test_without_the_gate_a_cold_replica_gets_more() -> None:
     platform = make_cold("plain-0", "plain-1", plain=2)
     platform.vms["vm1"].core.eligibility.gate = OpenGate()
     ask(platform, "/safe/x", 40, 0.05)
-    assert count_most(platform.upstreams["plain-0"].arrived) > 1
+    assert count_most(platform.upstreams["plain-0"].request_times) > 1
 
 
 def test_a_warm_upstream_of_little_work_goes_before_a_cold_one() -> None:
     platform = make_cold("decode-0", cold={"cold_start_s": 3.0, "cold_per_s": 40.0}, decode=2)
     ask(platform, "/stream/x", 1)
     ask(platform, "/stream/x", 1)
-    assert not platform.upstreams["decode-0"].arrived
+    assert not platform.upstreams["decode-0"].request_times
 
 
 def test_requests_of_one_instant_do_not_pass_one_permit() -> None:
@@ -78,11 +78,11 @@
     callers = [platform.call("/stream/x", f"q{number}") for number in range(6)]
     platform.network.run(1.0)
     engines = [platform.upstreams[name] for name in ("decode-0", "decode-1")]
-    assert [len(engine.arrived) for engine in engines] == [1, 1]
+    assert [len(engine.request_times) for engine in engines] == [1, 1]
     for caller in callers:
         platform.finish(caller)
     assert sorted(caller.status for caller in callers)[:2] == [200, 200]
-    assert all(count_most(engine.arrived) <= 1 for engine in engines)
+    assert all(count_most(engine.request_times) <= 1 for engine in engines)
 
 
 def test_memory_that_is_set_aside_has_its_permit_for_the_stream() -> None:
@@ -94,7 +94,7 @@
     assert platform.finish(first).status == 200
     platform.finish(second)
     assert "reserved" not in platform.journals["vm1"].list_events("q1") or second.status == 200
-    assert count_most(platform.upstreams["decode-0"].arrived) <= 1
+    assert count_most(platform.upstreams["decode-0"].request_times) <= 1
 
 
 def test_a_permit_comes_back_when_the_caller_leaves_before_the_stream() -> None:
@@ -114,20 +114,20 @@
     watch = platform.vms["vm1"].core.cold_watch
     platform.network.run_until(lambda: bool(watch.cold))
     engine = platform.upstreams["decode-0"]
-    before = len(engine.arrived)
+    before = len(engine.request_times)
     assert sum(exchange.request.reservation is not None for exchange in platform.vms["vm1"].core.exchanges) >= 4
     for caller in callers:
         platform.finish(caller)
-    assert count_most(engine.arrived[before:]) <= 1
+    assert count_most(engine.request_times[before:]) <= 1
     assert [caller.status for caller in callers] == [200] * 8
 
 
 def test_all_stages_count() -> None:
     platform = make_cold("prefill-0", "decode-0", prefill=1, decode=1)
     ask(platform, "/stream/x", 8, 0.2)
-    assert len(platform.upstreams["prefill-0"].arrived) >= 1
-    assert count_most(platform.upstreams["prefill-0"].arrived) <= 1
-    assert count_most(platform.upstreams["decode-0"].arrived) <= 1
+    assert len(platform.upstreams["prefill-0"].request_times) >= 1
+    assert count_most(platform.upstreams["prefill-0"].request_times) <= 1
+    assert count_most(platform.upstreams["decode-0"].request_times) <= 1
 
 
 def test_a_request_waits_for_room_where_that_is_in_time() -> None:
@@ -138,13 +138,13 @@
     assert platform.finish(platform.call("/safe/x", "q1")).status == 200
     assert "waits for a cold upstream" in platform.journals["vm1"].list_events("q1")
     assert platform.clock.now() - begun > 0.08
-    assert count_most(platform.upstreams["plain-0"].arrived) == 1
+    assert count_most(platform.upstreams["plain-0"].request_times) == 1
 
 
 def test_a_stream_waits_for_room_at_both_its_engines() -> None:
     platform = make_cold("decode-0", "prefill-0", prefill=1, decode=1)
     assert platform.finish(platform.call("/stream/x", "q0")).status == 200
-    platform.network.run_until(lambda: platform.clock.now() > platform.upstreams["prefill-0"].arrived[0] + 0.8)
+    platform.network.run_until(lambda: platform.clock.now() > platform.upstreams["prefill-0"].request_times[0] + 0.8)
     assert platform.finish(platform.call("/stream/x", "q1")).status == 200
     assert "waits for a cold upstream" in platform.journals["vm1"].list_events("q1")
 
@@ -176,9 +176,9 @@
     platform.network.run(2.0)
     platform.turn_cold("plain-0", 30.0)
     platform.network.run(0.3)
-    before = len(platform.upstreams["plain-0"].arrived)
+    before = len(platform.upstreams["plain-0"].request_times)
     ask(platform, "/safe/x", 20, 0.05)
-    assert count_most(platform.upstreams["plain-0"].arrived[before:]) <= 1
+    assert count_most(platform.upstreams["plain-0"].request_times[before:]) <= 1
 
 
 @pytest.mark.parametrize("without", [frozenset[Mechanism](), frozenset({Mechanism.SPONSORS})])
@@ -190,11 +190,11 @@
     platform.network.run(4.0)
     platform.turn_cold("plain-0", 8.0)
     platform.network.run(1.0)
-    before = len(platform.upstreams["plain-0"].arrived)
+    before = len(platform.upstreams["plain-0"].request_times)
     for number in range(200):
         platform.call("/safe/x", f"q{number}", vm=f"vm{1 + number % 6}")
         platform.network.run(0.01)
-    arrived = platform.upstreams["plain-0"].arrived[before:]
+    arrived = platform.upstreams["plain-0"].request_times[before:]
     assert arrived
     assert count_most(arrived) <= 8
 
@@ -209,7 +209,7 @@
 
 def test_an_entry_that_says_nothing_of_coldness_is_no_upstreams_and_nothing_is_sent() -> None:
     platform = make_cold(plain=1)
-    entry = platform.upstreams["plain-0"].describe("accounts", "hall-a")
+    entry = platform.upstreams["plain-0"].make_entry("accounts", "hall-a")
     del entry["cold_remaining_ms"]
     platform.store.put("servers/plain-0", entry)
     platform.network.run(0.3)
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize(("told", "is_cold"), [(-5000, False), (0, False), (600_000, True)])
 def test_what_an_entry_says_of_coldness_is_read_as_it_is(told: float, is_cold: bool) -> None:
     platform = make_cold(plain=1)
-    entry = {**platform.upstreams["plain-0"].describe("accounts", "hall-a"), "cold_remaining_ms": told}
+    entry = {**platform.upstreams["plain-0"].make_entry("accounts", "hall-a"), "cold_remaining_ms": told}
     platform.store.put("servers/plain-0", entry)
     platform.network.run(0.3)
     core = platform.vms["vm1"].core
@@ -248,13 +248,13 @@
     for number in range(20):
         platform.call("/safe/x", f"q{number}", vm="vm2")
         platform.network.run(0.05)
-    assert count_most(platform.upstreams["plain-0"].arrived) == 1
+    assert count_most(platform.upstreams["plain-0"].request_times) == 1
     platform.network.run(10.0)
-    before = len(platform.upstreams["plain-0"].arrived)
+    before = len(platform.upstreams["plain-0"].request_times)
     for number in range(20):
         platform.call("/safe/x", f"r{number}", vm="vm2")
         platform.network.run(0.05)
-    assert count_most(platform.upstreams["plain-0"].arrived[before:]) == 4
+    assert count_most(platform.upstreams["plain-0"].request_times[before:]) == 4
 
 
 def test_a_stream_that_breaks_waits_for_a_cold_engine_where_no_other_is_left() -> None:
--- a/tests/platform/test_deadly.py
+++ b/tests/platform/test_deadly.py
@@ -46,7 +46,7 @@
 
 def send_again(platform: Platform, target: str, *, times: int, gap: float) -> list[Caller]:
     """Send one request again and again, at each VM in turn, and wait for the last answer."""
-    platform.ledger.deadly.add(target)
+    platform.ledger.crash_inducing.add(target)
     callers = []
     names = list(platform.vms)
     for number in range(times):
@@ -107,7 +107,7 @@
 
 def test_a_burst_of_the_same_request_at_all_machines_is_kept_away_too() -> None:
     platform = make_fleet()
-    platform.ledger.deadly.add("/resumable/x")
+    platform.ledger.crash_inducing.add("/resumable/x")
     for burst in range(5):
         for number in range(6):
             platform.call("/resumable/x", f"again-{burst}-{number}", vm=f"vm{number % VMS}")
@@ -199,7 +199,7 @@
 
 def stream_beside_deadly(platform: Platform) -> list[Caller]:
     """Ask for 200 streams in 20 s, and for 16 s send the request that ends its engines each 0.4 s."""
-    platform.ledger.deadly.add("/resumable/x")
+    platform.ledger.crash_inducing.add("/resumable/x")
     streams: list[Caller] = []
     for number in range(200):
         if number % 4 == 0 and number < 160:
@@ -301,11 +301,11 @@
 
 def test_it_is_written_down_as_soon_as_a_store_that_was_away_is_back() -> None:
     platform = make_fleet()
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     send_again(platform, "/resumable/x", times=6, gap=1.0)
     platform.store.fault = StoreFault.NONE
     platform.network.run(15.0)
-    assert platform.store.find_newest("beamhatch/quarantine/")
+    assert platform.store.get_newest_revision("beamhatch/quarantine/")
     assert sum(line["event"] == "kept" for journal in platform.journals.values() for line in journal.lines) == 1
 
 
@@ -318,7 +318,7 @@
     platform.store.put(key, b"")
     platform.network.run(2.0)
     assert [vm.core.quarantine.count(vm.clock.now()) for vm in platform.vms.values()] == [1] * VMS
-    platform.store.fault = StoreFault.BUSY
+    platform.store.fault = StoreFault.UNAVAILABLE
     assert platform.finish(caller).status == 200
     platform.network.run(1.0)
     platform.store.fault = StoreFault.NONE
@@ -326,7 +326,7 @@
     platform.network.run(0.2)
     assert [vm.core.quarantine.count(vm.clock.now()) for vm in platform.vms.values()] == [0] * VMS
     platform.network.run(10.0)
-    assert platform.store.find_newest(key) == 0
+    assert platform.store.get_newest_revision(key) == 0
     assert platform.finish(platform.call("/resumable/x", "again", vm="vm2")).status == 200
 
 
@@ -334,7 +334,7 @@
     platform = make_fleet()
     platform.network.cut("vm2")
     platform.network.run(3.0)
-    platform.ledger.deadly.add("/resumable/x")
+    platform.ledger.crash_inducing.add("/resumable/x")
     for number in range(6):
         platform.call("/resumable/x", f"again-{number}", vm=f"vm{number % 2}")
         platform.network.run(1.0)
@@ -355,7 +355,7 @@
     platform = make_fleet()
     for upstream in platform.upstreams.values():
         if isinstance(upstream, StandInEngine):
-            upstream.answers_before_crash = False
+            upstream.responds_before_crash = False
     callers = send_again(platform, target, times=16, gap=gap)
     assert len(platform.ledger.crashes) >= 3
     assert count_late_sends(platform, target) <= MOST_MORE
@@ -366,7 +366,7 @@
     platform = make_fleet()
     for upstream in platform.upstreams.values():
         if isinstance(upstream, StandInEngine):
-            upstream.answers_before_crash = False
+            upstream.responds_before_crash = False
     streams = stream_beside_deadly(platform)
     held = {name for vm in platform.vms.values() for name in vm.core.quarantine._attributed}
     assert len(held) == 1
@@ -400,7 +400,7 @@
 def test_an_end_under_load_is_told_also_where_it_is_back_at_once(restart_time: float) -> None:
     platform = make_fleet(decode=1)
     engine = fill_engine(platform)
-    engine.restart_time = restart_time
+    engine.restart_time_s = restart_time
     send_on(platform, 0.5)
     before = count_told(platform)
     engine.crash()
@@ -414,7 +414,7 @@
     before = count_told(platform)
     for run in list(engine.runs):
         run.end()
-    engine.break_connections()
+    engine.abort_connections()
     send_on(platform, 0.5)
     assert count_told(platform) == before + 1
 
--- a/tests/platform/test_decisions.py
+++ b/tests/platform/test_decisions.py
@@ -23,8 +23,8 @@
         platform.add_vm(f"vm{number}", ["vm1:8002"], without=without)
     for engine in platform.upstreams.values():
         if isinstance(engine, StandInEngine):
-            engine.read_rate = rate
-            engine.reads_in_turn = True
+            engine.prefill_rate = rate
+            engine.prefills_serially = True
     platform.network.run_until(lambda: all(platform.is_ready(vm) for vm in platform.vms))
     platform.network.run(3.0)
     return platform
--- a/tests/platform/test_epochs.py
+++ b/tests/platform/test_epochs.py
@@ -5,11 +5,11 @@
 import pytest
 
 from beamhatch.platform.epochs import (
-    SETTLE_TIME,
+    SETTLE_TIME_S,
     Epoch,
-    EpochWatch,
-    find_epoch,
-    find_revision,
+    EpochTracker,
+    get_epoch,
+    get_revision,
     make_position,
     read_epoch,
 )
@@ -19,7 +19,7 @@
     assert make_position(Epoch(2), 20) > make_position(Epoch(1), 314)
     assert make_position(Epoch(2), 21) > make_position(Epoch(2), 20)
     position = make_position(Epoch(7), 123456)
-    assert (find_epoch(position), find_revision(position)) == (7, 123456)
+    assert (get_epoch(position), get_revision(position)) == (7, 123456)
     assert make_position(Epoch(0), 42) == 42
 
 
@@ -32,31 +32,31 @@
 
 
 def test_lists_settle_behind_a_return_and_the_first_answer_is_none() -> None:
-    epochs = EpochWatch()
-    assert not epochs.take(Epoch(3), 10.0)
+    epochs = EpochTracker()
+    assert not epochs.record(Epoch(3), 10.0)
     assert epochs.is_settled(10.0)
-    assert not epochs.take(Epoch(3), 11.0)
-    assert epochs.take(Epoch(4), 12.0)
-    assert not epochs.take(Epoch(3), 12.1)  # an answer from before that comes late
+    assert not epochs.record(Epoch(3), 11.0)
+    assert epochs.record(Epoch(4), 12.0)
+    assert not epochs.record(Epoch(3), 12.1)  # an answer from before that comes late
     assert not epochs.is_settled(12.0)
-    assert epochs.is_settled(12.0 + SETTLE_TIME)
+    assert epochs.is_settled(12.0 + SETTLE_TIME_S)
 
 
 def test_lists_settle_too_where_peers_know_an_older_epoch_than_the_first_answer_tells() -> None:
-    epochs = EpochWatch()
-    assert not epochs.take(Epoch(3), 10.0)
-    assert epochs.may_be_restored(10.0)
-    assert not epochs.may_be_restored(10.0 + SETTLE_TIME)
-    epochs.note_known(Epoch(3), 10.1)
+    epochs = EpochTracker()
+    assert not epochs.record(Epoch(3), 10.0)
+    assert epochs.may_have_been_restored(10.0)
+    assert not epochs.may_have_been_restored(10.0 + SETTLE_TIME_S)
+    epochs.record_peer_epoch(Epoch(3), 10.1)
     assert epochs.is_settled(10.1)
-    epochs.note_known(Epoch(2), 10.2)
+    epochs.record_peer_epoch(Epoch(2), 10.2)
     assert not epochs.is_settled(10.2)
-    assert epochs.is_settled(10.2 + SETTLE_TIME)
-    epochs.note_known(Epoch(2), 15.0)  # what is believed since the last return was read once it had settled
+    assert epochs.is_settled(10.2 + SETTLE_TIME_S)
+    epochs.record_peer_epoch(Epoch(2), 15.0)  # what is believed since the last return was read once it had settled
     assert epochs.is_settled(15.0)
 
 
 def test_a_store_that_tells_no_epoch_never_comes_back() -> None:
-    epochs = EpochWatch()
-    assert not epochs.take(Epoch(0), 10.0)
-    assert not epochs.may_be_restored(10.0)
+    epochs = EpochTracker()
+    assert not epochs.record(Epoch(0), 10.0)
+    assert not epochs.may_have_been_restored(10.0)
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -109,12 +109,12 @@
     platform = Platform()
     platform.configure(1)
     engine = platform.add_engine("prefill-0", "prefill")
-    engine.read_rate = 12_000.0
+    engine.prefill_rate = 12_000.0
     platform.add_engine("decode-far", "decode", hall="hall-b")
     platform.add_vm()
     platform.network.run_until(platform.is_ready)
     caller = platform.call("/stream/x", "q1")
-    held = get_engine(platform, "decode-far").held
+    held = get_engine(platform, "decode-far").reserved_tokens
     platform.network.run_until(lambda: held and platform.ledger.arrivals["q1"])
     return platform, caller
 
@@ -137,9 +137,9 @@
     platform.network.run(0.1)
     far = get_engine(platform, "decode-far")
     assert far.calls == 1
-    assert far.held
+    assert far.reserved_tokens
     platform.network.run(2.0)
-    assert not far.held
+    assert not far.reserved_tokens
 
 
 def test_who_lost_memory_to_an_evacuation_waits_for_other_although_the_line_is_full() -> None:
@@ -157,7 +157,7 @@
     platform = make_halls()
     platform.add_engine("decode-more", "decode", hall="hall-b")
     for hall in ("hall-a", "hall-b"):
-        get_engine(platform, f"prefill-{hall}").read_rate = 12_000.0
+        get_engine(platform, f"prefill-{hall}").prefill_rate = 12_000.0
     callers = [platform.call("/stream/x", f"q{number}") for number in range(6)]
     platform.network.run(0.1)
     platform.empty("hall-a")
@@ -177,7 +177,7 @@
     platform.empty("hall-a")
     platform.network.run(NEWS_TIME)
     before = count_calls(platform, "hall-a")
-    platform.upstreams["decode-hall-a"].break_connections()
+    platform.upstreams["decode-hall-a"].abort_connections()
     assert platform.finish(caller).events == list(range(1, 61))
     assert count_calls(platform, "hall-a") == before
 
@@ -245,7 +245,7 @@
     platform = make_halls()
     make_pair(platform)
     platform.door.shut = True
-    platform.door.break_connections()
+    platform.door.abort_connections()
     platform.empty("hall-a")
     platform.network.run(NEWS_TIME)
     before = count_calls(platform, "hall-a")
@@ -265,7 +265,7 @@
         platform.network.run(NEWS_TIME)
     platform.network.cut("vm2")
     platform.door.shut = True
-    platform.door.break_connections()
+    platform.door.abort_connections()
     platform.network.run(3.0)
     (platform.empty if emptied else platform.take_back)("hall-a")
     platform.network.run(3.0)
@@ -282,7 +282,7 @@
     platform.add_vm("behind", store=OTHER_DOOR)
     platform.network.run_until(lambda: platform.is_ready("behind"))
     platform.door.shut = True
-    platform.door.break_connections()
+    platform.door.abort_connections()
     platform.take_back("hall-a")
     platform.network.run(1.0)
     assert platform.vms["behind"].core.eligibility.evacuations.is_emptied("hall-a")
@@ -300,12 +300,12 @@
     platform = make_halls(HALLS)
     platform.empty("hall-a")
     platform.network.run(NEWS_TIME)
-    platform.store.fault = StoreFault.SILENT
-    platform.store.break_connections()
+    platform.store.fault = StoreFault.UNRESPONSIVE
+    platform.store.abort_connections()
     platform.network.run(1.0)
     platform.take_back("hall-a")
     platform.empty("hall-b")
-    platform.store.forget_history()
+    platform.store.discard_history()
     platform.store.fault = StoreFault.NONE
     known = platform.vms["vm1"].core.eligibility.evacuations
     platform.network.run_until(lambda: known.list_emptied() == ["hall-b"], 5.0)
@@ -342,8 +342,8 @@
     platform = make_halls()
     platform.empty("hall-a")
     platform.network.run(NEWS_TIME)
-    platform.store.fault = StoreFault.BUSY
-    platform.store.break_connections()
+    platform.store.fault = StoreFault.UNAVAILABLE
+    platform.store.abort_connections()
     platform.add_vm("vm2", ["vm1:8002"])
     platform.network.run_until(lambda: platform.is_ready("vm2"), 5.0)
     before = count_calls(platform, "hall-a")
@@ -367,7 +367,7 @@
     platform = Platform()
     platform.configure(1)
     platform.add_plain("plain-0")
-    platform.store.fault = StoreFault.BUSY
+    platform.store.fault = StoreFault.UNAVAILABLE
     platform.add_vm()
     platform.network.run(3.0)
     assert not platform.is_ready()
@@ -396,7 +396,7 @@
 
 
 def list_ordered(platform: Platform) -> list[str]:
-    return [name for name, one in platform.upstreams.items() if isinstance(one, StandInEngine) and one.ordered]
+    return [name for name, one in platform.upstreams.items() if isinstance(one, StandInEngine) and one.pending_phase]
 
 
 def test_the_split_is_decided_for_what_is_left_as_soon_as_a_hall_is_emptied() -> None:
@@ -437,7 +437,7 @@
     vm.core.take_evacuations([Evacuation("hall-b", revision, True)], "test", as_of=revision, whole=False)
     platform.network.run(0.3)
     assert vm.leadership is not None
-    assert platform.store.find_newest("beamhatch/order")
+    assert platform.store.get_newest_revision("beamhatch/order")
     assert not platform.ledger.orders
 
 
@@ -473,7 +473,7 @@
 def test_all_vms_know_within_a_second_though_the_store_turns_a_third_of_them_away(vms: int) -> None:
     platform = make_fleet(vms)
     platform.door.shut = True
-    platform.door.break_connections()
+    platform.door.abort_connections()
     platform.network.run(1.0)
     platform.empty("hall-b")
     platform.network.run_until(lambda: count_emptied(platform) == vms, 1.0)
@@ -489,8 +489,8 @@
         for watcher in vm._watchers:
             watcher.store._address = OTHER_DOOR if watches else STORE  # type: ignore[attr-defined]
     platform.door.shut = True
-    platform.door.break_connections()
-    platform.store.break_connections()
+    platform.door.abort_connections()
+    platform.store.abort_connections()
 
 
 def test_others_watch_where_the_store_turns_all_watchers_away() -> None:
@@ -504,8 +504,8 @@
 
 def test_few_ask_a_store_that_is_down_for_all_and_those_in_place_stop_when_it_is_back() -> None:
     platform = make_fleet(24)
-    platform.store.fault = StoreFault.BUSY
-    platform.store.break_connections()
+    platform.store.fault = StoreFault.UNAVAILABLE
+    platform.store.abort_connections()
     platform.network.run(10.0)
     asking = sum(not watcher.connected for vm in platform.vms.values() for watcher in vm._watchers[:1])
     assert asking <= 12
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -92,8 +92,8 @@
 
 def test_watches_that_a_silent_store_swallowed_are_made_anew_once_it_is_back() -> None:
     platform = make_fleet(6)
-    platform.store.fault = StoreFault.SILENT
-    platform.store.break_connections()
+    platform.store.fault = StoreFault.UNRESPONSIVE
+    platform.store.abort_connections()
     platform.network.run(6.0)
     platform.store.fault = StoreFault.NONE
     platform.network.run(4.0)
@@ -104,7 +104,7 @@
 
 def test_a_vm_that_starts_asks_its_peers_and_not_the_store() -> None:
     platform = make_fleet(18)
-    platform.store.fault = StoreFault.BUSY
+    platform.store.fault = StoreFault.UNAVAILABLE
     before = platform.store.calls
     platform.add_vm("late", ["vm1:8002", "vm2:8002"], "hall-b")
     platform.network.run_until(lambda: platform.vms["late"].core.ready, 1.0)
--- a/tests/platform/test_interleavings.py
+++ b/tests/platform/test_interleavings.py
@@ -60,11 +60,11 @@
     def trouble_the_store(self, fault: StoreFault) -> None:
         self.platform.store.fault = fault
         if fault is not StoreFault.NONE:
-            self.platform.store.break_connections()
+            self.platform.store.abort_connections()
 
     @rule()
     def forget_history(self) -> None:
-        self.platform.store.forget_history()
+        self.platform.store.discard_history()
 
     @rule()
     def end_the_lease(self) -> None:
@@ -88,7 +88,10 @@
         self.platform.drain(f"plain-{number}")
         self.left.add(f"plain-{number}")
 
-    @rule(number=st.integers(0, 2), fault=st.sampled_from([UpstreamFault.NONE, UpstreamFault.CUT, UpstreamFault.SHED]))
+    @rule(
+        number=st.integers(0, 2),
+        fault=st.sampled_from([UpstreamFault.NONE, UpstreamFault.TRUNCATED, UpstreamFault.SHED]),
+    )
     def trouble_an_upstream(self, number: int, fault: UpstreamFault) -> None:
         self.platform.upstreams[f"plain-{number}"].fault = fault
 
@@ -135,7 +138,7 @@
             assert usable == names
 
     def agree(self) -> bool:
-        newest = make_position(Epoch(self.platform.store.epoch), self.platform.store.find_newest("servers/"))
+        newest = make_position(Epoch(self.platform.store.epoch), self.platform.store.get_newest_revision("servers/"))
         return all(
             vm.core.table is not None and vm.core.table.version == self.version and vm.core.listing.newest == newest
             for vm in self.platform.vms.values()
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -155,8 +155,8 @@
 
 def test_a_vm_that_can_not_tell_whether_it_is_up_to_date_sends_an_unknown_key_elsewhere() -> None:
     platform = make_keyed_platform()
-    platform.store.fault = StoreFault.BUSY
-    platform.store.forget_history()
+    platform.store.fault = StoreFault.UNAVAILABLE
+    platform.store.discard_history()
     platform.network.run(2.0)
     caller = platform.finish(platform.call("/safe/x", "q1", headers=bear(NEW_KEY)))
     assert caller.status == 503
--- a/tests/platform/test_limit.py
+++ b/tests/platform/test_limit.py
@@ -100,7 +100,7 @@
     upstream.limit = str(rate)
     named_at = platform.clock.now()
     callers = call_for(platform, target, 14.0)
-    busiest = count_busiest(upstream.called_at, named_at + FIRST_NEWS + 1.0)
+    busiest = count_busiest(upstream.call_times, named_at + FIRST_NEWS + 1.0)
     assert busiest <= find_borne(rate)
     assert busiest <= find_limit(rate)
     assert sum(caller.status == 200 for caller in callers) >= 0.99 * len(callers)
@@ -114,7 +114,7 @@
     call_for(platform, target, 2.0)
     begun = platform.clock.now()
     call_for(platform, target, 12.0)
-    got = [at for at in upstream.called_at if begun < at <= begun + 12.0]
+    got = [at for at in upstream.call_times if begun < at <= begun + 12.0]
     assert 0.8 * 2.6 * 12 <= len(got) <= 2.6 * 12 + BURST
 
 
@@ -131,7 +131,7 @@
     upstream.limit = "2.6"
     named_at = platform.clock.now()
     call_for(platform, target, 12.0)
-    assert count_busiest(upstream.called_at, named_at + FIRST_NEWS + 1.0) <= find_limit(2.6)
+    assert count_busiest(upstream.call_times, named_at + FIRST_NEWS + 1.0) <= find_limit(2.6)
 
 
 @pytest.mark.parametrize("target", ["/safe/x", "/unsafe/x", "/stream/x", "/resumable/x"])
@@ -145,7 +145,7 @@
     begun = platform.clock.now()
     callers = call_for(platform, target, 12.0)
     for upstream in limited:
-        assert count_busiest(upstream.called_at, begun) <= find_limit(2.6)
+        assert count_busiest(upstream.call_times, begun) <= find_limit(2.6)
     served = sum(caller.status == 200 and caller.whole for caller in callers)
     assert served >= 0.8 * 3 * 2.6 * 12
     refused = [caller for caller in callers if caller.status != 200]
@@ -199,7 +199,7 @@
     platform.network.run_until(lambda: platform.is_ready("vm6"))
     assert knows(platform, "vm6", upstream) == 2.6
     call_for(platform, "/safe/x", 8.0, vms=["vm6"])
-    assert count_busiest(upstream.called_at, since) <= find_limit(2.6)
+    assert count_busiest(upstream.call_times, since) <= find_limit(2.6)
 
 
 def test_all_that_restart_at_once_hear_it_from_their_first_answers() -> None:
@@ -214,8 +214,8 @@
     platform.network.run_until(lambda: all(platform.is_ready(vm) for vm in platform.vms))
     begun = platform.clock.now()
     call_for(platform, "/safe/x", 10.0)
-    assert count_busiest(upstream.called_at, begun + FIRST_NEWS) <= find_borne(2.6)
-    assert count_busiest(upstream.called_at, begun + 4.0) <= find_limit(2.6)
+    assert count_busiest(upstream.call_times, begun + FIRST_NEWS) <= find_borne(2.6)
+    assert count_busiest(upstream.call_times, begun + 4.0) <= find_limit(2.6)
 
 
 def test_a_hall_that_is_cut_off_keeps_its_part_and_the_sum_is_borne() -> None:
@@ -228,8 +228,8 @@
     assert platform.vms["vm2"].core.announcements.limits.find_share() == pytest.approx(2 / 6)
     since = platform.clock.now()
     call_for(platform, "/safe/x", 8.0)
-    assert count_busiest(upstream.called_at, since) <= find_borne(2.6)
-    got = [at for at in upstream.called_at if at > since]
+    assert count_busiest(upstream.call_times, since) <= find_borne(2.6)
+    got = [at for at in upstream.call_times if at > since]
     assert len(got) >= 0.8 * 2.6 * 8
 
 
@@ -243,13 +243,13 @@
     call_for(platform, "/safe/x", 1.0)
     since = platform.clock.now()
     call_for(platform, "/safe/x", 6.0)
-    assert count_busiest(upstream.called_at, since) <= find_limit(1.0)
+    assert count_busiest(upstream.call_times, since) <= find_limit(1.0)
     upstream.limit = ""
     call_for(platform, "/safe/x", 3.0)
     assert [knows(platform, vm, upstream) for vm in platform.vms] == [None] * 6
     since = platform.clock.now()
     call_for(platform, "/safe/x", 4.0)
-    assert count_busiest(upstream.called_at, since) > find_borne(2.6)
+    assert count_busiest(upstream.call_times, since) > find_borne(2.6)
 
 
 @pytest.mark.parametrize("word", ["-3", "many", "", "nan"])
@@ -266,7 +266,7 @@
     upstream = name_limit(platform, rate=0.0)
     since = platform.clock.now()
     callers = call_for(platform, "/safe/x", 8.0)
-    assert sum(at > since for at in upstream.called_at) <= 2
+    assert sum(at > since for at in upstream.call_times) <= 2
     assert all(caller.status == 200 for caller in callers)
     upstream.limit = ""
     call_for(platform, "/safe/x", 14.0)
@@ -288,12 +288,12 @@
 def test_one_that_rests_as_well_gets_its_rest() -> None:
     platform = make_fleet()
     upstream = name_limit(platform)
-    upstream.fault, upstream.rest = UpstreamFault.SHED, "3"
+    upstream.fault, upstream.retry_after = UpstreamFault.SHED, "3"
     call_for(platform, "/safe/x", 3.0)
     upstream.fault = UpstreamFault.NONE
     since = platform.clock.now()
     call_for(platform, "/safe/x", 8.0)
-    assert count_busiest(upstream.called_at, since) <= find_limit(2.6)
+    assert count_busiest(upstream.call_times, since) <= find_limit(2.6)
 
 
 def test_one_that_is_cold_as_well_keeps_both_bounds() -> None:
@@ -305,7 +305,7 @@
     platform.network.run(1.0)
     since = platform.clock.now()
     call_for(platform, "/safe/x", 12.0)
-    assert count_busiest(platform.upstreams["plain-0"].called_at, since) <= find_borne(1.5)
+    assert count_busiest(platform.upstreams["plain-0"].call_times, since) <= find_borne(1.5)
 
 
 def test_a_single_vm_keeps_it_alone() -> None:
@@ -313,9 +313,9 @@
     upstream = name_limit(platform)
     since = platform.clock.now()
     call_for(platform, "/safe/x", 10.0)
-    got = sum(since < at <= since + 10 for at in upstream.called_at)
+    got = sum(since < at <= since + 10 for at in upstream.call_times)
     assert got >= 0.8 * 26
-    assert count_busiest(upstream.called_at, since) <= find_limit(2.6)
+    assert count_busiest(upstream.call_times, since) <= find_limit(2.6)
 
 
 def test_an_answer_about_memory_that_lacks_the_word_ends_nothing() -> None:
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -19,7 +19,7 @@
 def start_again(platform: Platform, name: str) -> None:
     """End an upstream, and have it back at once under its id."""
     upstream = platform.upstreams[name]
-    upstream.restart_time = 0.1
+    upstream.restart_time_s = 0.1
     upstream.crash()
     platform.network.run(0.5)
 
@@ -35,7 +35,7 @@
 
 def test_an_old_entry_of_one_that_leaves_brings_nothing_back() -> None:
     platform = make_platform(plain=1)
-    entry = platform.upstreams["plain-0"].describe(PLAIN, "hall-a")
+    entry = platform.upstreams["plain-0"].make_entry(PLAIN, "hall-a")
     platform.drain("plain-0")
     platform.network.run(0.1)
     platform.store.put("servers/plain-0", entry)
@@ -65,10 +65,10 @@
 
 def test_work_under_way_is_still_counted_once_where_it_ends_behind_the_new_start() -> None:
     platform = make_platform(plain=1)
-    platform.upstreams["plain-0"].work = 0.3
+    platform.upstreams["plain-0"].service_time_s = 0.3
     caller = platform.call("/unsafe/x", "q1")
     platform.network.run(0.1)
-    entry = platform.upstreams["plain-0"].describe(PLAIN, "hall-a")
+    entry = platform.upstreams["plain-0"].make_entry(PLAIN, "hall-a")
     platform.store.put("servers/plain-0", {**entry, "born": int(str(entry["born"])) + 1})
     platform.finish(caller)
     assert platform.vms["vm1"].core.standings.get(ONLY).running == 0
@@ -101,15 +101,15 @@
     platform = make_platform(prefill=1, decode=1)
     engine = platform.upstreams["prefill-0"]
     assert isinstance(engine, StandInEngine)
-    engine.read_rate = 10_000.0
+    engine.prefill_rate = 10_000.0
     caller = platform.call("/resumable/x", "q1")
     platform.network.run(0.3)
     exchange = next(iter(platform.vms["vm1"].core.exchanges))
     assert exchange.request.reservation is not None
-    entry = platform.upstreams[name].describe(MODEL, "hall-a")
+    entry = platform.upstreams[name].make_entry(MODEL, "hall-a")
     held = platform.upstreams[name]
     assert isinstance(held, StandInEngine)
-    held.held.clear()
+    held.reserved_tokens.clear()
     platform.store.put(f"servers/{name}", {**entry, "born": int(str(entry["born"])) + 1})
     platform.finish(caller)
     assert caller.status == 200
@@ -121,7 +121,7 @@
 
 def test_counts_that_start_anew_are_no_older_news() -> None:
     platform = make_platform(plain=1)
-    entry = platform.upstreams["plain-0"].describe(PLAIN, "hall-a")
+    entry = platform.upstreams["plain-0"].make_entry(PLAIN, "hall-a")
     platform.store.put("servers/plain-0", {**entry, "sequence": 900})
     platform.network.run(0.5)
     later = {**entry, "sequence": 0, "born": int(str(entry["born"])) + 5, "state": "draining"}
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -52,7 +52,7 @@
 def test_no_order_is_given_by_a_vm_whose_lease_can_not_be_renewed() -> None:
     platform = make_short_of_memory(1)
     platform.network.run(4.0)
-    platform.store.fault = StoreFault.BUSY
+    platform.store.fault = StoreFault.UNAVAILABLE
     press(platform, 20.0)
     assert not platform.ledger.orders
 
@@ -63,7 +63,7 @@
     platform.store.remove("beamhatch/leader")
     for engine in platform.upstreams.values():
         if isinstance(engine, StandInEngine):
-            platform.store.put(f"servers/{engine.instance}", engine.describe(MODEL, "hall-a"))
+            platform.store.put(f"servers/{engine.instance}", engine.make_entry(MODEL, "hall-a"))
     press(platform, 25.0)
     orders = platform.ledger.orders
     for before, after in itertools.pairwise(orders):
@@ -106,8 +106,8 @@
     platform.network.run(12.0)
     for engine in platform.upstreams.values():
         if isinstance(engine, StandInEngine):
-            engine.read_rate = 1e6
-            engine.step = 0.005
+            engine.prefill_rate = 1e6
+            engine.event_interval_s = 0.005
     # The leader believes that the engines read so slowly that one of the decode engines has to help.
     (leader,) = find_leaders(platform)
     ordering = platform.vms[leader]._ordering
@@ -125,7 +125,7 @@
     def is_changing() -> bool:
         ask()
         platform.network.run(0.08)
-        return any(isinstance(one, StandInEngine) and one.ordered for one in platform.upstreams.values())
+        return any(isinstance(one, StandInEngine) and one.pending_phase for one in platform.upstreams.values())
 
     while not is_changing():
         assert len(asked) < 1000
@@ -178,14 +178,14 @@
     platform = make_led(4)
     engine = platform.upstreams["decode-0"]
     assert isinstance(engine, StandInEngine)
-    engine.loses_order = True
+    engine.drops_next_order = True
     give_order(platform)
     platform.network.run(1.0)
-    assert engine.ordered is None
+    assert engine.pending_phase is None
     ask_often(platform, 0, 20)
     assert not list_turned_away(platform)
     assert any(line["event"] == "sent" and line.get("to") == "decode-0" for line in platform.journals["vm1"].lines)
-    engine.take_lost_order()
+    engine.apply_dropped_order()
     ask_often(platform, 20, 40)
     assert len(list_turned_away(platform)) <= 2
     assert count_misspent(platform) <= 2
@@ -195,10 +195,10 @@
     platform = make_led(4)
     engine = platform.upstreams["decode-0"]
     assert isinstance(engine, StandInEngine)
-    engine.switch_time = 60.0
+    engine.phase_change_time_s = 60.0
     give_order(platform)
     platform.network.run(0.3)
-    assert engine.ordered is not None
+    assert engine.pending_phase is not None
     for name in list(platform.vms):
         platform.network.cut(name)
         del platform.vms[name]
--- a/tests/platform/test_own_word.py
+++ b/tests/platform/test_own_word.py
@@ -66,7 +66,10 @@
 def count_in_rest(upstream: StandInUpstream) -> int:
     """Return the most calls that came in any rest that was asked for."""
     return max(
-        (sum(asked + REST_SLACK < at <= asked + REST for at in upstream.called_at) for asked in upstream.rest_asked_at),
+        (
+            sum(asked + REST_SLACK < at <= asked + REST for at in upstream.call_times)
+            for asked in upstream.backoff_times
+        ),
         default=0,
     )
 
@@ -74,14 +77,14 @@
 @pytest.mark.parametrize(("target", "leaves"), SENT_TO)
 def test_one_that_said_in_an_answer_that_it_leaves_gets_nothing_new(target: str, leaves: str) -> None:
     platform = make_fleet()
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     upstream = platform.upstreams[leaves]
     call_for(platform, target, 1.0)
     upstream.leaving = True
-    first = len(upstream.called_at)
+    first = len(upstream.call_times)
     callers = call_for(platform, target, 6.0)
-    heard_at = upstream.called_at[first] + 1.0  # its answer came within that
-    assert [at for at in upstream.arrived if at > heard_at + DRAIN_TIME] == []
+    heard_at = upstream.call_times[first] + 1.0  # its answer came within that
+    assert [at for at in upstream.request_times if at > heard_at + DRAIN_TIME] == []
     assert all(caller.status == 200 for caller in callers)
 
 
@@ -90,16 +93,16 @@
     platform = make_fleet()
     upstream = platform.upstreams["decode-0" if rests == "full" else rests]
     for other in platform.upstreams.values():
-        other.work = 0.05 if other is upstream else 0.15  # slower, so that it would be liked best
+        other.service_time_s = 0.05 if other is upstream else 0.15  # slower, so that it would be liked best
     call_for(platform, target, 1.0)
-    upstream.rest = str(REST)
+    upstream.retry_after = str(REST)
     if rests == "full":
         assert isinstance(upstream, StandInEngine)
         upstream.kv_tokens = 0  # it turns away who asks it to set memory aside
     else:
         upstream.fault = UpstreamFault.SHED
     callers = call_for(platform, target, 8.0)
-    assert upstream.rest_asked_at
+    assert upstream.backoff_times
     assert count_in_rest(upstream) <= MOST_IN_REST
     assert all(caller.status == 200 for caller in callers)
 
@@ -119,7 +122,7 @@
 @pytest.mark.parametrize("target", TARGETS)
 def test_where_all_leave_callers_are_refused_at_once_and_told_when_to_come_back(target: str) -> None:
     platform = make_fleet()
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     for name, upstream in platform.upstreams.items():
         upstream.leaving = name.startswith(find_answering(target))
     call_for(platform, target, 2.0)
@@ -138,7 +141,7 @@
     call_for(platform, target, 1.0)
     resting = [upstream for name, upstream in platform.upstreams.items() if name.startswith(find_answering(target))]
     for upstream in resting:
-        upstream.fault, upstream.rest = UpstreamFault.SHED, "3"
+        upstream.fault, upstream.retry_after = UpstreamFault.SHED, "3"
     call_for(platform, target, 0.5)
     refused = platform.call(target, "early")
     platform.network.run(0.01)
@@ -154,7 +157,7 @@
 def test_the_time_to_come_back_is_behind_the_rest() -> None:
     platform = make_fleet()
     for name in ("plain-0", "plain-1", "plain-2"):
-        platform.upstreams[name].fault, platform.upstreams[name].rest = UpstreamFault.SHED, "1"
+        platform.upstreams[name].fault, platform.upstreams[name].retry_after = UpstreamFault.SHED, "1"
     asked_at = platform.clock.now()
     for number in range(6):
         platform.call("/safe/x", f"first-{number}")
@@ -169,11 +172,11 @@
 def test_as_rests_end_the_first_request_goes_alone_and_others_are_served_too() -> None:
     platform = make_fleet()
     for name in ("plain-0", "plain-1", "plain-2"):
-        platform.upstreams[name].fault, platform.upstreams[name].rest = UpstreamFault.SHED, "1"
+        platform.upstreams[name].fault, platform.upstreams[name].retry_after = UpstreamFault.SHED, "1"
     call_for(platform, "/safe/x", 0.3)
     for name in ("plain-0", "plain-1", "plain-2"):
         platform.upstreams[name].fault = UpstreamFault.NONE
-        platform.upstreams[name].called_at.clear()
+        platform.upstreams[name].call_times.clear()
     waiting = []
     for burst in range(12):
         for number in range(10):
@@ -181,9 +184,9 @@
         platform.network.run(0.1)
     platform.network.run(2.0)
     first = [
-        sum(at < platform.upstreams[name].called_at[0] + 0.04 for at in platform.upstreams[name].called_at)
+        sum(at < platform.upstreams[name].call_times[0] + 0.04 for at in platform.upstreams[name].call_times)
         for name in ("plain-0", "plain-1", "plain-2")
-        if platform.upstreams[name].called_at
+        if platform.upstreams[name].call_times
     ]
     assert first
     assert max(first) == 1
@@ -192,7 +195,7 @@
 
 def test_who_waits_for_memory_is_told_at_once_when_all_leave() -> None:
     platform = make_fleet()
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     for name, upstream in platform.upstreams.items():
         if name.startswith("decode"):
             assert isinstance(upstream, StandInEngine)
@@ -233,7 +236,7 @@
         core.announcements.rests.take(held.upstream.life, 3.0, platform.clock.now())
     calls = platform.upstreams[held.upstream.id].calls
     assert platform.finish(caller).status == 200
-    assert platform.upstreams[held.upstream.id].arrived == []
+    assert platform.upstreams[held.upstream.id].request_times == []
     given_back = platform.upstreams[held.upstream.id].calls - calls
     assert given_back == (word == "leaves")  # one that rests wants nothing: the memory lapses there
 
@@ -253,7 +256,7 @@
     core.announcements.take_departure(attempt.upstream.life, "a test")
     assert platform.finish(caller).status == 200
     platform.network.run(1.0)
-    assert platform.upstreams[attempt.upstream.id].arrived == []
+    assert platform.upstreams[attempt.upstream.id].request_times == []
     assert "taken back" in platform.journals["vm1"].list_events("one")
 
 
@@ -272,7 +275,7 @@
 def test_the_word_of_another_one_at_the_address_says_nothing_of_the_one_that_was_meant() -> None:
     platform = make_fleet()
     upstream = platform.upstreams["plain-0"]
-    upstream.instance, upstream.leaving, upstream.rest = "another", True, "3"
+    upstream.instance, upstream.leaving, upstream.retry_after = "another", True, "3"
     call_for(platform, "/safe/x", 1.0)
     core = platform.vms["vm1"].core
     assert upstream.calls
@@ -284,7 +287,7 @@
 def test_a_word_that_asks_nothing_leaves_the_short_pause_behind_any_refusal(rest: str) -> None:
     platform = make_fleet()
     for upstream in platform.upstreams.values():
-        upstream.rest, upstream.fault = rest, UpstreamFault.SHED
+        upstream.retry_after, upstream.fault = rest, UpstreamFault.SHED
     call_for(platform, "/safe/x", 0.5)
     for upstream in platform.upstreams.values():
         upstream.fault = UpstreamFault.NONE
@@ -294,7 +297,7 @@
 def test_one_that_asks_for_a_very_long_rest_is_tried_again_behind_ten_minutes() -> None:
     platform = make_fleet()
     upstream = platform.upstreams["plain-0"]
-    upstream.rest, upstream.fault = "99999999999999", UpstreamFault.SHED
+    upstream.retry_after, upstream.fault = "99999999999999", UpstreamFault.SHED
     call_for(platform, "/safe/x", 1.0)
     asked = upstream.calls
     platform.network.run(590.0)
@@ -319,7 +322,7 @@
         platform.add_vm(f"vm{number}", ["vm0:8002"], f"hall-{'abc'[number]}")
     platform.network.run_until(lambda: all(vm.core.ready for vm in platform.vms.values()))
     platform.network.run(5.0)
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     return platform
 
 
@@ -401,7 +404,7 @@
 def test_a_rest_is_of_the_machine_that_was_asked_alone() -> None:
     platform = make_machines()
     upstream = platform.upstreams["plain-0"]
-    upstream.rest, upstream.fault = "5", UpstreamFault.SHED
+    upstream.retry_after, upstream.fault = "5", UpstreamFault.SHED
     call_for(platform, "/safe/x", 1.0, vm="vm0")
     upstream.fault = UpstreamFault.NONE
     calls = upstream.calls
@@ -424,10 +427,10 @@
 def test_callers_beside_it_stay_served(word: str, target: str) -> None:
     """All of 160 are, where one of three leaves, or turns all away and asks for rest."""
     platform = make_fleet()
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     upstream = platform.upstreams[f"{find_answering(target)}-0"]
     if word == "leaves":
         upstream.leaving = True
     else:
-        upstream.rest, upstream.fault = "3", UpstreamFault.SHED
+        upstream.retry_after, upstream.fault = "3", UpstreamFault.SHED
     assert count_served(call_for(platform, target, 8.0)) >= 0.95
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -117,7 +117,7 @@
     assert not platform.ledger.runs
 
 
-@pytest.mark.parametrize("fault", [UpstreamFault.CUT, UpstreamFault.UNSIGNED, UpstreamFault.UNPROVED])
+@pytest.mark.parametrize("fault", [UpstreamFault.TRUNCATED, UpstreamFault.UNSIGNED, UpstreamFault.UNCONFIRMED])
 def test_an_unsafe_request_that_may_have_run_is_never_sent_again_nor_called_not_run(fault: UpstreamFault) -> None:
     platform = make_platform()
     for name in ("plain-0", "plain-1"):
@@ -127,7 +127,9 @@
     assert platform.ledger.runs["q1"] == 1
 
 
-@pytest.mark.parametrize("fault", [UpstreamFault.CUT, UpstreamFault.ERROR, UpstreamFault.HANG, UpstreamFault.UNSIGNED])
+@pytest.mark.parametrize(
+    "fault", [UpstreamFault.TRUNCATED, UpstreamFault.ERROR, UpstreamFault.HANG, UpstreamFault.UNSIGNED]
+)
 def test_a_safe_request_is_sent_again_once(fault: UpstreamFault) -> None:
     platform = make_platform()
     platform.upstreams["plain-0"].fault = fault
@@ -147,7 +149,7 @@
 
 def test_an_answer_to_another_request_is_dropped() -> None:
     platform = make_platform(plain=1)
-    platform.upstreams["plain-0"].fault = UpstreamFault.FOREIGN
+    platform.upstreams["plain-0"].fault = UpstreamFault.MISMATCHED
     caller = serve(platform, "/unsafe/x", body=b"x")
     assert caller.status == 200
     assert caller.body == b"POST /unsafe/x q1"
@@ -203,13 +205,13 @@
     platform = make_platform(decode=1)
     engine = platform.upstreams["decode-0"]
     assert isinstance(engine, StandInEngine)
-    engine.used = engine.kv_tokens
+    engine.used_tokens = engine.kv_tokens
     first = platform.call("/stream/x", "q1")
     second = platform.call("/stream/x", "q2")
     platform.finish(second)
     assert second.status == 503
     assert "retry-after" in second.head.lower()
-    engine.used = 0
+    engine.used_tokens = 0
     assert platform.finish(first).status == 200
     assert platform.ledger.prefilled == {"q1": 1}
 
@@ -228,10 +230,10 @@
     platform.network.run(0.1)
     engine = platform.upstreams["decode-0"]
     assert isinstance(engine, StandInEngine)
-    assert engine.held
+    assert engine.reserved_tokens
     caller.leave()
     platform.network.run(0.1)
-    assert not engine.held
+    assert not engine.reserved_tokens
 
 
 def test_work_ends_at_once_for_a_caller_that_leaves() -> None:
@@ -240,7 +242,7 @@
     platform.network.run_until(lambda: caller.events)
     caller.leave()
     platform.network.run(0.1)
-    assert platform.ledger.stopped["q1"] == 1
+    assert platform.ledger.cancelled["q1"] == 1
     assert not platform.vms["vm1"].core.exchanges
 
 
@@ -252,7 +254,7 @@
     assert caller.status == 0
     platform.network.run(0.3)
     assert caller.status == 504
-    assert platform.ledger.stopped["q1"] == 1
+    assert platform.ledger.cancelled["q1"] == 1
 
 
 def test_each_send_is_told_the_time_that_is_left() -> None:
@@ -302,7 +304,7 @@
     platform = make_platform(decode=1)
     engine = platform.upstreams["decode-0"]
     assert isinstance(engine, StandInEngine)
-    engine.event_bytes = 50_000
+    engine.padding_bytes = 50_000
     caller = platform.call("/stream/x", "q1", headers={"Token-Count": "5000,60"})
     platform.network.run_until(lambda: caller.events)
     caller.transport.pauseProducing()
@@ -328,13 +330,13 @@
     platform = make_platform(decode=1)
     engine = platform.upstreams["decode-0"]
     assert isinstance(engine, StandInEngine)
-    engine.used = engine.kv_tokens
+    engine.used_tokens = engine.kv_tokens
     caller = platform.call("/stream/x", "q1")
     platform.network.run(0.1)
     core = platform.vms["vm1"].core
     assert len(core.lines.find(ServiceName(MODEL))) == 1
-    engine.used = 0
-    engine.answer_delay = 0.02
+    engine.used_tokens = 0
+    engine.reservation_delay_s = 0.02
     for _ in range(40):
         core.lines.note_freed(ServiceName(MODEL))
         platform.network.run(0.002)
--- a/tests/platform/test_residency.py
+++ b/tests/platform/test_residency.py
@@ -171,7 +171,7 @@
 
 def fill_memory(platform: Platform, *names: str) -> None:
     for name in names:
-        get_engine(platform, name).held["filled"] = 60_000
+        get_engine(platform, name).reserved_tokens["filled"] = 60_000
 
 
 def test_who_may_run_elsewhere_is_not_held_up_by_those_whose_region_is_full() -> None:
@@ -183,7 +183,7 @@
     free = platform.call("/free/x", "q2", headers={"Token-Count": "5000,10", "Prompt-Prefix": "aa:200,q2:4800"})
     assert platform.finish(free).status == 200
     assert "waits" not in platform.journals["vm1"].list_events("q2")
-    get_engine(platform, "decode-east").held.clear()
+    get_engine(platform, "decode-east").reserved_tokens.clear()
     assert platform.finish(waiting).status == 200
 
 
@@ -201,10 +201,10 @@
     caller = platform.call("/stream/x", "q")
     platform.network.run(0.1)
     narrow(platform, ["east"])
-    get_engine(platform, "decode-west").held.clear()
+    get_engine(platform, "decode-west").reserved_tokens.clear()
     platform.network.run(0.5)
     assert not caller.received
-    get_engine(platform, "decode-east").held.clear()
+    get_engine(platform, "decode-east").reserved_tokens.clear()
     assert platform.finish(caller).status == 200
     lines = platform.journals["vm1"].lines
     changed = next(number for number, line in enumerate(lines) if line["event"] == "regions changed")
@@ -244,9 +244,9 @@
 
 def test_memory_and_kv_caches_that_are_held_elsewhere_are_given_back() -> None:
     platform = make_world()
-    get_engine(platform, "prefill-west").read_rate = 10_000.0
+    get_engine(platform, "prefill-west").prefill_rate = 10_000.0
     caller = platform.call("/stream/x", "q")
-    held = get_engine(platform, "decode-west").held
+    held = get_engine(platform, "decode-west").reserved_tokens
     platform.network.run_until(lambda: held)
     platform.network.run(0.1)
     narrow(platform, ["east"])
@@ -261,13 +261,13 @@
 def test_memory_that_is_granted_behind_the_change_is_given_back() -> None:
     platform = make_world()
     west = get_engine(platform, "decode-west")
-    west.answer_delay = 0.1
+    west.reservation_delay_s = 0.1
     caller = platform.call("/stream/x", "q")
-    platform.network.run_until(lambda: west.held)
+    platform.network.run_until(lambda: west.reserved_tokens)
     narrow(platform, ["east"])
-    assert west.held
+    assert west.reserved_tokens
     assert platform.finish(caller).status == 200
-    assert not west.held
+    assert not west.reserved_tokens
     assert not [line for line in platform.journals["vm1"].lines if line["event"] == "sent" and "west" in line["to"]]
 
 
@@ -279,7 +279,7 @@
     platform.configure(2, list_routes(None), [make_workspace("other", "k2")])
     platform.network.run(0.5)
     assert not caller.received
-    get_engine(platform, "decode-east").held.clear()
+    get_engine(platform, "decode-east").reserved_tokens.clear()
     assert platform.finish(caller).status == 200
     assert list_asked(platform, "q") == {"prefill-east", "decode-east"}
 
@@ -294,7 +294,7 @@
     fill_memory(platform, "decode-east")
     caller = platform.call(path, "q", body=BODY)
     platform.network.run(0.3)
-    get_engine(platform, "decode-east").held.clear()
+    get_engine(platform, "decode-east").reserved_tokens.clear()
     assert platform.finish(caller).status == 200
     hosts = {host for host, data in received if BODY in data}
     assert hosts - {"vm1"} <= {"host-plain-east", "host-prefill-east", "host-decode-east"}
--- a/tests/platform/test_restore.py
+++ b/tests/platform/test_restore.py
@@ -43,12 +43,12 @@
 def count_arrived(platform: Platform, hall: str) -> int:
     """Return how many requests the upstreams of a hall got."""
     found = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == hall]
-    return sum(len(one.arrived) for one in found)
+    return sum(len(one.request_times) for one in found)
 
 
 def restore_and_start(platform: Platform, change: object, start: float, name: str = "vm-new") -> None:
     """Restore a backup of before a change, and start a VM in a hall of its own some seconds later."""
-    backup = platform.store.make_copy()
+    backup = platform.store.make_backup()
     assert callable(change)
     change()
     platform.network.run(4.0)
@@ -104,9 +104,9 @@
 def restore_without_quarantine() -> Platform:
     """Return VMs that hold a request, with a store that was restored from a backup that lacks it."""
     platform = make_deadly_fleet()
-    backup = platform.store.make_copy()
+    backup = platform.store.make_backup()
     send_again(platform, DEADLY, times=6, gap=1.0)
-    assert platform.store.find_newest(QUARANTINES)
+    assert platform.store.get_newest_revision(QUARANTINES)
     come_back_at_once(platform, backup)
     return platform
 
@@ -120,7 +120,7 @@
     platform = restore_without_quarantine()
     before = count_kept(platform)
     platform.network.run(KEEP_TIME)
-    assert platform.store.find_newest(QUARANTINES)
+    assert platform.store.get_newest_revision(QUARANTINES)
     assert count_kept(platform) - before <= 2
 
 
@@ -150,14 +150,14 @@
     key = f"{QUARANTINES}{exchange.fingerprint.hex()}"
     platform.store.put(key, b"")
     platform.network.run(2.0)
-    backup = platform.store.make_copy()
+    backup = platform.store.make_backup()
     assert platform.finish(caller).status == 200
     platform.network.run(2.0)
-    assert not platform.store.find_newest(key)
+    assert not platform.store.get_newest_revision(key)
     assert key in backup.items
     come_back_at_once(platform, backup)
     platform.network.run(KEEP_TIME)
-    assert not platform.store.find_newest(key)
+    assert not platform.store.get_newest_revision(key)
     replace_vm(platform, "vm2")
     platform.network.run(CONTACT_TIME)
     assert platform.finish(platform.call(DEADLY, "again", vm="vm2-new")).status == 200
@@ -191,17 +191,17 @@
     given: its line was "claimed ... last_order=0", and the first order came with the next look.
     """
     platform = make_fleet()
-    backup = platform.store.make_copy()
+    backup = platform.store.make_backup()
     platform.network.run(4.0)
     orders: list[tuple[float, str, int]] = []
     while not orders:
         orders += order_as_leader(platform, 0.1)
     _, leader, _ = orders[-1]
     platform.network.cut(leader)
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(away)
     platform.store.fault = StoreFault.NONE
-    platform.store.come_back_from(backup)
+    platform.store.restore(backup)
     orders += order_as_leader(platform, 20.0)
     assert {holder for _, holder, _ in orders} == set(platform.vms)
     for before, after in itertools.pairwise(orders):
@@ -229,18 +229,18 @@
 
 def restore_as_drawn(platform: Platform, draw: random.Random) -> None:
     """Lose up to 400 changes and a whole round of entries, while VMs crash, start, and are cut off from the store."""
-    backup = platform.store.make_copy()
+    backup = platform.store.make_backup()
     for number in range(draw.randrange(400)):
         platform.store.put(f"status/{number % 7}", b"")
     for name in platform.upstreams:
         platform.list_again(name)
     platform.network.run(draw.uniform(0.1, 3.0))
-    platform.store.fault = draw.choice([StoreFault.SILENT, StoreFault.BUSY])
+    platform.store.fault = draw.choice([StoreFault.UNRESPONSIVE, StoreFault.UNAVAILABLE])
     for name in draw.sample(list(platform.vms), len(platform.vms) // 3):
         platform.network.cut_between(name, "store")
     platform.network.run(draw.uniform(0.2, 4.0))
     platform.store.fault = StoreFault.NONE
-    platform.store.come_back_from(backup)
+    platform.store.restore(backup)
     for number in range(draw.randrange(3)):
         name = f"vm-new-{len(platform.vms)}"
         platform.add_vm(name, ["vm0:8002", "vm1:8002"], HALLS[number])
@@ -273,8 +273,8 @@
     platform.configure(9)
     platform.network.run(3.0)
     drained = platform.upstreams["plain-hall-a-0"]
-    before = len(drained.arrived), count_arrived(platform, "hall-b")
+    before = len(drained.request_times), count_arrived(platform, "hall-b")
     statuses = ask_all(platform, 2.0)
-    assert (len(drained.arrived), count_arrived(platform, "hall-b")) == before
+    assert (len(drained.request_times), count_arrived(platform, "hall-b")) == before
     assert {vm.core.version for vm in platform.vms.values()} == {9}
     assert statuses.count(200) >= 0.95 * len(statuses)
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -33,7 +33,7 @@
 
 def test_a_slow_upstream_gets_less_work() -> None:
     platform = make_platform(plain=3)
-    platform.upstreams["plain-0"].work = 0.4
+    platform.upstreams["plain-0"].service_time_s = 0.4
     for number in range(120):
         platform.call("/safe/x", f"q{number}")
         platform.network.run(0.03)
@@ -46,7 +46,7 @@
     callers = []
     for number in range(60):
         if number == 30:
-            get_engine(platform, "prefill-0").handle_lifetime = 0.0
+            get_engine(platform, "prefill-0").handle_ttl_s = 0.0
         callers.append(platform.call("/resumable/x", f"q{number}"))
         platform.network.run(0.1)
     assert [platform.finish(caller).status for caller in callers] == [200] * 60
@@ -56,7 +56,7 @@
 def test_a_prompt_is_read_once_though_moving_its_cache_is_slow() -> None:
     platform = make_platform(prefill=2, decode=2)
     for name in ("decode-0", "decode-1"):
-        get_engine(platform, name).move_time = 0.6
+        get_engine(platform, name).transfer_time_s = 0.6
     callers = []
     for number in range(10):
         callers.append(platform.call("/stream/x", f"q{number}"))
--- a/tests/platform/test_spilling.py
+++ b/tests/platform/test_spilling.py
@@ -35,7 +35,7 @@
 def fill_memory(platform: Platform, hall: str) -> None:
     for name, engine in platform.upstreams.items():
         if isinstance(engine, StandInEngine) and name.startswith(f"decode-{hall}"):
-            engine.held["filled"] = 60_000
+            engine.reserved_tokens["filled"] = 60_000
 
 
 def test_what_the_region_can_bear_stays_there() -> None:
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -15,7 +15,7 @@
 from twisted.internet import defer
 
 from beamhatch.platform.documents import PlatformDocuments
-from beamhatch.platform.epochs import find_revision
+from beamhatch.platform.epochs import get_revision
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.platform.store import PlatformStore
 from beamhatch.relay.api import Claimed, LeadershipNews, ListingNews, StoreLost
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
-    from beamhatch.platform.standin.store import StoreCopy
+    from beamhatch.platform.standin.store import StoreBackup
 
 AWAY = 1.5
 """Seconds for which the store is silent before it is back."""
@@ -59,7 +59,7 @@
 
     Return the highest token of any leader before.
     """
-    copy = platform.store.make_copy()
+    copy = platform.store.make_backup()
     for number in range(CHANGES):
         platform.store.put(f"status/{number % 7}", b"")
     platform.list_again("plain-a0")
@@ -67,10 +67,10 @@
     platform.store.remove("beamhatch/leader")  # whoever led is to claim anew
     platform.network.run(8.0)
     token = max(list_tokens(platform))
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(AWAY)
     platform.store.fault = StoreFault.NONE
-    platform.store.come_back_from(copy)
+    platform.store.restore(copy)
     platform.network.run(0.5)
     platform.configure(3)
     for name in platform.upstreams:
@@ -116,9 +116,9 @@
     upstream = platform.upstreams["plain-a0"]
     platform.drain("plain-a0")
     platform.network.run(KNOWN_TIME)
-    arrived = len(upstream.arrived)
+    arrived = len(upstream.request_times)
     ask_all(platform, 2.0)
-    assert len(upstream.arrived) == arrived
+    assert len(upstream.request_times) == arrived
 
 
 def test_a_hall_that_is_emptied_behind_it_gets_nothing_new() -> None:
@@ -132,9 +132,9 @@
     platform.empty("hall-a")
     platform.network.run(KNOWN_TIME)
     upstreams = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == "hall-a"]
-    arrived = sum(len(one.arrived) for one in upstreams)
+    arrived = sum(len(one.request_times) for one in upstreams)
     ask_all(platform, 2.0)
-    assert sum(len(one.arrived) for one in upstreams) == arrived
+    assert sum(len(one.request_times) for one in upstreams) == arrived
 
 
 def test_who_leads_behind_it_bears_a_higher_token() -> None:
@@ -151,12 +151,12 @@
     assert token > before
 
 
-def come_back_at_once(platform: Platform, copy: StoreCopy) -> None:
+def come_back_at_once(platform: Platform, copy: StoreBackup) -> None:
     """Have the store be away for a moment and restored from a backup, with nothing written again yet."""
-    platform.store.fault = StoreFault.SILENT
+    platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(AWAY)
     platform.store.fault = StoreFault.NONE
-    platform.store.come_back_from(copy)
+    platform.store.restore(copy)
     platform.network.run(1.0)
 
 
@@ -168,7 +168,7 @@
 
 def test_an_upstream_that_the_copy_lacks_is_used_until_it_has_written_again() -> None:
     platform = make_fleet()
-    copy = platform.store.make_copy()
+    copy = platform.store.make_backup()
     platform.add_plain("plain-new", "hall-a")
     platform.network.run(2.0)
     come_back_at_once(platform, copy)
@@ -180,7 +180,7 @@
 
 def test_one_that_does_not_write_again_is_gone_in_the_end() -> None:
     platform = make_fleet()
-    copy = platform.store.make_copy()
+    copy = platform.store.make_backup()
     platform.add_plain("plain-new", "hall-a")
     platform.network.run(2.0)
     come_back_at_once(platform, copy)
@@ -191,13 +191,13 @@
 
 def test_one_that_is_gone_since_the_copy_gets_nothing_for_standing_there() -> None:
     platform = make_fleet()
-    copy = platform.store.make_copy()
+    copy = platform.store.make_backup()
     platform.store.remove("servers/plain-a0")
     platform.network.run(4.0)
     come_back_at_once(platform, copy)
-    arrived = len(platform.upstreams["plain-a0"].arrived)
+    arrived = len(platform.upstreams["plain-a0"].request_times)
     ask_all(platform, 1.0)
-    assert len(platform.upstreams["plain-a0"].arrived) == arrived
+    assert len(platform.upstreams["plain-a0"].request_times) == arrived
     assert not is_used(platform, "plain-a0")
     platform.upstreams["plain-a0"].born += 1  # it has started again, and says so
     platform.list_again("plain-a0")
@@ -207,21 +207,21 @@
 
 def test_a_hall_that_the_copy_has_as_used_stays_emptied_until_the_operators_have_written_again() -> None:
     platform = make_fleet()
-    copy = platform.store.make_copy()
+    copy = platform.store.make_backup()
     platform.empty("hall-a")
     platform.network.run(4.0)
     come_back_at_once(platform, copy)
     upstreams = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == "hall-a"]
-    arrived = sum(len(one.arrived) for one in upstreams)
+    arrived = sum(len(one.request_times) for one in upstreams)
     ask_all(platform, 1.0)
     platform.empty("hall-a")
     platform.network.run(8.0)
     ask_all(platform, 1.0)
-    assert sum(len(one.arrived) for one in upstreams) == arrived
+    assert sum(len(one.request_times) for one in upstreams) == arrived
     platform.take_back("hall-a")
     platform.network.run(8.0)
     ask_all(platform, 1.0)
-    assert sum(len(one.arrived) for one in upstreams) > arrived
+    assert sum(len(one.request_times) for one in upstreams) > arrived
 
 
 def test_two_returns_in_a_row_are_told_apart() -> None:
@@ -230,9 +230,9 @@
         lose_changes(platform)
     platform.drain("plain-a0")
     platform.network.run(KNOWN_TIME)
-    arrived = len(platform.upstreams["plain-a0"].arrived)
+    arrived = len(platform.upstreams["plain-a0"].request_times)
     ask_all(platform, 1.0)
-    assert len(platform.upstreams["plain-a0"].arrived) == arrived
+    assert len(platform.upstreams["plain-a0"].request_times) == arrived
 
 
 def test_a_return_is_told_once_by_who_asks_the_store() -> None:
@@ -254,17 +254,17 @@
         platform.network.run(0.1)
         return found[-1]
 
-    copy = platform.store.make_copy()
+    copy = platform.store.make_backup()
     platform.store.put("status/x", b"")
     seen = run(store.read_leadership())
     assert isinstance(seen, LeadershipNews)
     claim = run(store.claim_leadership("one", 3.0, seen))
     assert isinstance(claim, Claimed)
-    platform.store.come_back_from(copy)
-    while platform.store.revision < find_revision(claim.revision) - 1:
+    platform.store.restore(copy)
+    while platform.store.revision < get_revision(claim.revision) - 1:
         platform.store.put("status/x", b"")
     platform.store.put("beamhatch/leader", b"another")
-    assert platform.store.find_newest("beamhatch/leader") == find_revision(claim.revision)
+    assert platform.store.get_newest_revision("beamhatch/leader") == get_revision(claim.revision)
     assert isinstance(run(store.record_order(claim, "an order")), StoreLost)  # on the connection of before
     assert run(store.record_order(claim, "an order")) is False
 
--- a/tests/relay/choosing/test_read_times.py
+++ b/tests/relay/choosing/test_read_times.py
@@ -39,7 +39,7 @@
         request = f"q{number}"
         assert platform.finish(platform.call("/stream/x", request)).status == 200
         platform.network.run(0.2)
-        prompts += platform.ledger.prefilled[request] + platform.ledger.stopped[request]
+        prompts += platform.ledger.prefilled[request] + platform.ledger.cancelled[request]
     assert prompts <= most
     if without:
         assert prompts > 8
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from beamhatch.platform.standin.store import StoreCopy
+    from beamhatch.platform.standin.store import StoreBackup
     from tests.soak.upstreams import PlainReplica
     from tests.soak.vm import VmProcess
     from tests.soak.world import World
@@ -102,9 +102,9 @@
             FaultKind.STOP: self._stop,
             FaultKind.RELOAD: self._reload,
             FaultKind.HERD: self._herd,
-            FaultKind.STORE_SILENT: lambda step: self._harm_store(step, StoreFault.SILENT),
-            FaultKind.STORE_BUSY: lambda step: self._harm_store(step, StoreFault.BUSY),
-            FaultKind.STORE_LOST: lambda step: self._harm_store(step, StoreFault.LOST),
+            FaultKind.STORE_SILENT: lambda step: self._harm_store(step, StoreFault.UNRESPONSIVE),
+            FaultKind.STORE_BUSY: lambda step: self._harm_store(step, StoreFault.UNAVAILABLE),
+            FaultKind.STORE_LOST: lambda step: self._harm_store(step, StoreFault.RESPONSE_LOST),
             FaultKind.STORE_FORGETS: self._forget,
             FaultKind.STORE_RESTORED: self._restore_store,
             FaultKind.LINK_SILENT: self._silence_link,
@@ -250,12 +250,12 @@
 
     def _mend_store(self) -> None:
         self._world.store.fault = StoreFault.NONE
-        self._world.store.break_connections()
+        self._world.store.abort_connections()
         self._witness.store.end(self._world.now())
 
     def _forget(self, step: Step) -> None:
         self._witness.store.begin()
-        self._world.store.forget_history()
+        self._world.store.discard_history()
         self._witness.store.end(self._world.now())
 
     def _restore_store(self, step: Step) -> None:
@@ -265,20 +265,20 @@
             return
         self._next_restore = now + RESTORE_GAP
         self._witness.store.begin()
-        backup = self._world.store.make_copy()
+        backup = self._world.store.make_backup()
         for _ in range(LOST_CHANGES):
             self._world.store.put("status/x", b"")
         for name in list(self._world.placed):
             self._write_again(name)
         self._later(BACKUP_AGE + step.seconds / 3, self._silence_store, backup)
 
-    def _silence_store(self, backup: StoreCopy) -> None:
-        self._world.store.fault = StoreFault.SILENT
+    def _silence_store(self, backup: StoreBackup) -> None:
+        self._world.store.fault = StoreFault.UNRESPONSIVE
         self._later(RESTORE_TIME, self._bring_back, backup)
 
-    def _bring_back(self, backup: StoreCopy) -> None:
+    def _bring_back(self, backup: StoreBackup) -> None:
         self._world.store.fault = StoreFault.NONE
-        self._world.store.come_back_from(backup)
+        self._world.store.restore(backup)
         names = list(self._world.placed)
         for number, name in enumerate(names):
             self._later(HEARTBEAT * number / len(names), self._write_again, name)
@@ -300,7 +300,7 @@
             else:
                 self._world.store.remove(f"op/evacuate/{hall}")
 
-    def _drop_entries(self, backup: StoreCopy) -> None:
+    def _drop_entries(self, backup: StoreBackup) -> None:
         """Have the entries of the backup lapse that nobody writes again."""
         for key in backup.items:
             if key.startswith("servers/") and key.removeprefix("servers/") not in self._world.placed:
@@ -342,14 +342,14 @@
         self._later(step.seconds, self._mend_upstream, upstream)
 
     def _mend_upstream(self, upstream: PlainReplica | ModelEngine) -> None:
-        upstream.fault, upstream.rest = UpstreamFault.NONE, ""
+        upstream.fault, upstream.retry_after = UpstreamFault.NONE, ""
 
     def _send_deadly(self, step: Step) -> None:
         """Have a caller send one request again and again, for longer than it may arrive anywhere."""
         self._deadly += 1
         route = DEADLY_ROUTES[int(step.pick * len(DEADLY_ROUTES))]
         target = f"{route}deadly-{self._deadly}"
-        self._world.ledger.deadly.add(target)
+        self._world.ledger.crash_inducing.add(target)
         sends = int((step.seconds + DEADLY_TIME) / DEADLY_GAP)
         for number in range(sends):
             self._later(number * DEADLY_GAP, self._world.ask_once, route, target)
@@ -398,7 +398,7 @@
         """Have an upstream turn requests away and ask for rest, for longer than one rest."""
         upstream = pick(list(self._world.placed.values()), step).upstream
         if upstream.fault is UpstreamFault.NONE:
-            upstream.fault, upstream.rest = UpstreamFault.SHED, str(REST_TIME)
+            upstream.fault, upstream.retry_after = UpstreamFault.SHED, str(REST_TIME)
             self._later(REST_TIME + step.seconds, self._mend_upstream, upstream)
 
     def _limit(self, step: Step) -> None:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -185,10 +185,10 @@
 
 def test_an_innocent_request_that_is_kept_away_is_seen(witness: Witness) -> None:
     body = b'{"error": "each upstream that began to run it has ended, fingerprint 00"}'
-    witness.ledger.deadly.add("/safe/x")
+    witness.ledger.crash_inducing.add("/safe/x")
     witness.take_outcome(make_outcome("/safe/", 503, {}, body))
     assert not witness.breaches
-    witness.ledger.deadly.clear()
+    witness.ledger.crash_inducing.clear()
     witness.take_outcome(make_outcome("/safe/", 503, {}, body))
     assert list_broken(witness) == {Promise.INNOCENT}
 
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -45,9 +45,9 @@
             run.end()
         self.on_crash(self.instance)
 
-    def begin(self, request: str) -> Run:
+    def start_run(self, request: str) -> Run:
         """Begin to work on a request."""
-        run = super().begin(request)
+        run = super().start_run(request)
         self.active.add(request)
         end = run.end
 
@@ -78,7 +78,7 @@
 class ModelEngine(Observed, StandInEngine):
     """A model engine."""
 
-    switch_time = 2.0
+    phase_change_time_s = 2.0
 
     def plays(self, headers: dict[str, str]) -> bool:
         """Tell whether it plays the part that a request asks for."""
--- a/tests/soak/witness.py
+++ b/tests/soak/witness.py
@@ -238,7 +238,7 @@
     def take_outcome(self, outcome: Outcome) -> None:
         """Check what a caller got."""
         self.outcomes += 1
-        self.deadly += outcome.target in self.ledger.deadly
+        self.deadly += outcome.target in self.ledger.crash_inducing
         terms = self.find_terms(outcome.route)
         self._check_runs(outcome.request, terms, outcome.ended_at)
         signature = outcome.headers.get("response-signature")
@@ -254,7 +254,7 @@
                 self.break_promise(
                     Promise.NOT_RUN, outcome.ended_at, f"{outcome.request} ran, and got {outcome.status}"
                 )
-        if outcome.status == 503 and HELD.encode() in outcome.body and outcome.target not in self.ledger.deadly:
+        if outcome.status == 503 and HELD.encode() in outcome.body and outcome.target not in self.ledger.crash_inducing:
             self.break_promise(Promise.INNOCENT, outcome.ended_at, f"{outcome.request} for {outcome.target} was held")
         if outcome.status == 200:
             self._check_success(outcome, terms, signature)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -129,7 +129,7 @@
             upstream = PlainReplica(self.clock, address, name, self.ledger)
         else:
             upstream = ModelEngine(self.clock, address, name, self.ledger, phase)
-            upstream.on_phase = lambda: self.list_upstream(name)
+            upstream.on_phase_change = lambda: self.list_upstream(name)
         upstream.observe(self._take_arrival, self._take_crash, self.active)
         upstream.start()
         host = f"{self.net}.4.1"
@@ -144,7 +144,7 @@
         placed = self.placed.get(name)
         if placed is None:
             return
-        entry = placed.upstream.describe(placed.service, placed.hall, state)
+        entry = placed.upstream.make_entry(placed.service, placed.hall, state)
         facts = self.witness.upstreams[name]
         if cold:
             facts.cold_until = self.now() + COLD_TIME
@@ -189,8 +189,8 @@
         now = self.now()
         self.witness.take_arrival(arrival.request, arrival.path, arrival.instance, now)
         placed = self.placed.get(arrival.instance)
-        if placed is not None and placed.upstream.fault is UpstreamFault.SHED and placed.upstream.rest:
-            self.witness.take_rest(arrival.request, arrival.instance, float(placed.upstream.rest), now)
+        if placed is not None and placed.upstream.fault is UpstreamFault.SHED and placed.upstream.retry_after:
+            self.witness.take_rest(arrival.request, arrival.instance, float(placed.upstream.retry_after), now)
 
     # --- callers -----------------------------------------------------------------------------------------------------
 
@@ -335,10 +335,12 @@
 
     def list_kept(self) -> list[str]:
         """Return what engines still hold."""
-        kept = [f"{name} uses {one.upstream.used}" for name, one in self.placed.items() if one.upstream.used]
+        kept = [
+            f"{name} uses {one.upstream.used_tokens}" for name, one in self.placed.items() if one.upstream.used_tokens
+        ]
         for name, one in self.placed.items():
-            if isinstance(one.upstream, ModelEngine) and one.upstream.held:
-                kept.append(f"{name} keeps {one.upstream.held} set aside")
+            if isinstance(one.upstream, ModelEngine) and one.upstream.reserved_tokens:
+                kept.append(f"{name} keeps {one.upstream.reserved_tokens} set aside")
         return kept + [f"KV cache {key} of {request}" for key, request in self.ledger.handles.items()]
 
 
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -12,7 +12,7 @@
 from beamhatch.observe.tally import Tally
 from beamhatch.platform.dialect import PlatformDialect
 from beamhatch.platform.documents import PlatformDocuments
-from beamhatch.platform.standin.base import StandIn, answer_json
+from beamhatch.platform.standin.base import StandIn, send_json
 from beamhatch.platform.standin.store import StandInStore
 from beamhatch.platform.standin.upstream import Ledger, StandInEngine, StandInUpstream
 from beamhatch.platform.store import PlatformStore
@@ -48,7 +48,7 @@
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
         """Serve one call, or turn it away."""
         if self.shut:
-            answer_json(responder, 503, {})
+            send_json(responder, 503, {})
             return None
         return self._store.serve(incoming, responder)
 
@@ -291,7 +291,7 @@
         """Start and list an engine."""
         engine = StandInEngine(self.clock, Address(f"host-{name}", 80), name, self.ledger, phase, kv_tokens)
         self._add(name, engine, MODEL, hall)
-        engine.on_phase = lambda: self.list_again(name)
+        engine.on_phase_change = lambda: self.list_again(name)
         return engine
 
     def find_hall(self, upstream: str) -> str:
@@ -301,24 +301,24 @@
     def list_again(self, name: str) -> None:
         """Have an upstream write its entry anew."""
         service = MODEL if isinstance(self.upstreams[name], StandInEngine) else PLAIN
-        self.store.put(f"servers/{name}", self.upstreams[name].describe(service, self.halls[name]))
+        self.store.put(f"servers/{name}", self.upstreams[name].make_entry(service, self.halls[name]))
 
     def turn_cold(self, name: str, seconds: float) -> None:
         """Have an upstream say that it is cold for some time."""
-        self.upstreams[name].cold_left = seconds
+        self.upstreams[name].cold_left_s = seconds
         self.list_again(name)
 
     def _add(self, name: str, upstream: StandInUpstream, service: str, hall: str) -> None:
         self.halls.setdefault(name, hall)
         upstream.start()
         self.upstreams[name] = upstream
-        upstream.on_return = lambda: self.list_again(name)
-        self.store.put(f"servers/{name}", upstream.describe(service, self.halls[name]))
+        upstream.on_restart = lambda: self.list_again(name)
+        self.store.put(f"servers/{name}", upstream.make_entry(service, self.halls[name]))
 
     def drain(self, name: str) -> None:
         """Have an upstream say that it leaves."""
         service = MODEL if isinstance(self.upstreams[name], StandInEngine) else PLAIN
-        self.store.put(f"servers/{name}", self.upstreams[name].describe(service, self.halls[name], "draining"))
+        self.store.put(f"servers/{name}", self.upstreams[name].make_entry(service, self.halls[name], "draining"))
 
     def add_vm(
         self,
