--- a/src/beamhatch/platform/__init__.py
+++ b/src/beamhatch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter of the users' platform: its headers, calls, documents and settings, and nothing else.
+"""Adapter for the hosting platform: its HTTP headers, API calls, documents and settings.
 
-No other package knows these names.
+Names that the platform defines are used in this package only.
 """
--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers and calls on the request's path."""
+"""HTTP headers and API calls that the platform defines for request handling."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 PROMPT_PREFIX_HEADER = "prompt-prefix"
 TOKEN_COUNT_HEADER = "token-count"
 LENGTH_HINT_HEADER = "length-hint"
-"""The caller's guess of the tokens that the answer will have."""
+"""Holds the caller's estimate of the number of output tokens."""
 
 KEY_HEADER = "authorization"
 KEY_SCHEME = "bearer"
@@ -40,34 +40,34 @@
         "request-priority",
     }
 )
-"""Headers that only the system sets; what a caller sends of them is dropped."""
+"""Headers that only the router may set; those sent by callers are dropped."""
 
 WORKSPACE_HEADERS = frozenset({KEY_HEADER, WORKSPACE_HEADER})
-"""Headers that concern nobody but the relay where it admits requests by keys."""
+"""Headers that are not forwarded to upstreams when callers are authenticated by API key."""
 
 LEAVING_HEADER = "server-leaving"
 LIMIT_HEADER = "server-limit"
 LEAVING_VALUE = "1"
-"""The only value by which an upstream says that it leaves; any other says nothing."""
+"""The only value that announces a departure; all other values are ignored."""
 
 BACKOFF_STATUSES = frozenset({429, 503})
-"""Statuses by which an upstream turns a request away; with these it may ask for rest."""
+"""Response statuses with which ``Retry-After`` requests a back-off."""
 
 MAX_REQUEST_ID_LENGTH = 200
-"""Characters of a request id at the most: ids of the platform have 16, and logs repeat them."""
+"""In characters. Request IDs are logged, so their length is limited."""
 
 
 _DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+", re.ASCII)
 
 
 class _PrefillResponse(msgspec.Struct):
-    """The answer to a prefill."""
+    """The response to a prefill request."""
 
     kv_handle: str
 
 
 class _ReservationResponse(msgspec.Struct):
-    """The answer to a reservation."""
+    """The response to a reservation of KV memory."""
 
     hold: str | int
 
@@ -77,37 +77,37 @@
 
 
 class PlatformDialect(Dialect):
-    """Reads and writes the headers of the platform's pages."""
+    """Translates between the platform's HTTP messages and the router's types."""
 
     def read_request(self, headers: Headers) -> RequestFacts | BadRequest:
-        """Return what a caller's headers say."""
-        found: dict[str, str] = {}
+        """Return the request described by a caller's headers, or why it is rejected."""
+        values: dict[str, str] = {}
         keys: list[str] = []
         for name, value in headers:
             lower = name.lower()
-            if lower == REQUEST_ID_HEADER and lower in found:
-                return BadRequest(400, "more than one Request-Id")
+            if lower == REQUEST_ID_HEADER and lower in values:
+                return BadRequest(400, "multiple Request-Id headers")
             if lower == KEY_HEADER:
                 keys.append(value)
-            found[lower] = value
-        request = found.get(REQUEST_ID_HEADER, "")
-        if not request or len(request) > MAX_REQUEST_ID_LENGTH:
-            return BadRequest(400, "no usable Request-Id")
-        deadline = _parse_number(found.get(DEADLINE_HEADER))
-        prompt, output = _parse_token_counts(found.get(TOKEN_COUNT_HEADER))
+            values[lower] = value
+        request_id = values.get(REQUEST_ID_HEADER, "")
+        if not request_id or len(request_id) > MAX_REQUEST_ID_LENGTH:
+            return BadRequest(400, "missing or oversized Request-Id header")
+        deadline = _parse_number(values.get(DEADLINE_HEADER))
+        prompt, output = _parse_token_counts(values.get(TOKEN_COUNT_HEADER))
         return RequestFacts(
-            id=request,
+            id=request_id,
             time_left=None if deadline is None else deadline / 1000,
-            last_event=_parse_number(found.get(LAST_EVENT_HEADER)),
+            last_event=_parse_number(values.get(LAST_EVENT_HEADER)),
             prompt_tokens=prompt,
             output_tokens=output,
-            parts=_parse_prompt_parts(found.get(PROMPT_PREFIX_HEADER)),
-            output_guess=_parse_number(found.get(LENGTH_HINT_HEADER)) or 0,
+            parts=_parse_prompt_parts(values.get(PROMPT_PREFIX_HEADER)),
+            output_guess=_parse_number(values.get(LENGTH_HINT_HEADER)) or 0,
             key=_parse_key(keys),
         )
 
     def write_request(self, headers: Headers, terms: SendTerms) -> Headers:
-        """Return the headers for an upstream."""
+        """Return the headers to send to an upstream."""
         dropped = INTERNAL_HEADERS | {LAST_EVENT_HEADER} if terms.last_event is not None else INTERNAL_HEADERS
         if terms.keyed:
             dropped |= WORKSPACE_HEADERS
@@ -127,21 +127,23 @@
         return written
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what an upstream's headers say."""
-        found = {name.lower(): value for name, value in headers}
+        """Return the facts in the headers of an upstream's response."""
+        values = {name.lower(): value for name, value in headers}
         return AnswerFacts(
-            request=found.get(REQUEST_ID_HEADER),
-            signed="response-signature" in found,
-            not_run="not-executed" in found,
-            encoded=found.get("content-encoding", "identity").lower() != "identity",
-            load=_parse_load(found.get("server-load")),
-            leaving=found.get(LEAVING_HEADER, "").strip() == LEAVING_VALUE,
-            rest=read_retry_after(found.get("retry-after"), found.get("date")) if status in BACKOFF_STATUSES else None,
-            limit=_parse_limit(found.get(LIMIT_HEADER)),
+            request=values.get(REQUEST_ID_HEADER),
+            signed="response-signature" in values,
+            not_run="not-executed" in values,
+            encoded=values.get("content-encoding", "identity").lower() != "identity",
+            load=_parse_load(values.get("server-load")),
+            leaving=values.get(LEAVING_HEADER, "").strip() == LEAVING_VALUE,
+            rest=read_retry_after(values.get("retry-after"), values.get("date"))
+            if status in BACKOFF_STATUSES
+            else None,
+            limit=_parse_limit(values.get(LIMIT_HEADER)),
         )
 
     def read_handle(self, body: bytes) -> str | None:
-        """Return the id of the KV cache that was prefilled."""
+        """Return the ID of the prefilled KV cache, or None if the body is invalid."""
         try:
             return _decode_prefill(body).kv_handle
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -152,24 +154,24 @@
         return _make_call("DELETE", f"/api/kv-handle/{handle.id}", handle.upstream)
 
     def make_reserve(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
-        """Return the call that sets KV memory aside."""
+        """Return the call that reserves KV memory for ``lifetime`` seconds."""
         body = msgspec.json.encode({"tokens": tokens, "ttl_ms": int(lifetime * 1000)})
         return _make_call("POST", "/api/hold-take", upstream, body)
 
     def read_reservation(self, body: bytes) -> str | None:
-        """Return the id of what was set aside."""
+        """Return the ID of the reservation, or None if the body is invalid."""
         try:
             return str(_decode_reservation(body).hold)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
     def make_order(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
-        """Return the call that has an engine play another part."""
+        """Return the call that orders an engine to change its phase."""
         order = {"operation": "phase", "phase": phase.value, "holder": holder, "fencing_token": token}
         return _make_call("POST", "/api/order", upstream, msgspec.json.encode(order))
 
     def make_unreserve(self, reservation: Reservation) -> Call:
-        """Return the call that gives back what was set aside."""
+        """Return the call that cancels a reservation."""
         return _make_call("DELETE", f"/api/hold-drop/{reservation.id}", reservation.upstream)
 
 
@@ -185,7 +187,7 @@
 
 
 def _parse_key(values: list[str]) -> KeyDigest | None:
-    """Return the digest of the one key that a caller showed; several, or another scheme's, count as none."""
+    """Return the digest of the API key; None if there are several keys or the scheme is not "bearer"."""
     if len(values) != 1:
         return None
     scheme, _, key = values[0].strip().partition(" ")
@@ -200,24 +202,24 @@
 
 def _parse_prompt_parts(text: str | None) -> tuple[PromptPart, ...]:
     parts = []
-    for word in (text or "").split(","):
-        name, _, tokens = word.strip().partition(":")
+    for item in (text or "").split(","):
+        name, _, tokens = item.strip().partition(":")
         if name:
             parts.append(PromptPart(name, _parse_number(tokens) or 0))
     return tuple(parts)
 
 
 def _parse_limit(text: str | None) -> NamedLimit | None:
-    """Return the limit that an upstream names; a negative number, a word or one beyond all numbers is not clear."""
+    """Return the announced limit; ``UNCLEAR_LIMIT`` if it is not a finite non-negative decimal number."""
     if text is None:
         return None
-    word = text.strip()
-    rate = float(word) if _DECIMAL.fullmatch(word) else math.inf
+    number = text.strip()
+    rate = float(number) if _DECIMAL.fullmatch(number) else math.inf
     return NamedLimit(rate) if math.isfinite(rate) else UNCLEAR_LIMIT
 
 
 def _parse_load(text: str | None) -> Load | None:
-    numbers = [_parse_number(word.strip()) for word in (text or "").split(",")]
+    numbers = [_parse_number(item.strip()) for item in (text or "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     running, waiting, slots = (number or 0 for number in numbers)
--- a/src/beamhatch/platform/documents.py
+++ b/src/beamhatch/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents: the operators' configuration and the entries of upstreams."""
+"""Decoding of the platform's documents: the operators' configuration and the entries of upstreams."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
 
 
 MAX_NAME_LENGTH = 200
-"""Characters of a name in an entry at the most: the limit that the store's pages set for keys."""
+"""In characters: the store's limit for keys."""
 
 MAX_SLOTS = 65_535
-"""Requests at once: one caller has no more connections to an address, by the number of its ports. Engines have 128."""
+"""Concurrent requests: one client cannot open more connections to an address than it has TCP ports."""
 
 MAX_SAFE_INTEGER = 2**53 - 1
-"""The largest number that all who read JSON read alike (RFC 8259, section 6). As milliseconds it is 285,000 years."""
+"""The largest integer that all JSON implementations represent exactly (RFC 8259, section 6)."""
 
 MAX_HOST_NAME_LENGTH = 253
-"""Characters of a host's name at the most (RFC 1035, section 2.3.4, written out)."""
+"""In characters, without the trailing dot (RFC 1035, section 2.3.4)."""
 
 _HOST_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?(\.[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?)*")
 """Labels of letters, digits and inner hyphens (RFC 1123, section 2.1)."""
 
 MAX_COLD_MS = 86_400_000
-"""Milliseconds: a day. Upstreams of the measured deployments are cold for 25 s at the most."""
+"""One day."""
 
 
 class _TrafficSplit(msgspec.Struct):
@@ -83,7 +83,7 @@
     hold_ms: float = 0
     reconfig_s: float = 6.0
     stride: int = 1
-    """Tokens of one event."""
+    """Tokens per event."""
     token_kv_bytes: float = 0
     link_mbps: float = 0
 
@@ -93,7 +93,7 @@
     engine: _Engine | None = None
     cold_start_s: float = 0
     cold_per_s: float = 0
-    """0 where a replica bears as much when it is cold."""
+    """Requests per second that a cold replica can serve; 0 if it is not limited."""
 
 
 class _Limits(msgspec.Struct):
@@ -110,11 +110,11 @@
     api_keys: list[str] = []
     priority: int | None = None
     unit: str = ""
-    """What ``rate_per_s`` and ``burst`` count: requests, or tokens where the name begins so."""
+    """Unit of ``rate_per_s`` and ``burst``: tokens if it starts with ``TOKEN_UNIT_PREFIX``, otherwise requests."""
     plain_tokens: int = 1
-    """Tokens that a request counts which does not tell its own."""
+    """Tokens charged for a request without token counts."""
     rate_per_s: float = 0
-    """0 where there is no limit."""
+    """0 for no limit."""
     burst: float = 0
     allowed_regions: list[str] | None = None
 
@@ -133,7 +133,7 @@
 
 
 class _UpstreamEntry(msgspec.Struct):
-    """An upstream's entry. What lacks any of these, or has them otherwise, was written by somebody else."""
+    """An upstream's entry in the store. The constraints reject values that are not upstream entries."""
 
     service: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
     address: str
@@ -142,18 +142,18 @@
     capacity: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: _UpstreamState
     cold_remaining_ms: Annotated[float, msgspec.Meta(le=MAX_COLD_MS)]
-    """Below 0 where it has been warm for some time."""
+    """Negative once the upstream is warm."""
     sequence: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
-    """Counts the upstream's own words; it starts anew with each life, so nothing is ordered by it."""
+    """The upstream's own update counter. It restarts with each incarnation, so it is not used for ordering."""
     born: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)] = 0
     phase: str = ""
 
 
 BYTES_PER_MBIT = 125_000
-"""Bytes a second of 1 Mbit/s, by definition; link rates are written in Mbit/s."""
+"""Bytes per second in 1 Mbit/s."""
 
 TOKEN_UNIT_PREFIX = "token"
-"""How the units begin that count tokens; all others count requests."""
+"""Units with this prefix count tokens; all others count requests."""
 
 _decode_configuration = msgspec.json.Decoder(_Configuration).decode
 _decode_upstream_entry = msgspec.json.Decoder(_UpstreamEntry).decode
@@ -161,31 +161,33 @@
 
 
 class PlatformDocuments(Documents):
-    """Reads the documents as the platform's pages have them; writes a line on those that can't be read."""
+    """Decodes the platform's documents and logs those that are invalid."""
 
     def __init__(self, journal: Journal) -> None:
         self.journal = journal
 
     def read_configuration(self, raw: bytes) -> Table | None:
-        """Return the operators' configuration, or None where it can't be read."""
+        """Return the operators' configuration, or None if it is invalid."""
         try:
-            read = _decode_configuration(raw)
-            routes = [_make_route(route) for route in read.routes]
+            configuration = _decode_configuration(raw)
+            routes = [_make_route(route) for route in configuration.routes]
         except _DECODING_ERRORS as problem:
             self.journal.write("CONFIG", "unreadable", bytes=len(raw), detail=str(problem))
             return None
-        unbound = [route.name for route in read.routes if route.allowed_regions == []]
-        unbound += [tenant.name for tenant in read.tenants if tenant.allowed_regions == []]
+        unbound = [route.name for route in configuration.routes if route.allowed_regions == []]
+        unbound += [tenant.name for tenant in configuration.tenants if tenant.allowed_regions == []]
         if unbound:
-            self.journal.write("CONFIG", "empty list of regions taken as none", names=unbound, version=read.version)
-        services = [_make_service(service) for service in read.services]
-        workspaces = tuple(_make_workspace(tenant) for tenant in read.tenants)
-        return make_table(read.version, routes, services, _make_limits(read.limits), workspaces)
+            self.journal.write(
+                "CONFIG", "empty list of regions taken as none", names=unbound, version=configuration.version
+            )
+        services = [_make_service(service) for service in configuration.services]
+        workspaces = tuple(_make_workspace(tenant) for tenant in configuration.tenants)
+        return make_table(configuration.version, routes, services, _make_limits(configuration.limits), workspaces)
 
     def read_entry(self, upstream: UpstreamId, revision: int, raw: bytes | None) -> Entry:
-        """Return an upstream's entry; one that is gone, or can't be read, has no upstream.
+        """Return an upstream's entry, without an upstream if the entry was removed or is invalid.
 
-        Others may write there too: what is no upstream's entry names none to use, and takes nothing from the rest.
+        Other programs may write under the same prefix: an invalid entry must not affect the other entries.
         """
         if raw is None:
             return Entry(upstream, revision, None)
@@ -213,18 +215,18 @@
 
 
 def _parse_address(text: str) -> Address:
-    """Return an address.
+    """Return the address in ``host:port`` form.
 
-    :raises ValueError: where it has no host or no port
+    :raises ValueError: if the host or the port is missing or invalid
     """
     host, _, port = text.rpartition(":")
     if not _is_host(host) or not port.isascii() or not port.isdigit() or not 0 < int(port[:6]) < 65536:
-        raise ValueError(f"{text[:100]!r} is no address")
+        raise ValueError(f"{text[:100]!r} is not a valid host:port address")
     return Address(host, int(port))
 
 
 def _is_host(text: str) -> bool:
-    """Tell whether a text is an IP address, or may be a host's name; one that ends in a number is no name."""
+    """Return whether the text is an IP address or a valid host name, whose last label must not be a number."""
     try:
         ip_address(text)
     except ValueError:
@@ -234,7 +236,7 @@
 
 
 def _make_regions(names: list[str] | None) -> Regions:
-    """Return the regions that a document names; an empty list, as none at all, leaves all of them."""
+    """Return the allowed regions, or None for all regions if the list is empty or missing."""
     return frozenset(RegionName(name) for name in names) if names else None
 
 
--- a/src/beamhatch/platform/epochs.py
+++ b/src/beamhatch/platform/epochs.py
@@ -1,9 +1,9 @@
-"""The order of what the store tells, across restores from a backup.
+"""Ordering of the store's changes across restores from a backup.
 
-A restored store gives revisions out again, so a revision alone does not order news. Each answer bears the store's
-epoch, which rises with each restore. A position is the epoch above the revision, in one whole number: what is written
-after a restore is newer than all before it, wherever positions are compared or passed between VMs, and fencing tokens
-rise. The positions of a store that tells no epoch are its revisions.
+A restored store assigns revisions again, so revisions alone do not order changes. Each response carries the store's
+epoch, which increases with each restore. A position is one integer with the epoch in the high bits and the revision in
+the low bits, so that everything written after a restore has a higher position and fencing tokens always increase.
+Without an epoch, a position equals the revision.
 """
 
 from __future__ import annotations
@@ -15,25 +15,22 @@
     from beamhatch.relay.api import Headers
 
 Epoch = NewType("Epoch", int)
-"""How often the store was restored, as it counts; 0 where it does not tell."""
+"""The store's restore counter; 0 if the store does not report one."""
 
 REVISIONS_PER_EPOCH = 1 << 32
-"""Revisions of one epoch at the most. With it, a position is exact in a number of 53 bits up to epoch 2,000,000."""
+"""Exclusive upper bound of revisions. Positions fit into 53 bits up to epoch 2,000,000."""
 
 INITIAL_EPOCH = 1
-"""The epoch of a store that was never restored."""
+"""The epoch of a store that has never been restored."""
 
 SETTLE_TIME_S = 4.0
-"""Seconds after a restore in which a list may lack what is still in force.
-
-Upstreams and operators write again what they wrote: an upstream each 1.2 s, and one whose lease lapsed within 2 s.
-"""
+"""Period after a restore in which a list may lack keys that upstreams and operators have yet to write again."""
 
 EPOCH_HEADER = "store-era"
 
 
 def make_position(epoch: Epoch, revision: int) -> int:
-    """Return the position of a revision in the order of all that the store ever told."""
+    """Return the position of a revision written in an epoch."""
     return epoch * REVISIONS_PER_EPOCH + revision
 
 
@@ -43,12 +40,12 @@
 
 
 def get_revision(position: int) -> int:
-    """Return the revision of a position, as the store knows it."""
+    """Return the store's revision of a position."""
     return position % REVISIONS_PER_EPOCH
 
 
 def read_epoch(headers: Headers) -> Epoch:
-    """Return the epoch that an answer tells, 0 where it tells none that can be read."""
+    """Return the epoch in a response's headers, or 0 if it is missing or invalid."""
     for name, value in headers:
         if name.lower() == EPOCH_HEADER and value.isascii() and value.isdigit() and len(value) <= 6:
             return Epoch(int(value))
@@ -57,22 +54,22 @@
 
 @dataclass(slots=True)
 class EpochTracker:
-    """The newest epoch that the store has told this VM, and when it rose."""
+    """The newest epoch received from the store, and when it increased."""
 
     epoch: Epoch | None = None
-    """None before the first answer."""
+    """None before the first response."""
     settled_at: float = float("-inf")
-    """From when on lists are complete again, in monotonic seconds."""
+    """Monotonic time in seconds from which lists are complete again."""
     first_response_at: float = float("inf")
-    """When the store told its epoch first."""
+    """Monotonic time in seconds of the first response."""
 
     @property
     def was_restored(self) -> bool:
-        """Tell whether the store was ever restored, so that it may have lost what it lacks."""
+        """Return whether the store was ever restored and may therefore have lost data."""
         return (self.epoch or 0) > INITIAL_EPOCH or self.settled_at > float("-inf")
 
     def record(self, epoch: Epoch, now: float) -> bool:
-        """Take in the epoch of an answer; return whether the store was restored since the last one."""
+        """Record the epoch of a response; return whether the store was restored since the previous one."""
         previous = self.epoch
         if previous is not None and epoch <= previous:
             return False
@@ -84,18 +81,18 @@
         return True
 
     def record_peer_epoch(self, epoch: Epoch, now: float) -> None:
-        """Take in the epoch of what peers told.
+        """Record the epoch of updates received from peers.
 
-        An older one means that the store was restored shortly before its first answer to this VM. To take a list as
-        complete would then end evacuations and drop upstreams that are about to be written again.
+        An older epoch means that the store was restored shortly before its first response to this VM. Treating a list
+        as complete would then end evacuations and drop upstreams that have yet to be written again.
         """
         if self.epoch is not None and epoch < self.epoch and self.settled_at < self.first_response_at:
             self.settled_at = now + SETTLE_TIME_S
 
     def may_have_been_restored(self, now: float) -> bool:
-        """Tell whether a restore shortly before the first answer can't be ruled out."""
+        """Return whether the store may have been restored shortly before its first response."""
         return bool(self.epoch) and now < self.first_response_at + SETTLE_TIME_S
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether what a list lacks is gone."""
+        """Return whether lists are complete, so that a missing key was removed."""
         return now >= self.settled_at
--- a/src/beamhatch/platform/run.py
+++ b/src/beamhatch/platform/run.py
@@ -1,4 +1,4 @@
-"""Run one VM's relay on the platform: settings, signals, exit codes."""
+"""Run the router of one VM on the platform: settings, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -24,22 +24,23 @@
 
 SETTINGS_VARIABLE = "BEAMHATCH_NODE_FILE"
 EXIT_FAULT = 1
-"""Exit code of a process that could not go on."""
+"""Exit code after a fatal error."""
 
 EXIT_USAGE = 2
-"""Exit code where the settings or the command line can not be used, as is customary."""
+"""Exit code for invalid settings or command-line arguments."""
 
 SETTINGS_CHECK_INTERVAL_S = 1.0
-"""Seconds between two looks at the settings file, which may change without a signal."""
+"""Interval between checks of the settings file, which may change without a signal."""
 
 
 class Program:
-    """The process around a relay."""
+    """The router process."""
 
     def __init__(self, path: str, settings: RelaySettings, file_stamp: tuple[int, int]) -> None:
-        """Make one.
+        """Create the router and its adapters.
 
-        :param seen: the stamp of the settings file from before it was read, so that no later change is missed
+        :param file_stamp: modification time and size of the settings file before it was read, so that no change is
+            missed
         """
         self._path = path
         self._without = settings.without
@@ -52,7 +53,7 @@
         self._exit_code = 0
 
     def run(self) -> int:
-        """Run until the planned stop; return the exit code."""
+        """Run until shutdown and return the exit code."""
         signal.signal(signal.SIGTERM, lambda *_: self._call_in_reactor(self._daemon.stop))
         signal.signal(signal.SIGINT, lambda *_: self._call_in_reactor(self._daemon.stop))
         signal.signal(signal.SIGHUP, lambda *_: self._call_in_reactor(self._reload))
@@ -98,7 +99,7 @@
 
 
 def main() -> int:
-    """Run as a program."""
+    """Run the command and return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m beamhatch.platform", description=__doc__)
     parser.add_argument(
         "--without",
@@ -106,7 +107,7 @@
         default=[],
         metavar="MECHANISM",
         choices=[one.value for one in Mechanism],
-        help="leave a mechanism out, to measure what it is worth; may be given several times",
+        help="disable a mechanism, for measurements; may be repeated",
     )
     arguments = parser.parse_args()
     path = os.environ.get(SETTINGS_VARIABLE, "")
--- a/src/beamhatch/platform/settings.py
+++ b/src/beamhatch/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process (TOML)."""
+"""Reading of the TOML settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 READY_PATH = "/api/ready"
 METRICS_PORT = 9464
-"""TCP port of the figures; ``deploy/system.toml`` names the same."""
+"""TCP port of the metrics endpoint; must match ``deploy/system.toml``."""
 
 METRICS_PATH = "/metrics"
 DEFAULT_GRACE_S = 8.0
-"""Seconds for a planned stop where the settings name none, as in the platform's example."""
+"""Shutdown grace period if the settings define none."""
 
 
 class SettingsError(ValueError):
-    """A settings file that can't be used; the text says where and why."""
+    """An unreadable or invalid settings file."""
 
 
 class _Listen(msgspec.Struct):
@@ -64,44 +64,44 @@
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
     seeds: list[str] = []
     zones: dict[str, str] = {}
-    """The region of each hall."""
+    """Regions by hall."""
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
 def read_settings(path: str, without: Without = ALL_IN) -> RelaySettings:
-    """Return the settings in a file, for a relay that leaves some mechanisms out.
+    """Return the settings in a file, with the given mechanisms disabled.
 
-    :raises SettingsError: where the file can't be read, or lacks something
+    :raises SettingsError: if the file is unreadable or invalid
     """
     try:
-        read = msgspec.convert(tomllib.loads(Path(path).read_text()), _Settings, strict=False)
-        return _make_settings(read, without)
+        config = msgspec.convert(tomllib.loads(Path(path).read_text()), _Settings, strict=False)
+        return _make_settings(config, without)
     except (OSError, ValueError, msgspec.ValidationError) as problem:
         raise SettingsError(f"{path}: {problem}") from None
 
 
-def _make_settings(read: _Settings, without: Without) -> RelaySettings:
-    bounds = read.bounds
+def _make_settings(config: _Settings, without: Without) -> RelaySettings:
+    bounds = config.bounds
     return RelaySettings(
-        vm=read.node_name,
-        hall=read.zone,
-        caller_address=_parse_address(read.listen.frontend),
-        ready_address=_parse_address(read.listen.ready),
+        vm=config.node_name,
+        hall=config.zone,
+        caller_address=_parse_address(config.listen.frontend),
+        ready_address=_parse_address(config.listen.ready),
         ready_path=READY_PATH,
-        store_address=_parse_address(read.provider.address),
+        store_address=_parse_address(config.provider.address),
         grace=bounds.grace_s,
         budget=BudgetTerms(bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s),
         quota=QuotaTerms(bounds.quota_window_s, bounds.quota_overage, bounds.quota_slack),
-        peer_address=_parse_address(read.listen.control) if read.listen.control else None,
-        seeds=read.seeds,
-        places=Places({hall: RegionName(region) for hall, region in read.zones.items()}),
+        peer_address=_parse_address(config.listen.control) if config.listen.control else None,
+        seeds=config.seeds,
+        places=Places({hall: RegionName(region) for hall, region in config.zones.items()}),
         cold_overage=bounds.cold_overage,
         cold_slack=bounds.cold_slack,
         turn_time=bounds.lease_ms / 1000,
         drain_time=bounds.drain_timeout_ms / 1000,
-        strength=read.limits.link_mbps,
+        strength=config.limits.link_mbps,
         without=without,
-        metrics_address=Address(read.ip, METRICS_PORT),
+        metrics_address=Address(config.ip, METRICS_PORT),
         metrics_path=METRICS_PATH,
     )
 
--- a/src/beamhatch/platform/standin/__init__.py
+++ b/src/beamhatch/platform/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform's store and upstreams, which speak its pages' protocol; for tests and trials."""
+"""Stand-ins for the platform's store and upstreams that implement its protocols, for tests and local runs."""
--- a/src/beamhatch/platform/standin/base.py
+++ b/src/beamhatch/platform/standin/base.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a server, a reading of headers, JSON answers."""
+"""Base class of the stand-ins and helpers to parse requests and send JSON responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StandIn(ABC):
-    """A server at one address."""
+    """An HTTP server at one address."""
 
     def __init__(self, clock: Clock, address: Address) -> None:
         self.clock = clock
@@ -26,12 +26,12 @@
         self._port: Any = None
 
     def start(self) -> None:
-        """Listen; port 0 takes any that is free."""
+        """Start to listen; port 0 selects a free port."""
         self._port = self.clock.reactor.listenTCP(self.address.port, self._server, interface=self.address.host)
         self.address = Address(self.address.host, self._port.getHost().port)
 
     def stop(self) -> None:
-        """Listen no longer, and break all connections, as a crash does."""
+        """Stop to listen and abort all connections, as in a crash."""
         if self._port is not None:
             self._port.stopListening()
             self._port = None
@@ -39,25 +39,25 @@
             connection.abort()
 
     def abort_connections(self) -> None:
-        """Break all connections, and go on listening."""
+        """Abort all connections, but keep listening."""
         for connection in list(self._server.connections):
             connection.abort()
 
     @abstractmethod
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
-        """Serve one call."""
+        """Handle one request."""
 
 
 def read_headers(incoming: IncomingRequest) -> dict[str, str]:
-    """Return headers by their names in lower case."""
+    """Return the headers by lower-case name."""
     return {name.lower(): value for name, value in incoming.headers}
 
 
 def read_query(incoming: IncomingRequest) -> dict[str, str]:
-    """Return the query's fields."""
+    """Return the query parameters."""
     return dict(parse_qsl(incoming.target.partition("?")[2]))
 
 
 def send_json(responder: Responder, status: int, value: object, *headers: tuple[str, str]) -> None:
-    """Send a JSON answer."""
+    """Send a JSON response."""
     responder.send_whole(status, [("Content-Type", "application/json"), *headers], json.dumps(value).encode())
--- a/src/beamhatch/platform/standin/store.py
+++ b/src/beamhatch/platform/standin/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: revisions, ranges, watches, leases and conditional changes, and its faults."""
+"""Stand-in for the platform's store: revisions, ranges, watches, leases, transactions, restores and faults."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class StoreFault(Enum):
-    """What is wrong with the store."""
+    """Injected faults of the store."""
 
     NONE = "none"
     UNAVAILABLE = "busy"
-    """It answers 503 to all."""
+    """Respond with 503 to all requests."""
     UNRESPONSIVE = "silent"
-    """It answers nothing."""
+    """Ignore all requests."""
     RESPONSE_LOST = "lost"
-    """It does what is asked and gives no answer."""
+    """Process requests without responding."""
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreBackup:
-    """What the store had at some time."""
+    """A snapshot of the store without leased keys."""
 
     revision: int
     items: dict[str, _Item]
@@ -52,18 +52,18 @@
 
 
 class StandInStore(StandIn):
-    """The store."""
+    """An in-memory store."""
 
     def __init__(self, clock: Clock, address: Address) -> None:
         super().__init__(clock, address)
         self.fault = StoreFault.NONE
         self.calls = 0
-        """Calls so far, refused ones included."""
+        """Number of requests so far, including rejected ones."""
         self.renewals = 0
-        """Calls among them that renew a lease; they cost a tenth."""
+        """Number of requests among ``calls`` that renew a lease."""
         self.revision = 0
         self.epoch = 1
-        """Rises each time that it is restored from a backup."""
+        """Incremented by each restore from a backup."""
         self._items: dict[str, _Item] = {}
         self._history: list[tuple[int, str, bytes | None]] = []
         self._history_start = 0
@@ -71,10 +71,10 @@
         self._lease_timers: dict[int, Any] = {}
         self._lease_ttls: dict[int, float] = {}
 
-    # --- what the operator and the upstreams do ----------------------------------------------------------------------
+    # --- changes by operators and upstreams --------------------------------------------------------------------------
 
     def put(self, key: str, value: object, lease: int = 0) -> int:
-        """Write a value, bytes or JSON; return the revision."""
+        """Write a value, as is if it is bytes, else as JSON; return the revision."""
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.revision += 1
         known = self._items.get(key)
@@ -83,17 +83,17 @@
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key if it exists."""
         if self._items.pop(key, None) is not None:
             self.revision += 1
             self._record_change(key, None)
 
     def get_newest_revision(self, prefix: str) -> int:
-        """Return the revision of the last change among the keys with a prefix that are there."""
+        """Return the highest revision of the existing keys with a prefix, 0 if there are none."""
         return max((item.revision for key, item in self._items.items() if key.startswith(prefix)), default=0)
 
     def discard_history(self) -> None:
-        """Forget all changes so far, and cut the watches."""
+        """Discard the history of changes and abort all watches."""
         self._history.clear()
         self._history_start = self.revision
         watches, self._watches = self._watches, []
@@ -101,11 +101,11 @@
             watch.responder.abort()
 
     def make_backup(self) -> StoreBackup:
-        """Return what there is now, but for what hangs on leases."""
+        """Return a backup of all keys without a lease."""
         return StoreBackup(self.revision, {key: replace(item) for key, item in self._items.items() if not item.lease})
 
     def restore(self, backup: StoreBackup) -> None:
-        """Have what was there at a copy and nothing behind it: revisions are given out again, all leases are gone."""
+        """Restore a backup: later changes and all leases are lost, and revisions are assigned again."""
         for timer in self._lease_timers.values():
             if timer.active():
                 timer.cancel()
@@ -128,10 +128,10 @@
             if not self._send_watch_events(watch):
                 self._watches.append(watch)
 
-    # --- calls -------------------------------------------------------------------------------------------------------
+    # --- requests ----------------------------------------------------------------------------------------------------
 
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
-        """Serve one call."""
+        """Handle one request."""
         self.calls += 1
         if self.fault is StoreFault.UNRESPONSIVE:
             return None
@@ -253,13 +253,13 @@
 
 
 class _DiscardingResponder(Responder):
-    """Swallows an answer."""
+    """A responder that discards the response."""
 
     def __init__(self) -> None:
         self.begun = False
 
     def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Send nothing."""
+        """Discard the response."""
 
     def abort(self) -> None:
-        """Do nothing: there is no answer to break off."""
+        """Do nothing, as no response was started."""
--- a/src/beamhatch/platform/standin/trial.py
+++ b/src/beamhatch/platform/standin/trial.py
@@ -1,4 +1,4 @@
-"""The relay with stand-ins of the platform around it, in one process, to try it."""
+"""Run the router with stand-ins for the platform in one process, to try it locally."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 HALL = "kl-a"
 ANY_PORT = Address("127.0.0.1", 0)
 READY_CHECK_INTERVAL_S = 0.05
-"""Seconds between two looks whether the relay is ready."""
+"""Interval between checks whether the router is ready."""
 
 ROUTES = [("accounts", "/accounts/", "safe", "acct-svc"), ("checks", "/checks/", "streaming", "lm-desk")]
 
 
 def run_trial(reactor: Any, caller_port: int) -> int:
-    """Run until stopped; return the exit code."""
+    """Run until stopped and return the exit code."""
     clock = Clock(reactor)
     store = start_platform(clock)
     settings = RelaySettings(
@@ -55,7 +55,7 @@
 
 
 def start_platform(clock: Clock) -> StandInStore:
-    """Start the store and the upstreams that it lists; return the store."""
+    """Start the store and its registered upstreams; return the store."""
     store = StandInStore(clock, ANY_PORT)
     store.start()
     ledger = Ledger()
@@ -72,7 +72,7 @@
 
 
 def make_configuration() -> dict[str, object]:
-    """Return a configuration with one route to each service."""
+    """Return a configuration with one route per service."""
     engine = {"capacity": 128, "kv_capacity": 60_000, "kv_ttl_s": 0.5, "hold_ms": 2000}
     routes = [
         {
--- a/src/beamhatch/platform/standin/upstream.py
+++ b/src/beamhatch/platform/standin/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a plain service and of a model engine, with the faults that upstreams show."""
+"""Stand-ins for replicas of a plain service and for model engines, with injected faults."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 
 
 class UpstreamFault(Enum):
-    """What is wrong with an upstream."""
+    """Injected faults of an upstream."""
 
     NONE = "none"
     SHED = "shed"
-    """It turns all requests away, with proof."""
+    """Reject all requests with 503 and ``Not-Executed``."""
     ERROR = "error"
-    """It runs requests, and answers 500."""
+    """Run requests, but respond with 500."""
     HANG = "hang"
-    """It runs requests, and answers nothing."""
+    """Run requests without responding."""
     TRUNCATED = "cut"
-    """It runs requests, and resets the connection inside the answer."""
+    """Run requests, but abort the connection within the response."""
     UNCONFIRMED = "unproved"
-    """It answers 503 without proof that it has not run the request."""
+    """Run requests, but respond with 503 without ``Not-Executed``."""
     UNSIGNED = "unsigned"
-    """It answers 200 without its signature."""
+    """Respond with 200 without ``Response-Signature``."""
     MISMATCHED = "foreign"
-    """It sends an answer to another request first."""
+    """Send the response to another request before the first response."""
     SKIP = "skip"
-    """It leaves an event of its stream out."""
+    """Omit an event of each stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order to play another part, as it arrived."""
+    """A received order to change the phase."""
 
     at: float
     holder: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of an upstream by a request that it ran."""
+    """A crash of an upstream caused by a request."""
 
     at: float
     upstream: str
@@ -62,61 +62,61 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """What the upstreams of one test did, together."""
+    """A record of what all upstreams of a test received and did."""
 
     arrivals: Counter[str] = field(default_factory=Counter)
-    """Sends by request, those that were turned away included."""
+    """Number of sends by request ID, including rejected ones."""
     runs: Counter[str] = field(default_factory=Counter)
-    """Runs by request."""
+    """Number of runs by request ID."""
     prefilled: Counter[str] = field(default_factory=Counter)
-    """Prompts read, by request."""
+    """Number of completed prefills by request ID."""
     cancelled: Counter[str] = field(default_factory=Counter)
-    """Runs that ended as their caller went away."""
+    """Number of runs by request ID that ended because the caller disconnected."""
     bodies: dict[str, bytes] = field(default_factory=dict)
     headers: dict[str, dict[str, str]] = field(default_factory=dict)
-    """Headers of the last send of each request, by their names in lower case."""
+    """Headers of the last send by request ID and lower-case name."""
     deadlines: list[int] = field(default_factory=list)
-    """The milliseconds that each send was given."""
+    """Deadline of each send in milliseconds."""
     orders: list[Order] = field(default_factory=list)
     handles: dict[str, str] = field(default_factory=dict)
-    """The request of each KV cache that is held, by ``ADDRESS/ID``."""
+    """Request ID of each KV cache by ``ADDRESS/ID``."""
     crash_inducing: set[str] = field(default_factory=set)
-    """Targets of requests that end each upstream that begins to run them."""
+    """Targets of requests that crash each upstream that runs them."""
     crashes: list[Crash] = field(default_factory=list)
     sends: list[tuple[float, str]] = field(default_factory=list)
-    """When each send arrived, and its target."""
+    """Arrival time in monotonic seconds and target of each send."""
 
 
 class Run(RequestHandler):
-    """A run under way."""
+    """A request in progress at an upstream."""
 
     def __init__(self, upstream: StandInUpstream, request: str) -> None:
         self.upstream = upstream
         self.request = request
         self.timers: list[Any] = []
         self.tokens = 0
-        """KV memory that is used until the run ends."""
+        """Tokens of KV memory in use until the run ends."""
         self.ended = False
         upstream.runs.add(self)
 
     def lose_caller(self) -> None:
-        """Stop the work."""
+        """End the run and record that it was cancelled."""
         if not self.ended:
             self.upstream.ledger.cancelled[self.request] += 1
         self.end()
 
     def pause(self) -> None:
-        """Go on: the transport holds what is written."""
+        """Do nothing, as the transport buffers writes."""
 
     def go_on(self) -> None:
-        """Go on."""
+        """Do nothing, as writes are never paused."""
 
     def schedule(self, seconds: float, function: Any) -> None:
-        """Do something unless the run has ended by then."""
+        """Call a function after a delay unless the run ends first."""
         self.timers.append(self.upstream.clock.call_later(seconds, function))
 
     def end(self) -> None:
-        """End the run."""
+        """End the run, release its memory and cancel its timers."""
         if self.ended:
             return
         self.ended = True
@@ -129,45 +129,45 @@
 
 
 class StandInUpstream(StandIn):
-    """A plain service's replica."""
+    """A replica of a plain service."""
 
     service_time_s = 0.05
-    """Seconds of one request."""
+    """Duration of one request."""
     crash_delay_s = 0.1
-    """Seconds behind its begin at which a deadly request ends the upstream."""
+    """Time from the start of a crash-inducing request to the crash."""
     restart_time_s = 2.5
-    """Seconds behind its end after which it is back."""
+    """Time from a crash to the restart."""
 
     def __init__(self, clock: Clock, address: Address, instance: str, ledger: Ledger) -> None:
         super().__init__(clock, address)
         self.instance = instance
         self.born = int(1000 * clock.now())
-        """When it started, in milliseconds of its clock, whose zero is nobody's business."""
+        """Start time in milliseconds of the upstream's own clock, whose epoch is arbitrary."""
         self.runs: set[Run] = set()
         self.on_restart: Callable[[], None] = lambda: None
-        """Called when it is back after a crash, to list it."""
+        """Called after a restart, to register the new incarnation."""
         self.ledger = ledger
         self.fault = UpstreamFault.NONE
         self.request_times: list[float] = []
-        """When each request came, in monotonic seconds."""
+        """Arrival time of each request in monotonic seconds."""
         self.cold_left_s = 0.0
-        """Seconds for which its entry says that it is cold."""
+        """Remaining cold time in its entry."""
         self.running = 0
         self.used_tokens = 0
-        """Tokens of runs under way."""
+        """Tokens of runs in progress."""
         self.call_times: list[float] = []
-        """When each call reached it, also those about memory, in monotonic seconds."""
+        """Arrival time of each call in monotonic seconds, including calls that reserve or free memory."""
         self.leaving = False
-        """It says in all its answers that it leaves."""
+        """Whether responses announce its departure."""
         self.retry_after = ""
-        """What it asks of who is turned away: a ``Retry-After``; nothing where it is empty."""
+        """Value of ``Retry-After`` in 503 responses; empty to omit it."""
         self.limit = ""
-        """What it says that it takes a second from all VMs together; it names none where it is empty."""
+        """Announced limit in requests per second from all VMs together; empty to announce none."""
         self.backoff_times: list[float] = []
-        """When it asked for rest, in monotonic seconds."""
+        """When it requested a back-off, in monotonic seconds."""
 
     def make_entry(self, service: str, hall: str, state: str = "ready") -> dict[str, object]:
-        """Return its entry in the store."""
+        """Return the entry for the store."""
         return {
             "service": service,
             "address": str(self.address),
@@ -182,25 +182,25 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls reached it so far."""
+        """Return the number of calls received so far."""
         return len(self.call_times)
 
     def make_state_headers(self, status: int = 200) -> list[tuple[str, str]]:
-        """Return the headers by which it tells of itself in an answer."""
-        words = [("Server-Leaving", "1")] if self.leaving else []
+        """Return the headers that announce a departure, limit or back-off; record a back-off."""
+        headers = [("Server-Leaving", "1")] if self.leaving else []
         if self.limit:
-            words.append(("Server-Limit", self.limit))
+            headers.append(("Server-Limit", self.limit))
         if status == 503 and self.retry_after:
             self.backoff_times.append(self.clock.now())
-            words.append(("Retry-After", self.retry_after))
-        return words
+            headers.append(("Retry-After", self.retry_after))
+        return headers
 
     def send_response(self, responder: Responder, status: int, value: object, *headers: tuple[str, str]) -> None:
-        """Send a JSON answer."""
+        """Send a JSON response with the state headers."""
         send_json(responder, status, value, *headers, *self.make_state_headers(status))
 
     def crash(self) -> None:
-        """End at once with all runs, and come back in a while with nothing of before."""
+        """Crash, ending all runs, and restart after ``restart_time_s``."""
         self.stop()
         for run in list(self.runs):
             run.end()
@@ -212,12 +212,12 @@
         self.on_restart()
 
     def crash_on_request(self, request: str, target: str) -> None:
-        """End at once, by a request that it ran."""
+        """Crash and record the request that caused it."""
         self.ledger.crashes.append(Crash(self.clock.now(), self.instance, request, target))
         self.crash()
 
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
-        """Serve one request."""
+        """Handle one request."""
         self.call_times.append(self.clock.now())
         headers = read_headers(incoming)
         request = headers.get("request-id", "")
@@ -239,7 +239,7 @@
     def process(
         self, incoming: IncomingRequest, headers: dict[str, str], request: str, responder: Responder
     ) -> RequestHandler | None:
-        """Run one request."""
+        """Run a request that was not rejected."""
         run = self.start_run(request)
         if incoming.target in self.ledger.crash_inducing:
             run.schedule(self.crash_delay_s, lambda: self.crash_on_request(request, incoming.target))
@@ -251,17 +251,17 @@
         return run
 
     def start_run(self, request: str) -> Run:
-        """Count a run."""
+        """Start and count a run."""
         self.ledger.runs[request] += 1
         self.running += 1
         return Run(self, request)
 
     def make_response_headers(self, request: str) -> list[tuple[str, str]]:
-        """Return the headers of an own answer."""
-        signed = [("Request-Id", request), ("Server-Load", f"{self.running},0,6")]
+        """Return the headers of a response to a request that was run."""
+        headers = [("Request-Id", request), ("Server-Load", f"{self.running},0,6")]
         if self.fault is not UpstreamFault.UNSIGNED:
-            signed.append(("Response-Signature", f"{self.instance}.{request}"))
-        return signed + self.make_state_headers()
+            headers.append(("Response-Signature", f"{self.instance}.{request}"))
+        return headers + self.make_state_headers()
 
     def _finish_run(self, run: Run, responder: Responder, text: bytes) -> None:
         if self.fault is UpstreamFault.HANG:
@@ -281,23 +281,23 @@
 
 
 class StandInEngine(StandInUpstream):
-    """A model engine, for prefill or decode, with KV memory that it counts in tokens."""
+    """A prefill or decode engine with KV memory counted in tokens."""
 
     event_interval_s = 0.03
-    """Seconds between two events."""
+    """Interval between events of a stream."""
     prefill_rate = 50_000.0
-    """Prompt tokens a second."""
+    """Prompt tokens per second."""
     prefills_serially = False
-    """It reads one prompt after the other, also as a decode engine, which does so at half the pace."""
+    """Whether prompts are processed one at a time, by decode engines at half the prefill rate."""
     handle_ttl_s = 0.5
     reservation_delay_s = 0.0
-    """Seconds that an answer about memory takes."""
+    """Delay of the response to a reservation."""
     padding_bytes = 0
-    """Bytes that each event is padded by."""
+    """Padding added to each event."""
     transfer_time_s = 0.0
-    """Seconds that it takes to fetch a prompt's KV cache from another engine."""
+    """Time to fetch a KV cache from another engine."""
     phase_change_time_s = 6.0
-    """Seconds behind the end of its runs that an ordered change of its part takes."""
+    """Duration of an ordered phase change once all runs have ended."""
 
     def __init__(
         self, clock: Clock, address: Address, instance: str, ledger: Ledger, phase: str, kv_tokens: int = 60_000
@@ -306,34 +306,34 @@
         self.phase = phase
         self.kv_tokens = kv_tokens
         self.reserved_tokens: dict[str, int] = {}
-        """Tokens set aside, by the id of the reservation."""
+        """Reserved tokens by reservation ID."""
         self.cut_after: int | None = None
-        """Events after which streams break inside the next one."""
+        """Number of the last event before streams are truncated; None to complete them."""
         self.on_phase_change: Callable[[], None] = lambda: None
-        """Called when an ordered change of its part is done."""
+        """Called after an ordered phase change."""
         self.drops_next_order = False
-        """It leaves the next order unanswered; ``take_lost_order`` carries it out late."""
+        """Whether the next order gets no response; ``apply_dropped_order`` applies it later."""
         self._dropped_order: str | None = None
         self.pending_phase: str | None = None
-        """The part that it is to play once its runs have ended; until then it turns new requests away."""
+        """Phase to change to once all runs have ended; new requests are rejected until the change is done."""
         self._last_id = 0
         self._prefill_end = 0.0
 
     responds_before_crash = True
-    """Whether it has begun to answer a deadly request when that ends it."""
+    """Whether the response to a crash-inducing request starts before the crash."""
 
     def crash(self) -> None:
-        """End at once, with all that it holds."""
+        """Crash, discarding all reservations and a pending phase change."""
         self.reserved_tokens.clear()
         self.pending_phase = None
         super().crash()
 
     def make_entry(self, service: str, hall: str, state: str = "ready") -> dict[str, object]:
-        """Return its entry in the store."""
+        """Return the entry for the store."""
         return {**super().make_entry(service, hall, state), "phase": self.phase, "capacity": 128, "models": []}
 
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
-        """Serve a request, or a call about memory."""
+        """Handle a request or an API call."""
         if not incoming.path.startswith("/api/"):
             return super().serve(incoming, responder)
         self.call_times.append(self.clock.now())
@@ -355,7 +355,7 @@
         return None
 
     def apply_dropped_order(self) -> None:
-        """Carry the order out that was left unanswered."""
+        """Apply the order that got no response."""
         assert self._dropped_order is not None
         self.pending_phase, self._dropped_order = self._dropped_order, None
         self._wait_until_idle()
@@ -385,7 +385,7 @@
 
     @property
     def free_tokens(self) -> int:
-        """Return the tokens that are neither used nor set aside."""
+        """Return the number of tokens neither used nor reserved."""
         return self.kv_tokens - self.used_tokens - sum(self.reserved_tokens.values())
 
     def _reserve(self, asked: dict[str, int], responder: Responder) -> None:
@@ -406,7 +406,7 @@
     def process(
         self, incoming: IncomingRequest, headers: dict[str, str], request: str, responder: Responder
     ) -> RequestHandler | None:
-        """Read a prompt, or stream an answer."""
+        """Prefill a prompt or stream output."""
         if self.pending_phase is not None:
             self.send_response(responder, 503, {}, ("Not-Executed", "1"))
             return None
@@ -457,7 +457,7 @@
         return run
 
     def _schedule_prefill(self, seconds: float) -> float:
-        """Return the seconds until a reading of some seconds ends."""
+        """Return the seconds until a prefill that takes ``seconds`` will end."""
         if not self.prefills_serially:
             return seconds
         now = self.clock.now()
--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -1,4 +1,7 @@
-"""The platform's store: reads and watches of the operators' configuration and of the upstreams' entries."""
+"""HTTP client of the platform's store: configuration, upstreams' entries, leadership and quarantines.
+
+Revisions of the store are converted to positions, which also order changes across restores (see ``epochs``).
+"""
 
 from __future__ import annotations
 
@@ -39,28 +42,26 @@
 OPERATOR_PREFIX = "op/"
 CONFIGURATION_KEY = f"{OPERATOR_PREFIX}config"
 EVACUATION_PREFIX = f"{OPERATOR_PREFIX}evacuate/"
-"""A key of a hall is there as long as the hall is emptied; its value says nothing."""
+"""Prefix of keys that mark halls as evacuated. Their values are ignored."""
 
 MAX_HALL_NAME_LENGTH = 100
-"""Characters: what is longer names no hall, and would stand in each beat to a peer."""
+"""In characters. Longer names are ignored, as each heartbeat to a peer would repeat them."""
 
 UPSTREAM_PREFIX = "servers/"
 ROUTER_PREFIX = "beamhatch/"
 LEADER_KEY = f"{ROUTER_PREFIX}leader"
 LAST_ORDER_KEY = f"{ROUTER_PREFIX}order"
 QUARANTINE_PREFIX = f"{ROUTER_PREFIX}quarantine/"
-"""A key of a fingerprint is there as long as its quarantine is kept; its value says nothing."""
+"""Prefix of keys that mark fingerprints as quarantined. Their values are ignored."""
 
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 CALL_TIMEOUT_S = 2.0
-"""Seconds for one call: 500 times what an answer takes when the store is well."""
-
 WATCH_MARGIN_S = 2.0
-"""Seconds beyond its wait after which a watch is taken as lost."""
+"""Time that a watch may take to respond after its wait."""
 
 
-Read = TypeVar("Read", bound=msgspec.Struct)
+Decoded = TypeVar("Decoded", bound=msgspec.Struct)
 
 
 class _Item(msgspec.Struct):
@@ -72,7 +73,7 @@
 
     @property
     def raw(self) -> bytes | None:
-        """Return the value, or None where the key is gone."""
+        """Return the decoded value, or None if the key was removed."""
         return None if self.gone else msgspec.json.decode(b'"' + self.value.encode() + b'"', type=bytes)
 
 
@@ -80,7 +81,7 @@
     items: list[_Item]
     more: bool
     at: int
-    """Behind ``_ask``, this and the items' revisions are positions."""
+    """A revision as received; ``_decode_items`` replaces it and the items' revisions by positions."""
 
 
 class _LeaseResponse(msgspec.Struct):
@@ -96,11 +97,11 @@
     at: int
 
 
-Listed = TypeVar("Listed", _RangeResponse, _EventsResponse)
+ItemsResponse = TypeVar("ItemsResponse", _RangeResponse, _EventsResponse)
 
 
 class PlatformStore(Store):
-    """Speaks to the store over HTTP."""
+    """HTTP client of the store."""
 
     def __init__(self, client: HttpClient, clock: Clock, address: Address, documents: PlatformDocuments) -> None:
         self._client = client
@@ -109,21 +110,21 @@
         self._documents = documents
         self._epochs = EpochTracker()
         self._leadership_at = 0
-        """The position of the last look at who leads, 0 before the first."""
+        """Position of the last read of the leadership, 0 before the first."""
         self._unsettled_prefixes: set[str] = set()
-        """Prefixes whose lists were read before they were complete again."""
+        """Prefixes whose lists were read too soon after a restore to be complete."""
         self._read_prefixes: set[str] = set()
-        """Prefixes whose lists were read at all."""
+        """Prefixes whose lists were read at least once."""
 
     async def read_directives(self, known: int) -> DirectiveNews | StoreLost:
-        """Return the configuration in force, and all halls that are emptied."""
+        """Return the current configuration and all evacuated halls."""
         items = await self._read_all(OPERATOR_PREFIX)
         if isinstance(items, StoreLost):
             return items
         return replace(self._make_directives(items), settled=self._record_list_read(OPERATOR_PREFIX, known))
 
     async def watch_directives(self, after: int, wait: float) -> DirectiveNews | StoreLost | HistoryGone:
-        """Return what the operators changed behind a revision."""
+        """Return the operators' changes after a position."""
         events = await self._watch_prefix(OPERATOR_PREFIX, after, wait)
         if not isinstance(events, _EventsResponse):
             return events
@@ -143,7 +144,7 @@
         return DirectiveNews(self._make_document(documents[-1]) if documents else None, evacuations, events.at)
 
     async def read_listing(self, known: int) -> ListingNews | StoreLost:
-        """Return all upstreams."""
+        """Return the entries of all upstreams."""
         items = await self._read_all(UPSTREAM_PREFIX)
         if isinstance(items, StoreLost):
             return items
@@ -151,9 +152,11 @@
         return ListingNews(entries, items.at, settled=self._record_list_read(UPSTREAM_PREFIX, known))
 
     def _record_list_read(self, prefix: str, known: int) -> bool:
-        """Note that a list was read; return whether what it lacks is gone, else it is read again later.
+        """Record that a list was read; return whether it is complete, so that missing keys were removed.
+
+        An incomplete list is read again later.
 
-        :param known: the position of the oldest news that this VM has from peers, 0 where there are none
+        :param known: position of the oldest update received from peers, 0 if there are none
         """
         now = self._clock.now()
         if known:
@@ -168,14 +171,14 @@
         return settled and is_complete
 
     async def watch_listing(self, after: int, wait: float) -> ListingNews | StoreLost | HistoryGone:
-        """Return changes of upstreams behind a revision."""
+        """Return changes of upstreams' entries after a position."""
         events = await self._watch_prefix(UPSTREAM_PREFIX, after, wait)
         if not isinstance(events, _EventsResponse):
             return events
         return ListingNews([self._make_entry(item) for item in events.events], events.at)
 
     async def _read_all(self, prefix: str) -> _EventsResponse | StoreLost:
-        """Return all items with a prefix, as of the first page; a watch from there tells what changed meanwhile."""
+        """Return all items with a prefix, as of the first page; a watch from there returns later changes."""
         items: list[_Item] = []
         at = None
         query = {"path_prefix": prefix}
@@ -185,14 +188,14 @@
                 return page
             at = page.at if at is None else at
             if get_epoch(page.at) != get_epoch(at):
-                return StoreLost("the store was restored between two pages")
+                return StoreLost("the store was restored between two pages of a list")
             items += page.items
             if not page.more or not page.items:
                 return _EventsResponse(items, at)
             query["after"] = page.items[-1].tls_key
 
     async def keep_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreLost | None:
-        """Write the key of a fingerprint under a lease of its own, unless it is there."""
+        """Write the key of a quarantined fingerprint with its own lease, unless it exists."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
@@ -205,12 +208,12 @@
         return _get_write_failure(await self._post("kv-txn", change))
 
     async def end_quarantine(self, fingerprint: Fingerprint) -> StoreLost | None:
-        """Remove the key of a fingerprint."""
+        """Remove the key of a quarantined fingerprint."""
         change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE_PREFIX}{fingerprint.hex()}"]}
         return _get_write_failure(await self._post("kv-txn", change))
 
     async def read_leadership(self) -> LeadershipNews | StoreLost:
-        """Return who leads, what the last order was, and which requests are held."""
+        """Return whether there is a leader, the last order and the quarantined fingerprints."""
         page = self._decode_items(await self._get("kv-range", {"path_prefix": ROUTER_PREFIX}), _RangeResponse)
         if isinstance(page, StoreLost):
             return page
@@ -229,14 +232,14 @@
         )
 
     async def watch_leadership(self, after: int, wait: float) -> bool | StoreLost:
-        """Return True as soon as something changed behind a revision."""
+        """Wait for a change after a position; return False if there was none within ``wait`` seconds."""
         events = await self._watch_prefix(ROUTER_PREFIX, after, wait)
         if isinstance(events, StoreLost):
             return events
         return isinstance(events, HistoryGone) or bool(events.events)
 
     async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
-        """Claim the leadership on the condition that all is as it was seen."""
+        """Claim the leadership, provided that nobody holds it and the last order is the one in ``seen``."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
@@ -249,43 +252,47 @@
             "put": [{"tls_key": LEADER_KEY, "value": value, "lease": lease.lease}],
             "remove": [],
         }
-        answer = await self._post("kv-txn", change)
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        if answer.head.status == 412:
+        response = await self._post("kv-txn", change)
+        if isinstance(response, str):
+            return StoreLost(response)
+        if response.head.status == 412:
             return Taken()
-        changed = _decode(answer, _ChangeResponse)
+        changed = _decode(response, _ChangeResponse)
         if isinstance(changed, StoreLost):
             return changed
-        epoch = self._record_epoch(answer)
+        epoch = self._record_epoch(response)
         return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == get_epoch(seen.at) else Taken()
 
     async def keep_leadership(self, claim: Claimed, timeout: float) -> bool | StoreLost:
-        """Renew the lease of a claim."""
-        answer = await self._post(f"kv-keep/{claim.lease}", {}, timeout)
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        if answer.head.status in (200, 404):
-            return answer.head.status == 200 and self._record_epoch(answer) == get_epoch(claim.revision)
-        return StoreLost(f"status {answer.head.status}")
+        """Renew the lease of a claim; return whether the claim is still valid."""
+        response = await self._post(f"kv-keep/{claim.lease}", {}, timeout)
+        if isinstance(response, str):
+            return StoreLost(response)
+        if response.head.status in (200, 404):
+            return response.head.status == 200 and self._record_epoch(response) == get_epoch(claim.revision)
+        return StoreLost(f"status {response.head.status}")
 
     async def record_order(self, claim: Claimed, order: str) -> bool | StoreLost:
-        """Write an order down on the condition that the claim stands."""
+        """Store an order, provided that the claim is still valid; return whether it was stored."""
         change = {
             "if_revision": [{"tls_key": LEADER_KEY, "revision": get_revision(claim.revision)}],
             "put": [{"tls_key": LAST_ORDER_KEY, "value": base64.b64encode(order.encode()).decode(), "lease": 0}],
             "remove": [],
         }
-        answer = await self._post("kv-txn", change)
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        if answer.head.status in (200, 412):
-            # after a restore, the revision may be that of another VM's claim
-            return answer.head.status == 200 and self._record_epoch(answer) == get_epoch(claim.revision)
-        return StoreLost(f"status {answer.head.status}")
+        response = await self._post("kv-txn", change)
+        if isinstance(response, str):
+            return StoreLost(response)
+        if response.head.status in (200, 412):
+            # after a restore, another VM's claim may have the same revision
+            return response.head.status == 200 and self._record_epoch(response) == get_epoch(claim.revision)
+        return StoreLost(f"status {response.head.status}")
 
     async def _watch_prefix(self, prefix: str, after: int, wait: float) -> _EventsResponse | StoreLost | HistoryGone:
-        """Wait for changes behind a position: none of an earlier epoch, and not beyond the time to read again."""
+        """Wait for changes after a position.
+
+        ``HistoryGone`` means that the list must be read again: the store no longer has the history, the position is of
+        another epoch, or the last list was read too soon after a restore.
+        """
         now = self._clock.now()
         if prefix in self._unsettled_prefixes:
             if self._epochs.is_settled(now):
@@ -294,32 +301,32 @@
         if get_epoch(after) != (self._epochs.epoch or 0):
             return HistoryGone()
         query = {"path_prefix": prefix, "after": str(get_revision(after)), "wait_ms": str(int(wait * 1000))}
-        answer = await self._get("kv-watch", query, wait + WATCH_MARGIN_S)
-        if not isinstance(answer, str) and answer.head.status == 410:
+        response = await self._get("kv-watch", query, wait + WATCH_MARGIN_S)
+        if not isinstance(response, str) and response.head.status == 410:
             return HistoryGone()
-        events = self._decode_items(answer, _EventsResponse)
+        events = self._decode_items(response, _EventsResponse)
         return (
             HistoryGone()
             if isinstance(events, _EventsResponse) and get_epoch(events.at) != get_epoch(after)
             else events
         )
 
-    def _record_epoch(self, answer: WholeAnswer) -> Epoch:
-        """Take in the epoch that an answer tells, and return it."""
-        epoch = read_epoch(answer.head.headers)
+    def _record_epoch(self, response: WholeAnswer) -> Epoch:
+        """Record and return the epoch of a response."""
+        epoch = read_epoch(response.head.headers)
         before = self._epochs.epoch
         if self._epochs.record(epoch, self._clock.now()):
             self._documents.journal.write("STORE", "restored from a backup", epoch=epoch, before=before)
         return epoch
 
-    def _decode_items(self, answer: WholeAnswer | str, wanted: type[Listed]) -> Listed | StoreLost:
-        """Return the items of an answer, with positions in place of revisions."""
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        found = _decode(answer, wanted)
+    def _decode_items(self, response: WholeAnswer | str, wanted: type[ItemsResponse]) -> ItemsResponse | StoreLost:
+        """Decode a response with items, and replace its revisions by positions."""
+        if isinstance(response, str):
+            return StoreLost(response)
+        found = _decode(response, wanted)
         if isinstance(found, StoreLost):
             return found
-        epoch = self._record_epoch(answer)
+        epoch = self._record_epoch(response)
         found.at = make_position(epoch, found.at)
         for item in found.items if isinstance(found, _RangeResponse) else found.events:
             item.revision = make_position(epoch, item.revision)
@@ -346,26 +353,26 @@
 
 
 def _parse_quarantine_key(key: str) -> Fingerprint | None:
-    """Return the fingerprint whose quarantine a key keeps, or None where it is another key."""
+    """Return the quarantined fingerprint of a key, or None for other keys."""
     name = key.removeprefix(QUARANTINE_PREFIX)
     if len(name) != 2 * FINGERPRINT_BYTES or not set(name) <= HEX_DIGITS:
         return None
     return Fingerprint(bytes.fromhex(name))
 
 
-def _get_write_failure(answer: WholeAnswer | str) -> StoreLost | None:
-    """Return whether a change may not have been made; where its condition did not hold, another VM has made it."""
-    if isinstance(answer, str):
-        return StoreLost(answer)
-    return None if answer.head.status in (200, 412) else StoreLost(f"status {answer.head.status}")
+def _get_write_failure(response: WholeAnswer | str) -> StoreLost | None:
+    """Return the error if a change may have failed; status 412 means that another VM has already made it."""
+    if isinstance(response, str):
+        return StoreLost(response)
+    return None if response.head.status in (200, 412) else StoreLost(f"status {response.head.status}")
 
 
-def _decode(answer: WholeAnswer | str, wanted: type[Read]) -> Read | StoreLost:
-    if isinstance(answer, str):
-        return StoreLost(answer)
-    if answer.head.status != 200:
-        return StoreLost(f"status {answer.head.status}")
+def _decode(response: WholeAnswer | str, wanted: type[Decoded]) -> Decoded | StoreLost:
+    if isinstance(response, str):
+        return StoreLost(response)
+    if response.head.status != 200:
+        return StoreLost(f"status {response.head.status}")
     try:
-        return msgspec.json.decode(answer.body, type=wanted)
+        return msgspec.json.decode(response.body, type=wanted)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return StoreLost(f"unreadable answer: {problem}")
+        return StoreLost(f"invalid response: {problem}")
