--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""What is read of the platform's documents."""
+"""Tests of decoding the platform's documents."""
 
 from __future__ import annotations
 
@@ -47,26 +47,26 @@
     return PlatformDocuments(MemoryJournal(PausedClock(Network()))).read_entry(UPSTREAM, 7, raw)
 
 
-def test_an_upstreams_entry_is_read_with_its_start() -> None:
+def test_an_entry_is_read_with_its_start_time() -> None:
     entry = read(json.dumps(ENTRY).encode())
     assert entry.upstream is not None
     assert entry.upstream.born == 1_900_000_000_000
     assert entry.readable
-    untold = {name: value for name, value in ENTRY.items() if name != "born"}
-    older = read(json.dumps(untold).encode())
-    assert older.upstream is not None
-    assert older.upstream.born == 0
+    without_start = {name: value for name, value in ENTRY.items() if name != "born"}
+    entry_without_start = read(json.dumps(without_start).encode())
+    assert entry_without_start.upstream is not None
+    assert entry_without_start.upstream.born == 0
 
 
 @pytest.mark.parametrize("name", REQUIRED)
-def test_an_entry_that_lacks_a_field_names_no_upstream(name: str) -> None:
+def test_an_entry_without_a_required_field_is_invalid(name: str) -> None:
     entry = read(json.dumps({field: value for field, value in ENTRY.items() if field != name}).encode())
     assert entry == Entry(UPSTREAM, 7, None, readable=False)
 
 
 @pytest.mark.parametrize("name", [*REQUIRED, "born"])
 @pytest.mark.parametrize("value", [None, True, [], {}, 1.5, "x", -3])
-def test_an_entry_with_a_field_of_another_type_names_no_upstream(name: str, value: object) -> None:
+def test_an_entry_with_a_field_of_a_wrong_type_is_invalid(name: str, value: object) -> None:
     fitting = {"cold_remaining_ms": (1.5, -3), "service": ("x",), "zone": ("x",), "version": ("x",)}
     if value in fitting.get(name, ()) and not isinstance(value, bool):
         return
@@ -104,16 +104,16 @@
         {"cold_remaining_ms": 1e300},
     ],
 )
-def test_an_entry_with_words_that_mean_nothing_names_no_upstream(changes: dict[str, object]) -> None:
+def test_an_entry_with_a_value_out_of_range_is_invalid(changes: dict[str, object]) -> None:
     assert not read(json.dumps({**ENTRY, **changes}).encode()).readable
 
 
 @pytest.mark.parametrize("raw", [b"", b"\x00\xff\xfe", b"null", b"[]", b"7", b'"x"', b"{", b"{}", b"[" * 10_000])
-def test_bytes_that_are_no_entry_name_no_upstream(raw: bytes) -> None:
+def test_bytes_that_are_not_an_entry_are_invalid(raw: bytes) -> None:
     assert not read(raw).readable
 
 
-def test_entries_of_other_writers_take_nothing_from_the_rest() -> None:
+def test_invalid_entries_do_not_affect_valid_ones() -> None:
     platform = make_platform(plain=2)
     for number, raw in enumerate([b"", b"\xff\xfe\x00", b"{}", json.dumps({**ENTRY, "state": "?"}).encode()]):
         platform.store.put(f"servers/other-{number}", raw)
@@ -130,7 +130,7 @@
     assert len(platform.vms["vm2"].core.list_usable(ServiceName(PLAIN))) == 2
 
 
-def test_where_all_entries_are_overwritten_none_is_used() -> None:
+def test_no_upstream_is_used_if_all_entries_are_invalid() -> None:
     platform = make_platform(plain=2)
     for number in range(2):
         platform.store.put(f"servers/plain-{number}", b"{}")
--- a/tests/platform/test_epochs.py
+++ b/tests/platform/test_epochs.py
@@ -1,4 +1,4 @@
-"""The order of what the store tells, across its returns from copies."""
+"""Tests of epochs and of the order of changes across restores."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_what_is_written_behind_a_return_is_newer_whatever_its_revision() -> None:
+def test_positions_after_a_restore_are_higher_for_all_revisions() -> None:
     assert make_position(Epoch(2), 20) > make_position(Epoch(1), 314)
     assert make_position(Epoch(2), 21) > make_position(Epoch(2), 20)
     position = make_position(Epoch(7), 123456)
@@ -26,23 +26,23 @@
 @pytest.mark.parametrize(
     ("word", "epoch"), [("3", 3), ("0", 0), ("-1", 0), ("two", 0), ("", 0), ("9999999999", 0), ("1.5", 0)]
 )
-def test_an_epoch_is_a_whole_number(word: str, epoch: int) -> None:
+def test_invalid_epochs_are_read_as_zero(word: str, epoch: int) -> None:
     assert read_epoch([("Store-Era", word)]) == epoch
     assert read_epoch([]) == 0
 
 
-def test_lists_settle_behind_a_return_and_the_first_answer_is_none() -> None:
+def test_lists_settle_after_a_restore_but_not_after_the_first_response() -> None:
     epochs = EpochTracker()
     assert not epochs.record(Epoch(3), 10.0)
     assert epochs.is_settled(10.0)
     assert not epochs.record(Epoch(3), 11.0)
     assert epochs.record(Epoch(4), 12.0)
-    assert not epochs.record(Epoch(3), 12.1)  # an answer from before that comes late
+    assert not epochs.record(Epoch(3), 12.1)  # a delayed response from before the restore
     assert not epochs.is_settled(12.0)
     assert epochs.is_settled(12.0 + SETTLE_TIME_S)
 
 
-def test_lists_settle_too_where_peers_know_an_older_epoch_than_the_first_answer_tells() -> None:
+def test_lists_settle_if_peers_know_an_older_epoch_than_the_first_response() -> None:
     epochs = EpochTracker()
     assert not epochs.record(Epoch(3), 10.0)
     assert epochs.may_have_been_restored(10.0)
@@ -52,11 +52,11 @@
     epochs.record_peer_epoch(Epoch(2), 10.2)
     assert not epochs.is_settled(10.2)
     assert epochs.is_settled(10.2 + SETTLE_TIME_S)
-    epochs.record_peer_epoch(Epoch(2), 15.0)  # what is believed since the last return was read once it had settled
+    epochs.record_peer_epoch(Epoch(2), 15.0)  # lists read since the last restore are complete
     assert epochs.is_settled(15.0)
 
 
-def test_a_store_that_tells_no_epoch_never_comes_back() -> None:
+def test_a_store_without_epochs_counts_as_never_restored() -> None:
     epochs = EpochTracker()
     assert not epochs.record(Epoch(0), 10.0)
     assert not epochs.may_have_been_restored(10.0)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Tests of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return str(path)
 
 
-def test_reads_what_it_needs_and_passes_over_what_it_does_not_know(tmp_path: Path) -> None:
+def test_unknown_settings_are_ignored(tmp_path: Path) -> None:
     settings = read_settings(write(tmp_path, TEXT))
     assert settings.vm == "frontend-a-1"
     assert settings.hall == "a"
@@ -57,21 +57,21 @@
         ("[listen]", "[listen", "boot.toml"),
     ],
 )
-def test_names_what_is_wrong(tmp_path: Path, before: str, after: str, named: str) -> None:
+def test_errors_name_the_invalid_setting(tmp_path: Path, before: str, after: str, named: str) -> None:
     with pytest.raises(SettingsError, match=named):
         read_settings(write(tmp_path, TEXT.replace(before, after)))
 
 
-def test_a_missing_file_ends_the_program_with_code_2(tmp_path: Path) -> None:
+def test_a_missing_file_exits_with_code_2(tmp_path: Path) -> None:
     environment = {"BEAMHATCH_NODE_FILE": str(tmp_path / "none.toml"), "PATH": "/usr/bin"}
-    ended = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "beamhatch.platform"], env=environment, capture_output=True, text=True, timeout=60
     )
-    assert ended.returncode == 2
-    assert "none.toml" in ended.stderr
+    assert result.returncode == 2
+    assert "none.toml" in result.stderr
 
 
-def test_a_file_is_checked_by_the_daemons_command(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_check_command_validates_a_settings_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = write(tmp_path, TEXT)
     assert run_command(["check", "--platform", "--settings", path]) == 0
     write(tmp_path, TEXT.replace("grace_s = 8", 'grace_s = "soon"'))
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -1,11 +1,7 @@
-"""The store is away for a moment, and is restored from a backup some seconds old.
+"""Tests of an outage of the store that ends with a restore from a backup.
 
-What users saw: revisions go back and are given out again, and what the system wrote since is gone, its leases too;
-operators and upstreams write theirs again. Whatever a VM ordered by revisions, the higher for the newer, took what was
-written after the restore for old news until the counter had passed where it was: an upstream that says that it leaves,
-a hall that is emptied. The fencing token of orders was such a revision, and went back with it.
-
-The figures in the stories of the tests are those of the code that ordered by revisions, with the fleet below.
+Revisions go back and are assigned again, and leases and the system's recent writes are lost. Ordering by revision alone
+would ignore changes made after the restore as outdated, and fencing tokens would decrease.
 """
 
 from __future__ import annotations
@@ -28,14 +24,14 @@
 
     from beamhatch.platform.standin.store import StoreBackup
 
-AWAY = 1.5
-"""Seconds for which the store is silent before it is back."""
+OUTAGE_S = 1.5
+"""Duration for which the store does not respond before it is restored."""
 
-KNOWN_TIME = 3.0
-"""Seconds behind a change at the store that is back in which all VMs know it."""
+PROPAGATION_TIME_S = 3.0
+"""Time for all VMs to learn of a change at the restored store."""
 
-CHANGES = 300
-"""Changes that the store loses."""
+LOST_CHANGES = 300
+"""Number of changes lost by the restore."""
 
 
 def make_fleet() -> Platform:
@@ -54,23 +50,23 @@
     return platform
 
 
-def lose_changes(platform: Platform) -> int:
-    """Have much changed, then have the store restored from a backup of before, and all but the system write again.
+def restore_and_write_again(platform: Platform) -> int:
+    """Lose many changes by a restore; upstreams and operators then write theirs again.
 
-    Return the highest token of any leader before.
+    Return the highest fencing token of a leader before the restore.
     """
-    copy = platform.store.make_backup()
-    for number in range(CHANGES):
+    backup = platform.store.make_backup()
+    for number in range(LOST_CHANGES):
         platform.store.put(f"status/{number % 7}", b"")
     platform.list_again("plain-a0")
     platform.configure(2)
-    platform.store.remove("beamhatch/leader")  # whoever led is to claim anew
+    platform.store.remove("beamhatch/leader")  # forces a new claim
     platform.network.run(8.0)
-    token = max(list_tokens(platform))
+    token = max(list_leader_tokens(platform))
     platform.store.fault = StoreFault.UNRESPONSIVE
-    platform.network.run(AWAY)
+    platform.network.run(OUTAGE_S)
     platform.store.fault = StoreFault.NONE
-    platform.store.restore(copy)
+    platform.store.restore(backup)
     platform.network.run(0.5)
     platform.configure(3)
     for name in platform.upstreams:
@@ -80,14 +76,14 @@
     return token
 
 
-def list_tokens(platform: Platform) -> list[int]:
-    """Return the tokens of all VMs that hold the lease."""
-    tenures = [vm.leadership.tenure for vm in platform.vms.values() if vm.leadership is not None]
-    return [tenure.token for tenure in tenures if tenure.holds(platform.clock.now())]
+def list_leader_tokens(platform: Platform) -> list[int]:
+    """Return the fencing tokens of all VMs that hold the leader lease."""
+    leases = [vm.leadership.tenure for vm in platform.vms.values() if vm.leadership is not None]
+    return [lease.token for lease in leases if lease.holds(platform.clock.now())]
 
 
 def ask_all(platform: Platform, seconds: float) -> list[int]:
-    """Have callers ask all VMs for some seconds; return how they ended."""
+    """Send ten requests per second to each VM; return their statuses."""
     callers = []
     for number in range(round(10 * seconds)):
         for vm in platform.vms:
@@ -97,120 +93,106 @@
     return [caller.status for caller in callers]
 
 
-def test_configurations_and_upstreams_of_before_are_used_behind_it() -> None:
+def test_configurations_and_upstreams_written_after_a_restore_are_used() -> None:
     platform = make_fleet()
-    lose_changes(platform)
+    restore_and_write_again(platform)
     assert {vm.core.version for vm in platform.vms.values()} == {3}
     assert set(ask_all(platform, 1.0)) == {200}
 
 
-def test_an_upstream_that_says_that_it_leaves_behind_it_gets_nothing_new() -> None:
-    """An upstream drains after a restore, and callers' requests went on to it: 18 in 2 s.
-
-    Both VMs knew its entry by revision 311. The restore took the store back to 10; the draining entry was written at
-    21, and ``Listing.take`` drops what is not above the revision that it knows. So it stood at 311, not draining, 3 s
-    later. The VMs' lines had "regained ... revision=10" behind "listed ... revision=311", and no line "draining".
-    """
+def test_an_upstream_that_drains_after_a_restore_gets_no_new_requests() -> None:
+    """A draining entry whose revision is lower than the known one must not be ignored as outdated."""
     platform = make_fleet()
-    lose_changes(platform)
+    restore_and_write_again(platform)
     upstream = platform.upstreams["plain-a0"]
     platform.drain("plain-a0")
-    platform.network.run(KNOWN_TIME)
+    platform.network.run(PROPAGATION_TIME_S)
     arrived = len(upstream.request_times)
     ask_all(platform, 2.0)
     assert len(upstream.request_times) == arrived
 
 
-def test_a_hall_that_is_emptied_behind_it_gets_nothing_new() -> None:
-    """Operators empty a hall after a restore, and its upstreams went on to get requests: 20 in 2 s.
-
-    Both VMs knew all evacuations up to revision 312 (``Evacuations.as_of``). The hall's key was written at 21, and news
-    up to that revision are dropped as known. Both listed no emptied hall 3 s later, and no line "emptied" was written.
-    """
+def test_a_hall_evacuated_after_a_restore_gets_no_new_requests() -> None:
+    """An evacuation whose revision is lower than the known one must not be ignored as outdated."""
     platform = make_fleet()
-    lose_changes(platform)
+    restore_and_write_again(platform)
     platform.empty("hall-a")
-    platform.network.run(KNOWN_TIME)
+    platform.network.run(PROPAGATION_TIME_S)
     upstreams = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == "hall-a"]
     arrived = sum(len(one.request_times) for one in upstreams)
     ask_all(platform, 2.0)
     assert sum(len(one.request_times) for one in upstreams) == arrived
 
 
-def test_who_leads_behind_it_bears_a_higher_token() -> None:
-    """The leader after a restore gave orders with a lower fencing token than the one before: 20 after 314.
-
-    The token is the revision of the claim. The lines were "claimed token=314" at the first VM, "lost token=314" once
-    its lease was gone, and "claimed token=20" at the second. An engine that checks tokens refuses all its orders, and
-    one that does not can't tell which of two holders is the later one.
-    """
+def test_the_leader_after_a_restore_has_a_higher_token() -> None:
+    """Engines that check fencing tokens would reject all orders of a leader with a lower one."""
     platform = make_fleet()
-    before = lose_changes(platform)
+    before = restore_and_write_again(platform)
     platform.network.run(10.0)
-    (token,) = list_tokens(platform)
+    (token,) = list_leader_tokens(platform)
     assert token > before
 
 
-def come_back_at_once(platform: Platform, copy: StoreBackup) -> None:
-    """Have the store be away for a moment and restored from a backup, with nothing written again yet."""
+def come_back_at_once(platform: Platform, backup: StoreBackup) -> None:
+    """Restore the store from a backup after an outage, with nothing written again yet."""
     platform.store.fault = StoreFault.UNRESPONSIVE
-    platform.network.run(AWAY)
+    platform.network.run(OUTAGE_S)
     platform.store.fault = StoreFault.NONE
-    platform.store.restore(copy)
+    platform.store.restore(backup)
     platform.network.run(1.0)
 
 
 def is_used(platform: Platform, name: str) -> bool:
-    """Tell whether all VMs may send requests to a replica."""
+    """Return whether all VMs may send requests to a replica."""
     usable = [vm.core.list_usable(ServiceName(PLAIN)) for vm in platform.vms.values()]
     return all(name in [one.id for one in found] for found in usable)
 
 
-def test_an_upstream_that_the_copy_lacks_is_used_until_it_has_written_again() -> None:
+def test_an_upstream_missing_from_the_backup_is_used_until_it_registers_again() -> None:
     platform = make_fleet()
-    copy = platform.store.make_backup()
+    backup = platform.store.make_backup()
     platform.add_plain("plain-new", "hall-a")
     platform.network.run(2.0)
-    come_back_at_once(platform, copy)
+    come_back_at_once(platform, backup)
     assert is_used(platform, "plain-new")
     platform.list_again("plain-new")
     platform.network.run(8.0)
     assert is_used(platform, "plain-new")
 
 
-def test_one_that_does_not_write_again_is_gone_in_the_end() -> None:
+def test_an_upstream_that_does_not_register_again_is_removed() -> None:
     platform = make_fleet()
-    copy = platform.store.make_backup()
+    backup = platform.store.make_backup()
     platform.add_plain("plain-new", "hall-a")
     platform.network.run(2.0)
-    come_back_at_once(platform, copy)
+    come_back_at_once(platform, backup)
     assert is_used(platform, "plain-new")
     platform.network.run(8.0)
     assert not is_used(platform, "plain-new")
 
 
-def test_one_that_is_gone_since_the_copy_gets_nothing_for_standing_there() -> None:
+def test_an_upstream_removed_since_the_backup_gets_no_requests() -> None:
     platform = make_fleet()
-    copy = platform.store.make_backup()
+    backup = platform.store.make_backup()
     platform.store.remove("servers/plain-a0")
     platform.network.run(4.0)
-    come_back_at_once(platform, copy)
+    come_back_at_once(platform, backup)
     arrived = len(platform.upstreams["plain-a0"].request_times)
     ask_all(platform, 1.0)
     assert len(platform.upstreams["plain-a0"].request_times) == arrived
     assert not is_used(platform, "plain-a0")
-    platform.upstreams["plain-a0"].born += 1  # it has started again, and says so
+    platform.upstreams["plain-a0"].born += 1  # a new incarnation
     platform.list_again("plain-a0")
     platform.network.run(1.0)
     assert is_used(platform, "plain-a0")
 
 
-def test_a_hall_that_the_copy_has_as_used_stays_emptied_until_the_operators_have_written_again() -> None:
+def test_an_evacuation_missing_from_the_backup_lasts_until_operators_write_it_again() -> None:
     platform = make_fleet()
-    copy = platform.store.make_backup()
+    backup = platform.store.make_backup()
     platform.empty("hall-a")
     platform.network.run(4.0)
-    come_back_at_once(platform, copy)
+    come_back_at_once(platform, backup)
     upstreams = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == "hall-a"]
     arrived = sum(len(one.request_times) for one in upstreams)
     ask_all(platform, 1.0)
@@ -224,26 +206,26 @@
     assert sum(len(one.request_times) for one in upstreams) > arrived
 
 
-def test_two_returns_in_a_row_are_told_apart() -> None:
+def test_two_restores_in_a_row_are_distinguished() -> None:
     platform = make_fleet()
     for _ in range(2):
-        lose_changes(platform)
+        restore_and_write_again(platform)
     platform.drain("plain-a0")
-    platform.network.run(KNOWN_TIME)
+    platform.network.run(PROPAGATION_TIME_S)
     arrived = len(platform.upstreams["plain-a0"].request_times)
     ask_all(platform, 1.0)
     assert len(platform.upstreams["plain-a0"].request_times) == arrived
 
 
-def test_a_return_is_told_once_by_who_asks_the_store() -> None:
+def test_a_restore_is_logged_at_most_once_per_vm() -> None:
     platform = make_fleet()
-    lose_changes(platform)
-    told = [line for journal in platform.journals.values() for line in journal.lines if "restored" in line["event"]]
-    assert {(line["epoch"], line["before"]) for line in told} == {(2, 1)}
-    assert len(told) <= len(platform.vms)
+    restore_and_write_again(platform)
+    restores = [line for journal in platform.journals.values() for line in journal.lines if "restored" in line["event"]]
+    assert {(line["epoch"], line["before"]) for line in restores} == {(2, 1)}
+    assert len(restores) <= len(platform.vms)
 
 
-def test_a_claim_from_before_is_no_claim_though_another_one_has_its_revision() -> None:
+def test_a_claim_from_before_a_restore_is_invalid_even_if_another_has_its_revision() -> None:
     platform = Platform()
     documents = PlatformDocuments(MemoryJournal(platform.clock))
     store = PlatformStore(HttpClient(platform.clock), platform.clock, STORE, documents)
@@ -254,23 +236,23 @@
         platform.network.run(0.1)
         return found[-1]
 
-    copy = platform.store.make_backup()
+    backup = platform.store.make_backup()
     platform.store.put("status/x", b"")
     seen = run(store.read_leadership())
     assert isinstance(seen, LeadershipNews)
     claim = run(store.claim_leadership("one", 3.0, seen))
     assert isinstance(claim, Claimed)
-    platform.store.restore(copy)
+    platform.store.restore(backup)
     while platform.store.revision < get_revision(claim.revision) - 1:
         platform.store.put("status/x", b"")
     platform.store.put("beamhatch/leader", b"another")
     assert platform.store.get_newest_revision("beamhatch/leader") == get_revision(claim.revision)
-    assert isinstance(run(store.record_order(claim, "an order")), StoreLost)  # on the connection of before
+    assert isinstance(run(store.record_order(claim, "an order")), StoreLost)  # the restore aborted the connection
     assert run(store.record_order(claim, "an order")) is False
 
 
-def test_a_watch_that_is_turned_away_is_lost_and_no_sign_of_a_return() -> None:
-    """What stands before the store may tell no epoch: with that taken for another one, all was read again at once."""
+def test_a_rejected_watch_is_an_error_and_not_a_restore() -> None:
+    """A proxy's response without an epoch must not cause a new read of all lists."""
     platform = Platform()
     documents = PlatformDocuments(MemoryJournal(platform.clock))
     store = PlatformStore(HttpClient(platform.clock), platform.clock, OTHER_DOOR, documents)
