--- a/tests/platform/test_restore.py
+++ b/tests/platform/test_restore.py
@@ -16,7 +16,7 @@
 from beamhatch.relay.model import ServiceName
 from tests.platform.test_deadly import CONTACT_TIME, replace_vm, send_again
 from tests.platform.test_deadly import make_fleet as make_deadly_fleet
-from tests.platform.test_store_copy import ask_all, come_back_at_once, is_used, make_fleet
+from tests.platform.test_store_copy import is_used, make_fleet, restore_backup, send_to_all_vms
 from tests.support.platform import PLAIN, Platform
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
     assert callable(change)
     change()
     platform.network.run(4.0)
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     platform.network.run(start)
     platform.add_vm(name, ["vm0:8002"], "hall-c")
     platform.network.run(READ_TIME)
@@ -71,7 +71,7 @@
     restore_and_start(platform, lambda: platform.empty("hall-a"), start)
     arrived = count_arrived(platform, "hall-a")
     for _ in range(3):
-        ask_all(platform, 0.5)
+        send_to_all_vms(platform, 0.5)
         platform.empty("hall-a")
     assert count_arrived(platform, "hall-a") == arrived
 
@@ -107,7 +107,7 @@
     backup = platform.store.make_backup()
     send_again(platform, DEADLY, times=6, gap=1.0)
     assert platform.store.get_newest_revision(QUARANTINES)
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     return platform
 
 
@@ -155,7 +155,7 @@
     platform.network.run(2.0)
     assert not platform.store.get_newest_revision(key)
     assert key in backup.items
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     platform.network.run(KEEP_TIME)
     assert not platform.store.get_newest_revision(key)
     replace_vm(platform, "vm2")
@@ -274,7 +274,7 @@
     platform.network.run(3.0)
     drained = platform.upstreams["plain-hall-a-0"]
     before = len(drained.request_times), count_arrived(platform, "hall-b")
-    statuses = ask_all(platform, 2.0)
+    statuses = send_to_all_vms(platform, 2.0)
     assert (len(drained.request_times), count_arrived(platform, "hall-b")) == before
     assert {vm.core.version for vm in platform.vms.values()} == {9}
     assert statuses.count(200) >= 0.95 * len(statuses)
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -82,7 +82,7 @@
     return [lease.token for lease in leases if lease.holds(platform.clock.now())]
 
 
-def ask_all(platform: Platform, seconds: float) -> list[int]:
+def send_to_all_vms(platform: Platform, seconds: float) -> list[int]:
     """Send ten requests per second to each VM; return their statuses."""
     callers = []
     for number in range(round(10 * seconds)):
@@ -97,7 +97,7 @@
     platform = make_fleet()
     restore_and_write_again(platform)
     assert {vm.core.version for vm in platform.vms.values()} == {3}
-    assert set(ask_all(platform, 1.0)) == {200}
+    assert set(send_to_all_vms(platform, 1.0)) == {200}
 
 
 def test_an_upstream_that_drains_after_a_restore_gets_no_new_requests() -> None:
@@ -108,7 +108,7 @@
     platform.drain("plain-a0")
     platform.network.run(PROPAGATION_TIME_S)
     arrived = len(upstream.request_times)
-    ask_all(platform, 2.0)
+    send_to_all_vms(platform, 2.0)
     assert len(upstream.request_times) == arrived
 
 
@@ -120,7 +120,7 @@
     platform.network.run(PROPAGATION_TIME_S)
     upstreams = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == "hall-a"]
     arrived = sum(len(one.request_times) for one in upstreams)
-    ask_all(platform, 2.0)
+    send_to_all_vms(platform, 2.0)
     assert sum(len(one.request_times) for one in upstreams) == arrived
 
 
@@ -133,7 +133,7 @@
     assert token > before
 
 
-def come_back_at_once(platform: Platform, backup: StoreBackup) -> None:
+def restore_backup(platform: Platform, backup: StoreBackup) -> None:
     """Restore the store from a backup after an outage, with nothing written again yet."""
     platform.store.fault = StoreFault.UNRESPONSIVE
     platform.network.run(OUTAGE_S)
@@ -153,7 +153,7 @@
     backup = platform.store.make_backup()
     platform.add_plain("plain-new", "hall-a")
     platform.network.run(2.0)
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     assert is_used(platform, "plain-new")
     platform.list_again("plain-new")
     platform.network.run(8.0)
@@ -165,7 +165,7 @@
     backup = platform.store.make_backup()
     platform.add_plain("plain-new", "hall-a")
     platform.network.run(2.0)
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     assert is_used(platform, "plain-new")
     platform.network.run(8.0)
     assert not is_used(platform, "plain-new")
@@ -176,9 +176,9 @@
     backup = platform.store.make_backup()
     platform.store.remove("servers/plain-a0")
     platform.network.run(4.0)
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     arrived = len(platform.upstreams["plain-a0"].request_times)
-    ask_all(platform, 1.0)
+    send_to_all_vms(platform, 1.0)
     assert len(platform.upstreams["plain-a0"].request_times) == arrived
     assert not is_used(platform, "plain-a0")
     platform.upstreams["plain-a0"].born += 1  # a new incarnation
@@ -192,17 +192,17 @@
     backup = platform.store.make_backup()
     platform.empty("hall-a")
     platform.network.run(4.0)
-    come_back_at_once(platform, backup)
+    restore_backup(platform, backup)
     upstreams = [one for name, one in platform.upstreams.items() if platform.find_hall(name) == "hall-a"]
     arrived = sum(len(one.request_times) for one in upstreams)
-    ask_all(platform, 1.0)
+    send_to_all_vms(platform, 1.0)
     platform.empty("hall-a")
     platform.network.run(8.0)
-    ask_all(platform, 1.0)
+    send_to_all_vms(platform, 1.0)
     assert sum(len(one.request_times) for one in upstreams) == arrived
     platform.take_back("hall-a")
     platform.network.run(8.0)
-    ask_all(platform, 1.0)
+    send_to_all_vms(platform, 1.0)
     assert sum(len(one.request_times) for one in upstreams) > arrived
 
 
@@ -213,7 +213,7 @@
     platform.drain("plain-a0")
     platform.network.run(PROPAGATION_TIME_S)
     arrived = len(platform.upstreams["plain-a0"].request_times)
-    ask_all(platform, 1.0)
+    send_to_all_vms(platform, 1.0)
     assert len(platform.upstreams["plain-a0"].request_times) == arrived
 
 
