--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -20,7 +20,7 @@
 PROMPT_PREFIX_HEADER = "prompt-prefix"
 TOKEN_COUNT_HEADER = "token-count"
 LENGTH_HINT_HEADER = "length-hint"
-"""Holds the caller's estimate of the number of output tokens."""
+"""Header with the caller's estimate of the number of output tokens."""
 
 KEY_HEADER = "authorization"
 KEY_SCHEME = "bearer"
--- a/src/beamhatch/platform/standin/base.py
+++ b/src/beamhatch/platform/standin/base.py
@@ -26,12 +26,12 @@
         self._port: Any = None
 
     def start(self) -> None:
-        """Start to listen; port 0 selects a free port."""
+        """Start listening; port 0 selects a free port."""
         self._port = self.clock.reactor.listenTCP(self.address.port, self._server, interface=self.address.host)
         self.address = Address(self.address.host, self._port.getHost().port)
 
     def stop(self) -> None:
-        """Stop to listen and abort all connections, as in a crash."""
+        """Stop listening and abort all connections, as in a crash."""
         if self._port is not None:
             self._port.stopListening()
             self._port = None
--- a/src/beamhatch/platform/standin/upstream.py
+++ b/src/beamhatch/platform/standin/upstream.py
@@ -35,7 +35,7 @@
     UNSIGNED = "unsigned"
     """Respond with 200 without ``Response-Signature``."""
     MISMATCHED = "foreign"
-    """Send the response to another request before the first response."""
+    """Send a response to another request once, before the actual response."""
     SKIP = "skip"
     """Omit an event of each stream."""
 
@@ -132,7 +132,7 @@
     """A replica of a plain service."""
 
     service_time_s = 0.05
-    """Duration of one request."""
+    """Time to process one request."""
     crash_delay_s = 0.1
     """Time from the start of a crash-inducing request to the crash."""
     restart_time_s = 2.5
@@ -186,7 +186,7 @@
         return len(self.call_times)
 
     def make_state_headers(self, status: int = 200) -> list[tuple[str, str]]:
-        """Return the headers that announce a departure, limit or back-off; record a back-off."""
+        """Return the headers that announce a departure, limit or back-off, and record the time of a back-off."""
         headers = [("Server-Leaving", "1")] if self.leaving else []
         if self.limit:
             headers.append(("Server-Limit", self.limit))
--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -239,7 +239,7 @@
         return isinstance(events, HistoryGone) or bool(events.events)
 
     async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
-        """Claim the leadership, provided that nobody holds it and the last order is the one in ``seen``."""
+        """Claim the leadership, provided that nobody holds it and the last order and epoch are those in ``seen``."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
