--- a/src/beamhatch/platform/documents.py
+++ b/src/beamhatch/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents: the operators' configuration and the entries of upstreams."""
+"""Decoding of the platform's documents: the operators' configuration and the entries of upstreams."""
 
 from __future__ import annotations
 
@@ -35,26 +35,26 @@
     from beamhatch.observe.journal import Journal
 
 
-MOST_NAME = 200
-"""Characters of a name in an entry at the most: the limit that the store's pages set for keys."""
+MAX_NAME_LENGTH = 200
+"""In characters: the store's limit for keys."""
 
-MOST_SLOTS = 65_535
-"""Requests at once: one caller has no more connections to an address, by the number of its ports. Engines have 128."""
+MAX_SLOTS = 65_535
+"""Concurrent requests: one client cannot open more connections to an address than it has TCP ports."""
 
-LARGEST_WHOLE = 2**53 - 1
-"""The largest number that all who read JSON read alike (RFC 8259, section 6). As milliseconds it is 285,000 years."""
+MAX_SAFE_INTEGER = 2**53 - 1
+"""The largest integer that all JSON implementations represent exactly (RFC 8259, section 6)."""
 
-LONGEST_HOST = 253
-"""Characters of a host's name at the most (RFC 1035, section 2.3.4, written out)."""
+MAX_HOST_NAME_LENGTH = 253
+"""In characters, without the trailing dot (RFC 1035, section 2.3.4)."""
 
 _HOST_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?(\.[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?)*")
 """Labels of letters, digits and inner hyphens (RFC 1123, section 2.1)."""
 
-LONGEST_COLD_MS = 86_400_000
-"""Milliseconds: a day. Upstreams of the measured deployments are cold for 25 s at the most."""
+MAX_COLD_MS = 86_400_000
+"""One day."""
 
 
-class _Split(msgspec.Struct):
+class _TrafficSplit(msgspec.Struct):
     service: str
     weight: float
 
@@ -67,7 +67,7 @@
     timeout_ms: float
     target_latency_ms: float
     service: str = ""
-    traffic_split: list[_Split] = []
+    traffic_split: list[_TrafficSplit] = []
     max_attempts: int = 1
     resumable: bool = False
     target_gap_ms: float = 300
@@ -83,7 +83,7 @@
     hold_ms: float = 0
     reconfig_s: float = 6.0
     stride: int = 1
-    """Tokens of one event."""
+    """Tokens per event."""
     token_kv_bytes: float = 0
     link_mbps: float = 0
 
@@ -93,7 +93,7 @@
     engine: _Engine | None = None
     cold_start_s: float = 0
     cold_per_s: float = 0
-    """0 where a replica bears as much when it is cold."""
+    """Requests per second that a cold replica can serve; 0 if it is not limited."""
 
 
 class _Limits(msgspec.Struct):
@@ -110,11 +110,11 @@
     api_keys: list[str] = []
     priority: int | None = None
     unit: str = ""
-    """What ``rate_per_s`` and ``burst`` count: requests, or tokens where the name begins so."""
+    """Unit of ``rate_per_s`` and ``burst``: tokens if it starts with ``TOKEN_UNIT_PREFIX``, otherwise requests."""
     plain_tokens: int = 1
-    """Tokens that a request counts which does not tell its own."""
+    """Tokens charged for a request without token counts."""
     rate_per_s: float = 0
-    """0 where there is no limit."""
+    """0 for no limit."""
     burst: float = 0
     allowed_regions: list[str] | None = None
 
@@ -127,169 +127,173 @@
     tenants: list[_Tenant] = []
 
 
-class _State(Enum):
+class _UpstreamState(Enum):
     READY = "ready"
     DRAINING = "draining"
 
 
-class _Server(msgspec.Struct):
-    """An upstream's entry. What lacks any of these, or has them otherwise, was written by somebody else."""
+class _UpstreamEntry(msgspec.Struct):
+    """An upstream's entry in the store. The constraints reject values that are not upstream entries."""
 
-    service: Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+    service: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
     address: str
-    zone: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
-    version: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
-    capacity: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
-    state: _State
-    cold_remaining_ms: Annotated[float, msgspec.Meta(le=LONGEST_COLD_MS)]
-    """Below 0 where it has been warm for some time."""
-    sequence: Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)]
-    """Counts the upstream's own words; it starts anew with each life, so nothing is ordered by it."""
-    born: Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)] = 0
+    zone: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
+    version: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
+    capacity: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
+    state: _UpstreamState
+    cold_remaining_ms: Annotated[float, msgspec.Meta(le=MAX_COLD_MS)]
+    """Negative once the upstream is warm."""
+    sequence: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
+    """The upstream's own update counter. It restarts with each incarnation, so it is not used for ordering."""
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)] = 0
     phase: str = ""
 
 
 BYTES_PER_MBIT = 125_000
-"""Bytes a second of 1 Mbit/s, by definition; link rates are written in Mbit/s."""
+"""Bytes per second in 1 Mbit/s."""
 
-TOKEN_UNITS = "token"
-"""How the units begin that count tokens; all others count requests."""
+TOKEN_UNIT_PREFIX = "token"
+"""Units with this prefix count tokens; all others count requests."""
 
-_read_configuration = msgspec.json.Decoder(_Configuration).decode
-_read_server = msgspec.json.Decoder(_Server).decode
-_PROBLEMS = (msgspec.DecodeError, msgspec.ValidationError, ValueError, RecursionError)
+_decode_configuration = msgspec.json.Decoder(_Configuration).decode
+_decode_upstream_entry = msgspec.json.Decoder(_UpstreamEntry).decode
+_DECODING_ERRORS = (msgspec.DecodeError, msgspec.ValidationError, ValueError, RecursionError)
 
 
 class PlatformDocuments(Documents):
-    """Reads the documents as the platform's pages have them; writes a line on those that can't be read."""
+    """Decodes the platform's documents and logs those that are invalid."""
 
     def __init__(self, journal: Journal) -> None:
         self.journal = journal
 
     def read_configuration(self, raw: bytes) -> Table | None:
-        """Return the operators' configuration, or None where it can't be read."""
+        """Return the operators' configuration, or None if it is invalid."""
         try:
-            read = _read_configuration(raw)
-            routes = [_make_route(route) for route in read.routes]
-        except _PROBLEMS as problem:
+            configuration = _decode_configuration(raw)
+            routes = [_make_route(route) for route in configuration.routes]
+        except _DECODING_ERRORS as problem:
             self.journal.write("CONFIG", "unreadable", bytes=len(raw), detail=str(problem))
             return None
-        unbound = [route.name for route in read.routes if route.allowed_regions == []]
-        unbound += [tenant.name for tenant in read.tenants if tenant.allowed_regions == []]
+        unbound = [route.name for route in configuration.routes if route.allowed_regions == []]
+        unbound += [tenant.name for tenant in configuration.tenants if tenant.allowed_regions == []]
         if unbound:
-            self.journal.write("CONFIG", "empty list of regions taken as none", names=unbound, version=read.version)
-        services = [_make_service(service) for service in read.services]
-        workspaces = tuple(_make_workspace(tenant) for tenant in read.tenants)
-        return make_table(read.version, routes, services, _make_limits(read.limits), workspaces)
+            self.journal.write(
+                "CONFIG", "empty list of regions taken as none", names=unbound, version=configuration.version
+            )
+        services = [_make_service(service) for service in configuration.services]
+        workspaces = tuple(_make_workspace(tenant) for tenant in configuration.tenants)
+        return make_table(configuration.version, routes, services, _make_limits(configuration.limits), workspaces)
 
     def read_entry(self, upstream: UpstreamId, revision: int, raw: bytes | None) -> Entry:
-        """Return an upstream's entry; one that is gone, or can't be read, has no upstream.
+        """Return an upstream's entry, without an upstream if the entry was removed or is invalid.
 
-        Others may write there too: what is no upstream's entry names none to use, and takes nothing from the rest.
+        Other programs may write under the same prefix: an invalid entry must not affect the other entries.
         """
         if raw is None:
             return Entry(upstream, revision, None)
         try:
-            found = _read_upstream(upstream, raw)
-        except _PROBLEMS as problem:
+            found = _make_upstream(upstream, raw)
+        except _DECODING_ERRORS as problem:
             self.journal.write("LISTING", "unreadable", upstream=upstream, revision=revision, detail=str(problem))
             return Entry(upstream, revision, None, readable=False)
         return Entry(upstream, revision, found)
 
 
-def _read_upstream(upstream: UpstreamId, raw: bytes) -> Upstream:
-    read = _read_server(raw)
+def _make_upstream(upstream: UpstreamId, raw: bytes) -> Upstream:
+    entry = _decode_upstream_entry(raw)
     return Upstream(
         id=upstream,
-        service=ServiceName(read.service),
-        address=_read_address(read.address),
-        hall=read.zone,
-        draining=read.state is _State.DRAINING,
-        phase=Phase(read.phase) if read.phase else Phase.PLAIN,
-        slots=read.capacity,
-        cold_left=max(0.0, read.cold_remaining_ms / 1000),
-        born=read.born,
+        service=ServiceName(entry.service),
+        address=_parse_address(entry.address),
+        hall=entry.zone,
+        draining=entry.state is _UpstreamState.DRAINING,
+        phase=Phase(entry.phase) if entry.phase else Phase.PLAIN,
+        slots=entry.capacity,
+        cold_left=max(0.0, entry.cold_remaining_ms / 1000),
+        born=entry.born,
     )
 
 
-def _read_address(text: str) -> Address:
-    """Return an address.
+def _parse_address(text: str) -> Address:
+    """Return the address in ``host:port`` form.
 
-    :raises ValueError: where it has no host or no port
+    :raises ValueError: if the host or the port is missing or invalid
     """
     host, _, port = text.rpartition(":")
     if not _is_host(host) or not port.isascii() or not port.isdigit() or not 0 < int(port[:6]) < 65536:
-        raise ValueError(f"{text[:100]!r} is no address")
+        raise ValueError(f"{text[:100]!r} is not a valid host:port address")
     return Address(host, int(port))
 
 
 def _is_host(text: str) -> bool:
-    """Tell whether a text is an IP address, or may be a host's name; one that ends in a number is no name."""
+    """Return whether the text is an IP address or a valid host name, whose last label must not be a number."""
     try:
         ip_address(text)
     except ValueError:
         last = text.rpartition(".")[2]
-        return len(text) <= LONGEST_HOST and _HOST_NAME.fullmatch(text) is not None and not last.isdigit()
+        return len(text) <= MAX_HOST_NAME_LENGTH and _HOST_NAME.fullmatch(text) is not None and not last.isdigit()
     return True
 
 
-def _read_regions(names: list[str] | None) -> Regions:
-    """Return the regions that a document names; an empty list, as none at all, leaves all of them."""
+def _make_regions(names: list[str] | None) -> Regions:
+    """Return the allowed regions, or None for all regions if the list is empty or missing."""
     return frozenset(RegionName(name) for name in names) if names else None
 
 
-def _make_route(read: _Route) -> Route:
-    shares = tuple(Share(ServiceName(split.service), split.weight) for split in read.traffic_split if split.weight > 0)
+def _make_route(config: _Route) -> Route:
+    shares = tuple(
+        Share(ServiceName(split.service), split.weight) for split in config.traffic_split if split.weight > 0
+    )
     return Route(
-        name=read.name,
-        host=read.host.lower(),
-        prefix=read.path_prefix,
-        kind=RouteKind(read.route_type),
-        shares=shares or (Share(ServiceName(read.service), 1.0),),
-        timeout=read.timeout_ms / 1000,
-        target_latency=read.target_latency_ms / 1000,
-        max_attempts=read.max_attempts,
-        resumable=read.resumable,
-        target_gap=read.target_gap_ms / 1000,
-        caller_patience=max(2.0, 4 * read.target_latency_ms / 1000, 8 * read.target_gap_ms / 1000),
-        public=read.public,
-        regions=_read_regions(read.allowed_regions),
-        priority=read.priority,
+        name=config.name,
+        host=config.host.lower(),
+        prefix=config.path_prefix,
+        kind=RouteKind(config.route_type),
+        shares=shares or (Share(ServiceName(config.service), 1.0),),
+        timeout=config.timeout_ms / 1000,
+        target_latency=config.target_latency_ms / 1000,
+        max_attempts=config.max_attempts,
+        resumable=config.resumable,
+        target_gap=config.target_gap_ms / 1000,
+        caller_patience=max(2.0, 4 * config.target_latency_ms / 1000, 8 * config.target_gap_ms / 1000),
+        public=config.public,
+        regions=_make_regions(config.allowed_regions),
+        priority=config.priority,
     )
 
 
-def _make_workspace(read: _Tenant) -> Workspace:
+def _make_workspace(tenant: _Tenant) -> Workspace:
     quota = None
-    if read.rate_per_s > 0:
-        unit = QuotaUnit.TOKEN if read.unit.startswith(TOKEN_UNITS) else QuotaUnit.REQUEST
-        quota = Quota(unit, read.rate_per_s, read.burst, read.plain_tokens)
+    if tenant.rate_per_s > 0:
+        unit = QuotaUnit.TOKEN if tenant.unit.startswith(TOKEN_UNIT_PREFIX) else QuotaUnit.REQUEST
+        quota = Quota(unit, tenant.rate_per_s, tenant.burst, tenant.plain_tokens)
     return Workspace(
-        name=WorkspaceName(read.name),
-        keys=tuple(digest_key(key) for key in read.api_keys),
-        priority=read.priority,
+        name=WorkspaceName(tenant.name),
+        keys=tuple(digest_key(key) for key in tenant.api_keys),
+        priority=tenant.priority,
         quota=quota,
-        regions=_read_regions(read.allowed_regions),
+        regions=_make_regions(tenant.allowed_regions),
     )
 
 
-def _make_service(read: _Service) -> Service:
+def _make_service(config: _Service) -> Service:
     engine = None
-    if read.engine is not None:
+    if config.engine is not None:
         engine = Engine(
-            slots=read.engine.capacity,
-            kv_tokens=read.engine.kv_capacity,
-            handle_lifetime=read.engine.kv_ttl_s,
-            hold_lifetime=read.engine.hold_ms / 1000,
-            switch_time=read.engine.reconfig_s,
-            event_tokens=read.engine.stride,
-            kv_token_bytes=read.engine.token_kv_bytes,
-            link_rate=read.engine.link_mbps * BYTES_PER_MBIT,
+            slots=config.engine.capacity,
+            kv_tokens=config.engine.kv_capacity,
+            handle_lifetime=config.engine.kv_ttl_s,
+            hold_lifetime=config.engine.hold_ms / 1000,
+            switch_time=config.engine.reconfig_s,
+            event_tokens=config.engine.stride,
+            kv_token_bytes=config.engine.token_kv_bytes,
+            link_rate=config.engine.link_mbps * BYTES_PER_MBIT,
         )
-    cold = ColdTerms(read.cold_start_s, read.cold_per_s) if read.cold_per_s > 0 else None
-    return Service(ServiceName(read.name), engine, cold)
+    cold = ColdTerms(config.cold_start_s, config.cold_per_s) if config.cold_per_s > 0 else None
+    return Service(ServiceName(config.name), engine, cold)
 
 
-def _make_limits(read: _Limits) -> CallerLimits:
+def _make_limits(config: _Limits) -> CallerLimits:
     return CallerLimits(
-        read.max_header_bytes, read.max_body_bytes, read.header_timeout_ms / 1000, read.idle_timeout_ms / 1000
+        config.max_header_bytes, config.max_body_bytes, config.header_timeout_ms / 1000, config.idle_timeout_ms / 1000
     )
--- a/src/beamhatch/platform/epochs.py
+++ b/src/beamhatch/platform/epochs.py
@@ -1,9 +1,9 @@
-"""The order of what the store tells, across restores from a backup.
+"""Ordering of the store's changes across restores from a backup.
 
-A restored store gives revisions out again, so a revision alone does not order news. Each answer bears the store's
-epoch, which rises with each restore. A position is the epoch above the revision, in one whole number: what is written
-after a restore is newer than all before it, wherever positions are compared or passed between VMs, and fencing tokens
-rise. The positions of a store that tells no epoch are its revisions.
+A restored store assigns revisions again, so revisions alone do not order changes. Each response carries the store's
+epoch, which increases with each restore. A position is one integer with the epoch in the high bits and the revision in
+the low bits, so that everything written after a restore has a higher position and fencing tokens always increase.
+Without an epoch, a position equals the revision.
 """
 
 from __future__ import annotations
@@ -15,87 +15,84 @@
     from beamhatch.relay.api import Headers
 
 Epoch = NewType("Epoch", int)
-"""How often the store was restored, as it counts; 0 where it does not tell."""
+"""The store's restore counter; 0 if the store does not report one."""
 
-EPOCH_STEP = 1 << 32
-"""Revisions of one epoch at the most. With it, a position is exact in a number of 53 bits up to epoch 2,000,000."""
+REVISIONS_PER_EPOCH = 1 << 32
+"""Exclusive upper bound of revisions. Positions fit into 53 bits up to epoch 2,000,000."""
 
-FIRST_EPOCH = 1
-"""The epoch of a store that was never restored."""
+INITIAL_EPOCH = 1
+"""The epoch of a store that has never been restored."""
 
-SETTLE_TIME = 4.0
-"""Seconds after a restore in which a list may lack what is still in force.
+SETTLE_TIME_S = 4.0
+"""Period after a restore in which a list may lack keys that upstreams and operators have yet to write again."""
 
-Upstreams and operators write again what they wrote: an upstream each 1.2 s, and one whose lease lapsed within 2 s.
-"""
-
-HEADER = "store-era"
+EPOCH_HEADER = "store-era"
 
 
 def make_position(epoch: Epoch, revision: int) -> int:
-    """Return the position of a revision in the order of all that the store ever told."""
-    return epoch * EPOCH_STEP + revision
+    """Return the position of a revision written in an epoch."""
+    return epoch * REVISIONS_PER_EPOCH + revision
 
 
-def find_epoch(position: int) -> Epoch:
+def get_epoch(position: int) -> Epoch:
     """Return the epoch of a position."""
-    return Epoch(position // EPOCH_STEP)
+    return Epoch(position // REVISIONS_PER_EPOCH)
 
 
-def find_revision(position: int) -> int:
-    """Return the revision of a position, as the store knows it."""
-    return position % EPOCH_STEP
+def get_revision(position: int) -> int:
+    """Return the store's revision of a position."""
+    return position % REVISIONS_PER_EPOCH
 
 
 def read_epoch(headers: Headers) -> Epoch:
-    """Return the epoch that an answer tells, 0 where it tells none that can be read."""
+    """Return the epoch in a response's headers, or 0 if it is missing or invalid."""
     for name, value in headers:
-        if name.lower() == HEADER and value.isascii() and value.isdigit() and len(value) <= 6:
+        if name.lower() == EPOCH_HEADER and value.isascii() and value.isdigit() and len(value) <= 6:
             return Epoch(int(value))
     return Epoch(0)
 
 
 @dataclass(slots=True)
-class EpochWatch:
-    """The newest epoch that the store has told this VM, and when it rose."""
+class EpochTracker:
+    """The newest epoch received from the store, and when it increased."""
 
     epoch: Epoch | None = None
-    """None before the first answer."""
+    """None before the first response."""
     settled_at: float = float("-inf")
-    """From when on lists are complete again, in monotonic seconds."""
-    first_at: float = float("inf")
-    """When the store told its epoch first."""
+    """Monotonic time in seconds from which lists are complete again."""
+    first_response_at: float = float("inf")
+    """Monotonic time in seconds of the first response."""
 
     @property
     def was_restored(self) -> bool:
-        """Tell whether the store was ever restored, so that it may have lost what it lacks."""
-        return (self.epoch or 0) > FIRST_EPOCH or self.settled_at > float("-inf")
+        """Return whether the store was ever restored and may therefore have lost data."""
+        return (self.epoch or 0) > INITIAL_EPOCH or self.settled_at > float("-inf")
 
-    def take(self, epoch: Epoch, now: float) -> bool:
-        """Take in the epoch of an answer; return whether the store was restored since the last one."""
-        before = self.epoch
-        if before is not None and epoch <= before:
+    def record(self, epoch: Epoch, now: float) -> bool:
+        """Record the epoch of a response; return whether the store was restored since the previous one."""
+        previous = self.epoch
+        if previous is not None and epoch <= previous:
             return False
         self.epoch = epoch
-        if before is None:
-            self.first_at = now
+        if previous is None:
+            self.first_response_at = now
             return False
-        self.settled_at = now + SETTLE_TIME
+        self.settled_at = now + SETTLE_TIME_S
         return True
 
-    def note_known(self, epoch: Epoch, now: float) -> None:
-        """Take in the epoch of what peers told.
+    def record_peer_epoch(self, epoch: Epoch, now: float) -> None:
+        """Record the epoch of updates received from peers.
 
-        An older one means that the store was restored shortly before its first answer to this VM. To take a list as
-        complete would then end evacuations and drop upstreams that are about to be written again.
+        An older epoch means that the store was restored shortly before its first response to this VM. Treating a list
+        as complete would then end evacuations and drop upstreams that have yet to be written again.
         """
-        if self.epoch is not None and epoch < self.epoch and self.settled_at < self.first_at:
-            self.settled_at = now + SETTLE_TIME
+        if self.epoch is not None and epoch < self.epoch and self.settled_at < self.first_response_at:
+            self.settled_at = now + SETTLE_TIME_S
 
-    def may_be_restored(self, now: float) -> bool:
-        """Tell whether a restore shortly before the first answer can't be ruled out."""
-        return bool(self.epoch) and now < self.first_at + SETTLE_TIME
+    def may_have_been_restored(self, now: float) -> bool:
+        """Return whether the store may have been restored shortly before its first response."""
+        return bool(self.epoch) and now < self.first_response_at + SETTLE_TIME_S
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether what a list lacks is gone."""
+        """Return whether lists are complete, so that a missing key was removed."""
         return now >= self.settled_at
--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -1,4 +1,7 @@
-"""The platform's store: reads and watches of the operators' configuration and of the upstreams' entries."""
+"""HTTP client of the platform's store: configuration, upstreams' entries, leadership and quarantines.
+
+Revisions of the store are converted to positions, which also order changes across restores (see ``epochs``).
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 import msgspec
 
-from beamhatch.platform.epochs import EpochWatch, find_epoch, find_revision, make_position, read_epoch
+from beamhatch.platform.epochs import EpochTracker, get_epoch, get_revision, make_position, read_epoch
 from beamhatch.relay.api import (
     Claimed,
     DirectiveNews,
@@ -36,31 +39,29 @@
     from beamhatch.relay.upstreams.http_client import HttpClient
     from beamhatch.relay.upstreams.listing import Entry
 
-OPERATORS = "op/"
-CONFIGURATION = f"{OPERATORS}config"
-EVACUATIONS = f"{OPERATORS}evacuate/"
-"""A key of a hall is there as long as the hall is emptied; its value says nothing."""
+OPERATOR_PREFIX = "op/"
+CONFIGURATION_KEY = f"{OPERATOR_PREFIX}config"
+EVACUATION_PREFIX = f"{OPERATOR_PREFIX}evacuate/"
+"""Prefix of keys that mark halls as evacuated. Their values are ignored."""
 
-LONGEST_HALL_NAME = 100
-"""Characters: what is longer names no hall, and would stand in each beat to a peer."""
+MAX_HALL_NAME_LENGTH = 100
+"""In characters. Longer names are ignored, as each heartbeat to a peer would repeat them."""
 
-UPSTREAMS = "servers/"
-OWN = "beamhatch/"
-LEADER = f"{OWN}leader"
-LAST_ORDER = f"{OWN}order"
-QUARANTINE = f"{OWN}quarantine/"
-"""A key of a fingerprint is there as long as its quarantine is kept; its value says nothing."""
+UPSTREAM_PREFIX = "servers/"
+ROUTER_PREFIX = "beamhatch/"
+LEADER_KEY = f"{ROUTER_PREFIX}leader"
+LAST_ORDER_KEY = f"{ROUTER_PREFIX}order"
+QUARANTINE_PREFIX = f"{ROUTER_PREFIX}quarantine/"
+"""Prefix of keys that mark fingerprints as quarantined. Their values are ignored."""
 
 HEX_DIGITS = frozenset("0123456789abcdef")
 
-READ_TIMEOUT = 2.0
-"""Seconds for one call: 500 times what an answer takes when the store is well."""
-
-WATCH_MARGIN = 2.0
-"""Seconds beyond its wait after which a watch is taken as lost."""
+CALL_TIMEOUT_S = 2.0
+WATCH_MARGIN_S = 2.0
+"""Time that a watch may take to respond after its wait."""
 
 
-Read = TypeVar("Read", bound=msgspec.Struct)
+Decoded = TypeVar("Decoded", bound=msgspec.Struct)
 
 
 class _Item(msgspec.Struct):
@@ -72,291 +73,306 @@
 
     @property
     def raw(self) -> bytes | None:
-        """Return the value, or None where the key is gone."""
+        """Return the decoded value, or None if the key was removed."""
         return None if self.gone else msgspec.json.decode(b'"' + self.value.encode() + b'"', type=bytes)
 
 
-class _Range(msgspec.Struct):
+class _RangeResponse(msgspec.Struct):
     items: list[_Item]
     more: bool
     at: int
-    """Behind ``_ask``, this and the items' revisions are positions."""
+    """A revision as received; ``_decode_items`` replaces it and the items' revisions by positions."""
 
 
-class _Lease(msgspec.Struct):
+class _LeaseResponse(msgspec.Struct):
     lease: int
 
 
-class _Changed(msgspec.Struct):
+class _ChangeResponse(msgspec.Struct):
     revision: int
 
 
-class _Events(msgspec.Struct):
+class _EventsResponse(msgspec.Struct):
     events: list[_Item]
     at: int
 
 
-Listed = TypeVar("Listed", _Range, _Events)
+ItemsResponse = TypeVar("ItemsResponse", _RangeResponse, _EventsResponse)
 
 
 class PlatformStore(Store):
-    """Speaks to the store over HTTP."""
+    """HTTP client of the store."""
 
     def __init__(self, client: HttpClient, clock: Clock, address: Address, documents: PlatformDocuments) -> None:
         self._client = client
         self._clock = clock
         self._address = address
         self._documents = documents
-        self._epochs = EpochWatch()
+        self._epochs = EpochTracker()
         self._leadership_at = 0
-        """The position of the last look at who leads, 0 before the first."""
-        self._unsettled: set[str] = set()
-        """Prefixes whose lists were read before they were complete again."""
-        self._read: set[str] = set()
-        """Prefixes whose lists were read at all."""
+        """Position of the last read of the leadership, 0 before the first."""
+        self._unsettled_prefixes: set[str] = set()
+        """Prefixes whose lists were read too soon after a restore to be complete."""
+        self._read_prefixes: set[str] = set()
+        """Prefixes whose lists were read at least once."""
 
     async def read_directives(self, known: int) -> DirectiveNews | StoreLost:
-        """Return the configuration in force, and all halls that are emptied."""
-        items = await self._read_all(OPERATORS)
+        """Return the current configuration and all evacuated halls."""
+        items = await self._read_all(OPERATOR_PREFIX)
         if isinstance(items, StoreLost):
             return items
-        return replace(self._make_directives(items), settled=self._note_read(OPERATORS, known))
+        return replace(self._make_directives(items), settled=self._record_list_read(OPERATOR_PREFIX, known))
 
     async def watch_directives(self, after: int, wait: float) -> DirectiveNews | StoreLost | HistoryGone:
-        """Return what the operators changed behind a revision."""
-        events = await self._watch(OPERATORS, after, wait)
-        if not isinstance(events, _Events):
+        """Return the operators' changes after a position."""
+        events = await self._watch_prefix(OPERATOR_PREFIX, after, wait)
+        if not isinstance(events, _EventsResponse):
             return events
-        settled = OPERATORS not in self._unsettled and not self._epochs.may_be_restored(self._clock.now())
+        settled = OPERATOR_PREFIX not in self._unsettled_prefixes and not self._epochs.may_have_been_restored(
+            self._clock.now()
+        )
         return replace(self._make_directives(events), settled=settled)
 
-    def _make_directives(self, events: _Events) -> DirectiveNews:
-        documents = [item for item in events.events if item.tls_key == CONFIGURATION and not item.gone]
+    def _make_directives(self, events: _EventsResponse) -> DirectiveNews:
+        documents = [item for item in events.events if item.tls_key == CONFIGURATION_KEY and not item.gone]
         evacuations = [
-            Evacuation(item.tls_key.removeprefix(EVACUATIONS), item.revision, not item.gone)
+            Evacuation(item.tls_key.removeprefix(EVACUATION_PREFIX), item.revision, not item.gone)
             for item in events.events
-            if item.tls_key.startswith(EVACUATIONS) and 0 < len(item.tls_key) - len(EVACUATIONS) <= LONGEST_HALL_NAME
+            if item.tls_key.startswith(EVACUATION_PREFIX)
+            and 0 < len(item.tls_key) - len(EVACUATION_PREFIX) <= MAX_HALL_NAME_LENGTH
         ]
-        return DirectiveNews(self._read_document(documents[-1]) if documents else None, evacuations, events.at)
+        return DirectiveNews(self._make_document(documents[-1]) if documents else None, evacuations, events.at)
 
     async def read_listing(self, known: int) -> ListingNews | StoreLost:
-        """Return all upstreams."""
-        items = await self._read_all(UPSTREAMS)
+        """Return the entries of all upstreams."""
+        items = await self._read_all(UPSTREAM_PREFIX)
         if isinstance(items, StoreLost):
             return items
         entries = [self._make_entry(item) for item in items.events]
-        return ListingNews(entries, items.at, settled=self._note_read(UPSTREAMS, known))
+        return ListingNews(entries, items.at, settled=self._record_list_read(UPSTREAM_PREFIX, known))
+
+    def _record_list_read(self, prefix: str, known: int) -> bool:
+        """Record that a list was read; return whether it is complete, so that missing keys were removed.
 
-    def _note_read(self, prefix: str, known: int) -> bool:
-        """Note that a list was read; return whether what it lacks is gone, else it is read again later.
+        An incomplete list is read again later.
 
-        :param known: the position of the oldest news that this VM has from peers, 0 where there are none
+        :param known: position of the oldest update received from peers, 0 if there are none
         """
         now = self._clock.now()
         if known:
-            self._epochs.note_known(find_epoch(known), now)
+            self._epochs.record_peer_epoch(get_epoch(known), now)
         settled = self._epochs.is_settled(now)
         if settled:
-            self._unsettled.discard(prefix)
+            self._unsettled_prefixes.discard(prefix)
         else:
-            self._unsettled.add(prefix)
-        is_complete = known > 0 or prefix in self._read or not self._epochs.may_be_restored(now)
-        self._read.add(prefix)
+            self._unsettled_prefixes.add(prefix)
+        is_complete = known > 0 or prefix in self._read_prefixes or not self._epochs.may_have_been_restored(now)
+        self._read_prefixes.add(prefix)
         return settled and is_complete
 
     async def watch_listing(self, after: int, wait: float) -> ListingNews | StoreLost | HistoryGone:
-        """Return changes of upstreams behind a revision."""
-        events = await self._watch(UPSTREAMS, after, wait)
-        if not isinstance(events, _Events):
+        """Return changes of upstreams' entries after a position."""
+        events = await self._watch_prefix(UPSTREAM_PREFIX, after, wait)
+        if not isinstance(events, _EventsResponse):
             return events
         return ListingNews([self._make_entry(item) for item in events.events], events.at)
 
-    async def _read_all(self, prefix: str) -> _Events | StoreLost:
-        """Return all items with a prefix, as of the first page; a watch from there tells what changed meanwhile."""
+    async def _read_all(self, prefix: str) -> _EventsResponse | StoreLost:
+        """Return all items with a prefix, as of the first page; a watch from there returns later changes."""
         items: list[_Item] = []
         at = None
         query = {"path_prefix": prefix}
         while True:
-            page = self._place(await self._get("kv-range", query), _Range)
+            page = self._decode_items(await self._get("kv-range", query), _RangeResponse)
             if isinstance(page, StoreLost):
                 return page
             at = page.at if at is None else at
-            if find_epoch(page.at) != find_epoch(at):
-                return StoreLost("the store was restored between two pages")
+            if get_epoch(page.at) != get_epoch(at):
+                return StoreLost("the store was restored between two pages of a list")
             items += page.items
             if not page.more or not page.items:
-                return _Events(items, at)
+                return _EventsResponse(items, at)
             query["after"] = page.items[-1].tls_key
 
     async def keep_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreLost | None:
-        """Write the key of a fingerprint under a lease of its own, unless it is there."""
-        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _Lease)
+        """Write the key of a quarantined fingerprint with its own lease, unless it exists."""
+        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
-        key = f"{QUARANTINE}{fingerprint.hex()}"
+        key = f"{QUARANTINE_PREFIX}{fingerprint.hex()}"
         change = {
             "if_revision": [{"tls_key": key, "revision": 0}],
             "put": [{"tls_key": key, "value": "", "lease": lease.lease}],
             "remove": [],
         }
-        return _find_loss(await self._post("kv-txn", change))
+        return _get_write_failure(await self._post("kv-txn", change))
 
     async def end_quarantine(self, fingerprint: Fingerprint) -> StoreLost | None:
-        """Remove the key of a fingerprint."""
-        change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE}{fingerprint.hex()}"]}
-        return _find_loss(await self._post("kv-txn", change))
+        """Remove the key of a quarantined fingerprint."""
+        change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE_PREFIX}{fingerprint.hex()}"]}
+        return _get_write_failure(await self._post("kv-txn", change))
 
     async def read_leadership(self) -> LeadershipNews | StoreLost:
-        """Return who leads, what the last order was, and which requests are held."""
-        page = self._place(await self._get("kv-range", {"path_prefix": OWN}), _Range)
+        """Return whether there is a leader, the last order and the quarantined fingerprints."""
+        page = self._decode_items(await self._get("kv-range", {"path_prefix": ROUTER_PREFIX}), _RangeResponse)
         if isinstance(page, StoreLost):
             return page
         before, self._leadership_at = self._leadership_at, page.at
         items = {item.tls_key: item for item in page.items}
-        order = items.get(LAST_ORDER)
-        restored = 0 < find_epoch(before) < find_epoch(page.at) or not self._epochs.is_settled(self._clock.now())
+        order = items.get(LAST_ORDER_KEY)
+        restored = 0 < get_epoch(before) < get_epoch(page.at) or not self._epochs.is_settled(self._clock.now())
         return LeadershipNews(
-            taken=LEADER in items,
+            taken=LEADER_KEY in items,
             last_order=0 if order is None else order.revision,
             at=page.at,
             order="" if order is None else (order.raw or b"").decode(),
-            held=[found for found in map(_read_fingerprint, items) if found is not None],
+            held=[found for found in map(_parse_quarantine_key, items) if found is not None],
             restored=restored,
             order_may_be_lost=order is None and (restored or (not before and self._epochs.was_restored)),
         )
 
     async def watch_leadership(self, after: int, wait: float) -> bool | StoreLost:
-        """Return True as soon as something changed behind a revision."""
-        events = await self._watch(OWN, after, wait)
+        """Wait for a change after a position; return False if there was none within ``wait`` seconds."""
+        events = await self._watch_prefix(ROUTER_PREFIX, after, wait)
         if isinstance(events, StoreLost):
             return events
         return isinstance(events, HistoryGone) or bool(events.events)
 
     async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
-        """Claim the leadership on the condition that all is as it was seen."""
-        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _Lease)
+        """Claim the leadership, provided that nobody holds it and the last order and epoch are those in ``seen``."""
+        lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _LeaseResponse)
         if isinstance(lease, StoreLost):
             return lease
         value = base64.b64encode(holder.encode()).decode()
         change = {
             "if_revision": [
-                {"tls_key": LEADER, "revision": 0},
-                {"tls_key": LAST_ORDER, "revision": find_revision(seen.last_order)},
+                {"tls_key": LEADER_KEY, "revision": 0},
+                {"tls_key": LAST_ORDER_KEY, "revision": get_revision(seen.last_order)},
             ],
-            "put": [{"tls_key": LEADER, "value": value, "lease": lease.lease}],
+            "put": [{"tls_key": LEADER_KEY, "value": value, "lease": lease.lease}],
             "remove": [],
         }
-        answer = await self._post("kv-txn", change)
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        if answer.head.status == 412:
+        response = await self._post("kv-txn", change)
+        if isinstance(response, str):
+            return StoreLost(response)
+        if response.head.status == 412:
             return Taken()
-        changed = _decode(answer, _Changed)
+        changed = _decode(response, _ChangeResponse)
         if isinstance(changed, StoreLost):
             return changed
-        epoch = self._note_epoch(answer)
-        return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == find_epoch(seen.at) else Taken()
+        epoch = self._record_epoch(response)
+        return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == get_epoch(seen.at) else Taken()
 
     async def keep_leadership(self, claim: Claimed, timeout: float) -> bool | StoreLost:
-        """Renew the lease of a claim."""
-        answer = await self._post(f"kv-keep/{claim.lease}", {}, timeout)
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        if answer.head.status in (200, 404):
-            return answer.head.status == 200 and self._note_epoch(answer) == find_epoch(claim.revision)
-        return StoreLost(f"status {answer.head.status}")
+        """Renew the lease of a claim; return whether the claim is still valid."""
+        response = await self._post(f"kv-keep/{claim.lease}", {}, timeout)
+        if isinstance(response, str):
+            return StoreLost(response)
+        if response.head.status in (200, 404):
+            return response.head.status == 200 and self._record_epoch(response) == get_epoch(claim.revision)
+        return StoreLost(f"status {response.head.status}")
 
     async def record_order(self, claim: Claimed, order: str) -> bool | StoreLost:
-        """Write an order down on the condition that the claim stands."""
+        """Store an order, provided that the claim is still valid; return whether it was stored."""
         change = {
-            "if_revision": [{"tls_key": LEADER, "revision": find_revision(claim.revision)}],
-            "put": [{"tls_key": LAST_ORDER, "value": base64.b64encode(order.encode()).decode(), "lease": 0}],
+            "if_revision": [{"tls_key": LEADER_KEY, "revision": get_revision(claim.revision)}],
+            "put": [{"tls_key": LAST_ORDER_KEY, "value": base64.b64encode(order.encode()).decode(), "lease": 0}],
             "remove": [],
         }
-        answer = await self._post("kv-txn", change)
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        if answer.head.status in (200, 412):
-            # after a restore, the revision may be that of another VM's claim
-            return answer.head.status == 200 and self._note_epoch(answer) == find_epoch(claim.revision)
-        return StoreLost(f"status {answer.head.status}")
-
-    async def _watch(self, prefix: str, after: int, wait: float) -> _Events | StoreLost | HistoryGone:
-        """Wait for changes behind a position: none of an earlier epoch, and not beyond the time to read again."""
+        response = await self._post("kv-txn", change)
+        if isinstance(response, str):
+            return StoreLost(response)
+        if response.head.status in (200, 412):
+            # after a restore, another VM's claim may have the same revision
+            return response.head.status == 200 and self._record_epoch(response) == get_epoch(claim.revision)
+        return StoreLost(f"status {response.head.status}")
+
+    async def _watch_prefix(self, prefix: str, after: int, wait: float) -> _EventsResponse | StoreLost | HistoryGone:
+        """Wait for changes after a position.
+
+        ``HistoryGone`` means that the list must be read again: the store no longer has the history, the position is of
+        another epoch, or the last list was read too soon after a restore.
+        """
         now = self._clock.now()
-        if prefix in self._unsettled:
+        if prefix in self._unsettled_prefixes:
             if self._epochs.is_settled(now):
                 return HistoryGone()
             wait = min(wait, self._epochs.settled_at - now)
-        if find_epoch(after) != (self._epochs.epoch or 0):
+        if get_epoch(after) != (self._epochs.epoch or 0):
             return HistoryGone()
-        query = {"path_prefix": prefix, "after": str(find_revision(after)), "wait_ms": str(int(wait * 1000))}
-        answer = await self._get("kv-watch", query, wait + WATCH_MARGIN)
-        if not isinstance(answer, str) and answer.head.status == 410:
+        query = {"path_prefix": prefix, "after": str(get_revision(after)), "wait_ms": str(int(wait * 1000))}
+        response = await self._get("kv-watch", query, wait + WATCH_MARGIN_S)
+        if not isinstance(response, str) and response.head.status == 410:
             return HistoryGone()
-        events = self._place(answer, _Events)
-        return HistoryGone() if isinstance(events, _Events) and find_epoch(events.at) != find_epoch(after) else events
+        events = self._decode_items(response, _EventsResponse)
+        return (
+            HistoryGone()
+            if isinstance(events, _EventsResponse) and get_epoch(events.at) != get_epoch(after)
+            else events
+        )
 
-    def _note_epoch(self, answer: BufferedResponse) -> Epoch:
-        """Take in the epoch that an answer tells, and return it."""
-        epoch = read_epoch(answer.head.headers)
+    def _record_epoch(self, response: BufferedResponse) -> Epoch:
+        """Record and return the epoch of a response."""
+        epoch = read_epoch(response.head.headers)
         before = self._epochs.epoch
-        if self._epochs.take(epoch, self._clock.now()):
+        if self._epochs.record(epoch, self._clock.now()):
             self._documents.journal.write("STORE", "restored from a backup", epoch=epoch, before=before)
         return epoch
 
-    def _place(self, answer: BufferedResponse | str, wanted: type[Listed]) -> Listed | StoreLost:
-        """Return the items of an answer, with positions in place of revisions."""
-        if isinstance(answer, str):
-            return StoreLost(answer)
-        found = _decode(answer, wanted)
+    def _decode_items(self, response: BufferedResponse | str, wanted: type[ItemsResponse]) -> ItemsResponse | StoreLost:
+        """Decode a response with items, and replace its revisions by positions."""
+        if isinstance(response, str):
+            return StoreLost(response)
+        found = _decode(response, wanted)
         if isinstance(found, StoreLost):
             return found
-        epoch = self._note_epoch(answer)
+        epoch = self._record_epoch(response)
         found.at = make_position(epoch, found.at)
-        for item in found.items if isinstance(found, _Range) else found.events:
+        for item in found.items if isinstance(found, _RangeResponse) else found.events:
             item.revision = make_position(epoch, item.revision)
         return found
 
-    async def _post(self, name: str, body: object, timeout: float = READ_TIMEOUT) -> BufferedResponse | str:
+    async def _post(self, name: str, body: object, timeout: float = CALL_TIMEOUT_S) -> BufferedResponse | str:
         headers = [("Host", str(self._address)), ("Content-Type", "application/json")]
         call = Call("POST", f"/api/{name}", headers, msgspec.json.encode(body))
         return await fetch(self._client, self._clock, self._address, call, timeout)
 
-    async def _get(self, name: str, query: dict[str, str], timeout: float = READ_TIMEOUT) -> BufferedResponse | str:
+    async def _get(self, name: str, query: dict[str, str], timeout: float = CALL_TIMEOUT_S) -> BufferedResponse | str:
         call = Call("GET", f"/api/{name}?{urlencode(query)}", [("Host", str(self._address))])
         return await fetch(self._client, self._clock, self._address, call, timeout)
 
-    def _read_document(self, item: _Item) -> Document | None:
+    def _make_document(self, item: _Item) -> Document | None:
         raw = item.raw
         table = None if raw is None else self._documents.read_configuration(raw)
         return None if raw is None or table is None else Document(raw, table)
 
     def _make_entry(self, item: _Item) -> Entry:
-        return self._documents.read_entry(UpstreamId(item.tls_key.removeprefix(UPSTREAMS)), item.revision, item.raw)
+        return self._documents.read_entry(
+            UpstreamId(item.tls_key.removeprefix(UPSTREAM_PREFIX)), item.revision, item.raw
+        )
 
 
-def _read_fingerprint(key: str) -> Fingerprint | None:
-    """Return the fingerprint whose quarantine a key keeps, or None where it is another key."""
-    name = key.removeprefix(QUARANTINE)
+def _parse_quarantine_key(key: str) -> Fingerprint | None:
+    """Return the quarantined fingerprint of a key, or None for other keys."""
+    name = key.removeprefix(QUARANTINE_PREFIX)
     if len(name) != 2 * FINGERPRINT_BYTES or not set(name) <= HEX_DIGITS:
         return None
     return Fingerprint(bytes.fromhex(name))
 
 
-def _find_loss(answer: BufferedResponse | str) -> StoreLost | None:
-    """Return whether a change may not have been made; where its condition did not hold, another VM has made it."""
-    if isinstance(answer, str):
-        return StoreLost(answer)
-    return None if answer.head.status in (200, 412) else StoreLost(f"status {answer.head.status}")
+def _get_write_failure(response: BufferedResponse | str) -> StoreLost | None:
+    """Return the error if a change may have failed; status 412 means that another VM has already made it."""
+    if isinstance(response, str):
+        return StoreLost(response)
+    return None if response.head.status in (200, 412) else StoreLost(f"status {response.head.status}")
 
 
-def _decode(answer: BufferedResponse | str, wanted: type[Read]) -> Read | StoreLost:
-    if isinstance(answer, str):
-        return StoreLost(answer)
-    if answer.head.status != 200:
-        return StoreLost(f"status {answer.head.status}")
+def _decode(response: BufferedResponse | str, wanted: type[Decoded]) -> Decoded | StoreLost:
+    if isinstance(response, str):
+        return StoreLost(response)
+    if response.head.status != 200:
+        return StoreLost(f"status {response.head.status}")
     try:
-        return msgspec.json.decode(answer.body, type=wanted)
+        return msgspec.json.decode(response.body, type=wanted)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return StoreLost(f"unreadable answer: {problem}")
+        return StoreLost(f"invalid response: {problem}")
