--- a/src/beamhatch/decide/admission.py
+++ b/src/beamhatch/decide/admission.py
@@ -33,11 +33,9 @@
         use = self._usages.setdefault(workspace, _Usage())
         self._refill(use, rate, now)
         if use.open_requests >= concurrency:
-            return NotRun(Reason.LIMIT_REACHED, f"the workspace has {use.open_requests} open requests", 1.0)
+            return NotRun(Reason.LIMIT_REACHED, f"the workspace has {use.open_requests} requests under way", 1.0)
         if use.tokens < 1:
-            return NotRun(
-                Reason.RATE_LIMITED, "the workspace exceeded its request rate", round((1 - use.tokens) / rate, 3)
-            )
+            return NotRun(Reason.RATE_LIMITED, "the workspace asks too fast", round((1 - use.tokens) / rate, 3))
         use.tokens -= 1
         use.open_requests += 1
         return None
--- a/src/beamhatch/decide/pool.py
+++ b/src/beamhatch/decide/pool.py
@@ -154,7 +154,7 @@
             return [refusal]
         late = self._is_expected_late(need, now)
         if late and (need.drop_if_late or not self._has_late_capacity(need, now)):
-            return [self._make_refusal(need, Reason.OVERLOADED, "no capacity in time", now)]
+            return [self._make_refusal(need, Reason.OVERLOADED, "no place in time", now)]
         self.queue.add(need, late=late)
         return []
 
@@ -279,7 +279,7 @@
             if not expired and not over_capacity:
                 break
             self.queue.remove(candidate.request)
-            decisions.append(self._make_refusal(candidate, Reason.OVERLOADED, "no capacity in time", now))
+            decisions.append(self._make_refusal(candidate, Reason.OVERLOADED, "no place in time", now))
         return decisions
 
     def _make_refusal(self, need: ResourceNeed, reason: Reason, detail: str, now: float) -> RefusalDecision:
--- a/src/beamhatch/decide/promotion.py
+++ b/src/beamhatch/decide/promotion.py
@@ -49,7 +49,7 @@
             remove.append(f"slice/{item.name}")
     if default.policy == policy:
         if replacement is None or replacement == policy:
-            raise PromotionError(f"{policy!r} serves all traffic; name the policy that replaces it")
+            raise PromotionError(f"{policy!r} serves all traffic; name the policy that is to serve instead")
         put.append(
             replace(
                 default,
--- a/src/beamhatch/decide/request.py
+++ b/src/beamhatch/decide/request.py
@@ -249,7 +249,7 @@
         return self._give_up(Reason.DEADLINE, "the caller's deadline passed", None)
 
     def _handle_aborted(self, event: RequestAborted) -> list[RequestEffect]:
-        return self._give_up(event.reason, "this entry VM aborted the request", 1.0)
+        return self._give_up(event.reason, "this entry VM let go of the request", 1.0)
 
     def _give_up(self, reason: Reason, detail: str, retry_after: float | None) -> list[RequestEffect]:
         if self.has_run:
--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -86,13 +86,13 @@
         for name, value in headers:
             lower = name.lower()
             if lower == REQUEST_ID_HEADER and lower in values:
-                return BadRequest(400, "multiple Request-Id headers")
+                return BadRequest(400, "more than one Request-Id")
             if lower == KEY_HEADER:
                 keys.append(value)
             values[lower] = value
         request_id = values.get(REQUEST_ID_HEADER, "")
         if not request_id or len(request_id) > MAX_REQUEST_ID_LENGTH:
-            return BadRequest(400, "missing or oversized Request-Id header")
+            return BadRequest(400, "no usable Request-Id")
         deadline = _parse_number(values.get(DEADLINE_HEADER))
         prompt, output = _parse_token_counts(values.get(TOKEN_COUNT_HEADER))
         return RequestFacts(
--- a/src/beamhatch/relay/callers/http_server.py
+++ b/src/beamhatch/relay/callers/http_server.py
@@ -207,15 +207,15 @@
 
     def _handle_head(self, head: h11.Request) -> None:
         if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > self._limits.header_bytes:
-            self._reject(431, f"request head exceeds {self._limits.header_bytes} bytes")
+            self._reject(431, f"the head has more than {self._limits.header_bytes} bytes")
             return
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            self._reject(400, "both Content-Length and Transfer-Encoding are set")
+            self._reject(400, "both a length and chunks")
             return
         length = next((int(value) for name, value in head.headers if name == b"content-length"), 0)
         if length > self._limits.body_bytes:
-            self._reject(413, f"request body exceeds {self._limits.body_bytes} bytes")
+            self._reject(413, f"the body has more than {self._limits.body_bytes} bytes")
             return
         self._head = head
         self._head_started = False
@@ -227,10 +227,10 @@
     def _handle_body(self, data: bytes) -> None:
         self._received += len(data)
         if self._received > self._limits.body_bytes:
-            self._reject(413, f"request body exceeds {self._limits.body_bytes} bytes")
+            self._reject(413, f"the body has more than {self._limits.body_bytes} bytes")
             return
         if self._server.held_bytes + len(data) > MAX_TOTAL_BODY_BYTES:
-            self._reject(503, "too many request bodies in memory", BODY_LIMIT_RETRY_AFTER_S)
+            self._reject(503, "too many bytes of bodies are held", BODY_LIMIT_RETRY_AFTER_S)
             return
         self._held_bytes += len(data)
         self._server.held_bytes += len(data)
@@ -379,7 +379,7 @@
     def _handle_timeout(self) -> None:
         self._timer = None
         if self._head is not None or self._head_started:
-            self._reject(408, "request not received in time")
+            self._reject(408, "the request came too slowly")
         else:
             self.transport.loseConnection()
 
--- a/src/beamhatch/relay/upstreams/http_fetch.py
+++ b/src/beamhatch/relay/upstreams/http_fetch.py
@@ -44,7 +44,7 @@
 
     def _handle_timeout(self) -> None:
         self._cancel()
-        self._finish("no response in time")
+        self._finish("no answer in time")
 
     def _handle_cancel(self, _: Any) -> None:
         self._cancel()
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -124,7 +124,7 @@
     def _handle_timeout(self) -> None:
         if self._http is not None:
             self._http.cancel()
-        self.handle_failure(CallFailure.UNREACHED, "no response in time")
+        self.handle_failure(CallFailure.UNREACHED, "no answer in time")
 
     def _end(self) -> None:
         self._ended = True
