--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,7 +16,7 @@
 
 from tests.support.limit_fleet import WINDOW, LimitFleet
 
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 from benchmarks.quarantine import count_bytes, make_fleet
 
 RATES = (0.2, 2.6, 20.0)
@@ -70,7 +70,7 @@
     """Have one VM hear of a limit, have callers ask all VMs, and have the limit change."""
     random.seed(vms)
     platform = make_fleet(vms, halls)
-    life = Life(UpstreamId("decode-0"), platform.upstreams["decode-0"].born)
+    life = Incarnation(UpstreamId("decode-0"), platform.upstreams["decode-0"].born)
     known = [vm.core.announcements.limits for vm in platform.vms.values()]
 
     def tell(rate: float) -> float:
--- a/benchmarks/own_words.py
+++ b/benchmarks/own_words.py
@@ -14,7 +14,7 @@
 
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.relay.choosing.rests import Rests
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 from benchmarks.quarantine import count_bytes, make_fleet
 
 REST = 3.0
@@ -35,7 +35,7 @@
     platform = make_fleet(vms, halls)
     platform.store.fault = StoreFault.SILENT
     platform.network.run(1.0)
-    life = Life(UpstreamId("decode-0"), platform.upstreams["decode-0"].born)
+    life = Incarnation(UpstreamId("decode-0"), platform.upstreams["decode-0"].born)
     daemons = list(platform.vms.values())
     hearer = daemons[len(daemons) // 2].core.announcements
     heard_at = platform.clock.now()
@@ -58,7 +58,7 @@
     :param told: whether a rest that one VM is asked for holds for all
     """
     random.seed(seed)
-    life = Life(UpstreamId("u"), 1)
+    life = Incarnation(UpstreamId("u"), 1)
     known = [Rests()] * vms if told else [Rests() for _ in range(vms)]
     arrivals = 0
     news: list[tuple[float, Rests]] = []
--- a/benchmarks/peer_bytes.py
+++ b/benchmarks/peer_bytes.py
@@ -16,7 +16,7 @@
 from tests.support.network import DELAY
 from tests.support.platform import PLAIN, ROUTES, Platform, make_request, make_route, make_workspace
 
-from beamhatch.relay.places import Distance, Places, RegionName
+from beamhatch.relay.places import Distance, RegionName, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -64,7 +64,7 @@
         self._random = random.Random(seed)
         self.halls = [f"hall-{number}" for number in range(halls)]
         region_of = {hall: RegionName(f"region-{number * regions // halls}") for number, hall in enumerate(self.halls)}
-        self.platform = Platform(places=Places(region_of), names_hosts=True)
+        self.platform = Platform(places=Topology(region_of), names_hosts=True)
         self.network = self.platform.network
         self.network.find_delay = self._find_delay
         self._hall_of: dict[str, str] = {}
@@ -107,7 +107,7 @@
         halls = self._hall_of.get(here), self._hall_of.get(there)
         if None in halls:
             return Distance.SAME_HALL
-        return self.platform.places.measure(halls[0] or "", halls[1] or "")
+        return self.platform.places.get_distance(halls[0] or "", halls[1] or "")
 
     def _find_delay(self, here: str, there: str) -> float:
         return REGION_DELAY if self.find_distance(here, there) is Distance.OTHER_REGION else DELAY
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -12,7 +12,7 @@
 
 from tests.support.platform import Platform
 
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 
 TARGET = "/resumable/x"
 STREAMS = 64
@@ -24,7 +24,7 @@
 def make_fleet(vms: int, halls: int) -> Platform:
     """Return a fleet that knows itself."""
     regions = {f"hall-{number}": RegionName(f"region-{number * 3 // halls}") for number in range(halls)}
-    platform = Platform(places=Places(regions), names_hosts=True)
+    platform = Platform(places=Topology(regions), names_hosts=True)
     hall_of = {f"vm{number}": f"hall-{number % halls}" for number in range(vms)}
     region_of = {name: regions[hall] for name, hall in hall_of.items()}
 
--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -7,7 +7,15 @@
 
 import msgspec
 
-from beamhatch.relay.api import UNCLEAR_LIMIT, AnswerFacts, BadRequest, Dialect, Headers, NamedLimit, SendTerms
+from beamhatch.relay.api import (
+    UNREADABLE_LIMIT,
+    AnnouncedLimit,
+    BadRequest,
+    Dialect,
+    Headers,
+    ResponseFacts,
+    SendOptions,
+)
 from beamhatch.relay.choosing.standing import Load
 from beamhatch.relay.model import Handle, Phase, PromptPart, RequestFacts, Reservation, Stage, Upstream
 from beamhatch.relay.upstreams.http_client import Call
@@ -102,18 +110,18 @@
             prompt_tokens=prompt,
             output_tokens=output,
             parts=_read_parts(found.get(PARTS)),
-            output_guess=_read_number(found.get(GUESS)) or 0,
+            output_estimate=_read_number(found.get(GUESS)) or 0,
             key=_read_key(keys),
         )
 
-    def write_request(self, headers: Headers, terms: SendTerms) -> Headers:
+    def write_request(self, headers: Headers, terms: SendOptions) -> Headers:
         """Return the headers for an upstream."""
         dropped = OWN | {LAST_EVENT} if terms.last_event is not None else OWN
-        if terms.keyed:
+        if terms.strips_credentials:
             dropped |= OF_WORKSPACES
         written = [(name, value) for name, value in headers if name.lower() not in dropped]
         written.append(("Deadline-Ms", str(max(1, int(terms.time_left * 1000)))))
-        written.append(("Expect-Instance", terms.expect))
+        written.append(("Expect-Instance", terms.expected_upstream))
         if terms.stage is Stage.PREFILL:
             written.append(("Stage", "prefill"))
         if terms.handle is not None:
@@ -126,17 +134,17 @@
             written.append(("Tenant", terms.workspace))
         return written
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Return what an upstream's headers say."""
         found = {name.lower(): value for name, value in headers}
-        return AnswerFacts(
-            request=found.get(REQUEST_ID),
-            signed="response-signature" in found,
+        return ResponseFacts(
+            request_id=found.get(REQUEST_ID),
+            from_upstream="response-signature" in found,
             not_run="not-executed" in found,
             encoded=found.get("content-encoding", "identity").lower() != "identity",
             load=_read_load(found.get("server-load")),
             leaving=found.get(LEAVING, "").strip() == SAYS_SO,
-            rest=read_retry_after(found.get("retry-after"), found.get("date")) if status in TURNED_AWAY else None,
+            backoff=read_retry_after(found.get("retry-after"), found.get("date")) if status in TURNED_AWAY else None,
             limit=_read_limit(found.get(LIMIT)),
         )
 
@@ -147,11 +155,11 @@
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
-    def make_release(self, handle: Handle) -> Call:
+    def make_release_call(self, handle: Handle) -> Call:
         """Return the call that frees a KV cache."""
         return _make_call("DELETE", f"/api/kv-handle/{handle.id}", handle.upstream)
 
-    def make_reserve(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
+    def make_reserve_call(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
         """Return the call that sets KV memory aside."""
         body = msgspec.json.encode({"tokens": tokens, "ttl_ms": int(lifetime * 1000)})
         return _make_call("POST", "/api/hold-take", upstream, body)
@@ -163,12 +171,12 @@
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
-    def make_order(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
+    def make_phase_change_call(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
         """Return the call that has an engine play another part."""
         order = {"operation": "phase", "phase": phase.value, "holder": holder, "fencing_token": token}
         return _make_call("POST", "/api/order", upstream, msgspec.json.encode(order))
 
-    def make_unreserve(self, reservation: Reservation) -> Call:
+    def make_unreserve_call(self, reservation: Reservation) -> Call:
         """Return the call that gives back what was set aside."""
         return _make_call("DELETE", f"/api/hold-drop/{reservation.id}", reservation.upstream)
 
@@ -207,13 +215,13 @@
     return tuple(parts)
 
 
-def _read_limit(text: str | None) -> NamedLimit | None:
+def _read_limit(text: str | None) -> AnnouncedLimit | None:
     """Return the limit that an upstream names; a negative number, a word or one beyond all numbers is not clear."""
     if text is None:
         return None
     word = text.strip()
     rate = float(word) if _DECIMAL.fullmatch(word) else math.inf
-    return NamedLimit(rate) if math.isfinite(rate) else UNCLEAR_LIMIT
+    return AnnouncedLimit(rate) if math.isfinite(rate) else UNREADABLE_LIMIT
 
 
 def _read_load(text: str | None) -> Load | None:
--- a/src/beamhatch/platform/documents.py
+++ b/src/beamhatch/platform/documents.py
@@ -14,18 +14,18 @@
     Address,
     CallerLimits,
     ColdTerms,
-    Engine,
+    EngineSpec,
     Phase,
     Regions,
     Route,
     RouteKind,
+    RoutingTable,
     Service,
     ServiceName,
-    Share,
-    Table,
     Upstream,
     UpstreamId,
-    make_table,
+    WeightedService,
+    make_routing_table,
 )
 from beamhatch.relay.places import RegionName
 from beamhatch.relay.upstreams.listing import Entry
@@ -166,7 +166,7 @@
     def __init__(self, journal: Journal) -> None:
         self.journal = journal
 
-    def read_configuration(self, raw: bytes) -> Table | None:
+    def read_configuration(self, raw: bytes) -> RoutingTable | None:
         """Return the operators' configuration, or None where it can't be read."""
         try:
             read = _read_configuration(raw)
@@ -180,7 +180,7 @@
             self.journal.write("CONFIG", "empty list of regions taken as none", names=unbound, version=read.version)
         services = [_make_service(service) for service in read.services]
         workspaces = tuple(_make_workspace(tenant) for tenant in read.tenants)
-        return make_table(read.version, routes, services, _make_limits(read.limits), workspaces)
+        return make_routing_table(read.version, routes, services, _make_limits(read.limits), workspaces)
 
     def read_entry(self, upstream: UpstreamId, revision: int, raw: bytes | None) -> Entry:
         """Return an upstream's entry; one that is gone, or can't be read, has no upstream.
@@ -208,7 +208,7 @@
         phase=Phase(read.phase) if read.phase else Phase.PLAIN,
         slots=read.capacity,
         cold_left=max(0.0, read.cold_remaining_ms / 1000),
-        born=read.born,
+        started_at_ms=read.born,
     )
 
 
@@ -239,19 +239,21 @@
 
 
 def _make_route(read: _Route) -> Route:
-    shares = tuple(Share(ServiceName(split.service), split.weight) for split in read.traffic_split if split.weight > 0)
+    shares = tuple(
+        WeightedService(ServiceName(split.service), split.weight) for split in read.traffic_split if split.weight > 0
+    )
     return Route(
         name=read.name,
         host=read.host.lower(),
         prefix=read.path_prefix,
         kind=RouteKind(read.route_type),
-        shares=shares or (Share(ServiceName(read.service), 1.0),),
+        weighted_services=shares or (WeightedService(ServiceName(read.service), 1.0),),
         timeout=read.timeout_ms / 1000,
         target_latency=read.target_latency_ms / 1000,
         max_attempts=read.max_attempts,
         resumable=read.resumable,
-        target_gap=read.target_gap_ms / 1000,
-        caller_patience=max(2.0, 4 * read.target_latency_ms / 1000, 8 * read.target_gap_ms / 1000),
+        target_event_interval=read.target_gap_ms / 1000,
+        caller_event_timeout=max(2.0, 4 * read.target_latency_ms / 1000, 8 * read.target_gap_ms / 1000),
         public=read.public,
         regions=_read_regions(read.allowed_regions),
         priority=read.priority,
@@ -275,15 +277,15 @@
 def _make_service(read: _Service) -> Service:
     engine = None
     if read.engine is not None:
-        engine = Engine(
+        engine = EngineSpec(
             slots=read.engine.capacity,
             kv_tokens=read.engine.kv_capacity,
-            handle_lifetime=read.engine.kv_ttl_s,
-            hold_lifetime=read.engine.hold_ms / 1000,
-            switch_time=read.engine.reconfig_s,
-            event_tokens=read.engine.stride,
-            kv_token_bytes=read.engine.token_kv_bytes,
-            link_rate=read.engine.link_mbps * BYTES_PER_MBIT,
+            handle_ttl=read.engine.kv_ttl_s,
+            reservation_ttl=read.engine.hold_ms / 1000,
+            phase_change_time=read.engine.reconfig_s,
+            tokens_per_event=read.engine.stride,
+            kv_bytes_per_token=read.engine.token_kv_bytes,
+            link_bytes_per_s=read.engine.link_mbps * BYTES_PER_MBIT,
         )
     cold = ColdTerms(read.cold_start_s, read.cold_per_s) if read.cold_per_s > 0 else None
     return Service(ServiceName(read.name), engine, cold)
--- a/src/beamhatch/platform/run.py
+++ b/src/beamhatch/platform/run.py
@@ -42,7 +42,7 @@
         :param seen: the stamp of the settings file from before it was read, so that no later change is missed
         """
         self._path = path
-        self._without = settings.without
+        self._without = settings.disabled
         self._seen = seen
         self._clock = Clock(reactor)
         self._journal = Journal(self._clock, vm=settings.vm)
--- a/src/beamhatch/platform/settings.py
+++ b/src/beamhatch/platform/settings.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from beamhatch.relay.daemon import RelaySettings
-from beamhatch.relay.mechanism import ALL_IN, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 from beamhatch.relay.requests.budget import BudgetTerms
 from beamhatch.relay.workspaces.quota import QuotaTerms
 
@@ -68,7 +68,7 @@
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-def read_settings(path: str, without: Without = ALL_IN) -> RelaySettings:
+def read_settings(path: str, without: DisabledMechanisms = NONE_DISABLED) -> RelaySettings:
     """Return the settings in a file, for a relay that leaves some mechanisms out.
 
     :raises SettingsError: where the file can't be read, or lacks something
@@ -80,7 +80,7 @@
         raise SettingsError(f"{path}: {problem}") from None
 
 
-def _make_settings(read: _Settings, without: Without) -> RelaySettings:
+def _make_settings(read: _Settings, without: DisabledMechanisms) -> RelaySettings:
     bounds = read.bounds
     return RelaySettings(
         vm=read.node_name,
@@ -90,17 +90,17 @@
         ready_path=READY_PATH,
         store_address=_read_address(read.provider.address),
         grace=bounds.grace_s,
-        budget=BudgetTerms(bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s),
+        retry_budget=BudgetTerms(bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s),
         quota=QuotaTerms(bounds.quota_window_s, bounds.quota_overage, bounds.quota_slack),
         peer_address=_read_address(read.listen.control) if read.listen.control else None,
         seeds=read.seeds,
-        places=Places({hall: RegionName(region) for hall, region in read.zones.items()}),
+        topology=Topology({hall: RegionName(region) for hall, region in read.zones.items()}),
         cold_overage=bounds.cold_overage,
         cold_slack=bounds.cold_slack,
-        turn_time=bounds.lease_ms / 1000,
+        handover_time=bounds.lease_ms / 1000,
         drain_time=bounds.drain_timeout_ms / 1000,
-        strength=read.limits.link_mbps,
-        without=without,
+        link_mbit_per_s=read.limits.link_mbps,
+        disabled=without,
         metrics_address=Address(read.ip, METRICS_PORT),
         metrics_path=METRICS_PATH,
     )
--- a/src/beamhatch/platform/standin/trial.py
+++ b/src/beamhatch/platform/standin/trial.py
@@ -39,7 +39,7 @@
         ready_path="/api/ready",
         store_address=store.address,
         grace=3.0,
-        budget=BudgetTerms(),
+        retry_budget=BudgetTerms(),
         peer_address=None,
     )
     journal = Journal(clock, 2)
--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -11,15 +11,15 @@
 
 from beamhatch.platform.epochs import EpochWatch, find_epoch, find_revision, make_position, read_epoch
 from beamhatch.relay.api import (
-    Claimed,
-    DirectiveNews,
+    DirectiveUpdate,
     Document,
-    HistoryGone,
-    LeadershipNews,
-    ListingNews,
+    LeadershipClaim,
+    LeadershipState,
+    LeadershipTaken,
+    ListingUpdate,
+    RevisionExpired,
     Store,
-    StoreLost,
-    Taken,
+    StoreUnavailable,
 )
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Fingerprint, UpstreamId
@@ -115,37 +115,37 @@
         self._read: set[str] = set()
         """Prefixes whose lists were read at all."""
 
-    async def read_directives(self, known: int) -> DirectiveNews | StoreLost:
+    async def read_directives(self, known: int) -> DirectiveUpdate | StoreUnavailable:
         """Return the configuration in force, and all halls that are emptied."""
         items = await self._read_all(OPERATORS)
-        if isinstance(items, StoreLost):
+        if isinstance(items, StoreUnavailable):
             return items
-        return replace(self._make_directives(items), settled=self._note_read(OPERATORS, known))
+        return replace(self._make_directives(items), authoritative=self._note_read(OPERATORS, known))
 
-    async def watch_directives(self, after: int, wait: float) -> DirectiveNews | StoreLost | HistoryGone:
+    async def watch_directives(self, after: int, wait: float) -> DirectiveUpdate | StoreUnavailable | RevisionExpired:
         """Return what the operators changed behind a revision."""
         events = await self._watch(OPERATORS, after, wait)
         if not isinstance(events, _Events):
             return events
         settled = OPERATORS not in self._unsettled and not self._epochs.may_be_restored(self._clock.now())
-        return replace(self._make_directives(events), settled=settled)
+        return replace(self._make_directives(events), authoritative=settled)
 
-    def _make_directives(self, events: _Events) -> DirectiveNews:
+    def _make_directives(self, events: _Events) -> DirectiveUpdate:
         documents = [item for item in events.events if item.tls_key == CONFIGURATION and not item.gone]
         evacuations = [
             Evacuation(item.tls_key.removeprefix(EVACUATIONS), item.revision, not item.gone)
             for item in events.events
             if item.tls_key.startswith(EVACUATIONS) and 0 < len(item.tls_key) - len(EVACUATIONS) <= LONGEST_HALL_NAME
         ]
-        return DirectiveNews(self._read_document(documents[-1]) if documents else None, evacuations, events.at)
+        return DirectiveUpdate(self._read_document(documents[-1]) if documents else None, evacuations, events.at)
 
-    async def read_listing(self, known: int) -> ListingNews | StoreLost:
+    async def read_listing(self, known: int) -> ListingUpdate | StoreUnavailable:
         """Return all upstreams."""
         items = await self._read_all(UPSTREAMS)
-        if isinstance(items, StoreLost):
+        if isinstance(items, StoreUnavailable):
             return items
         entries = [self._make_entry(item) for item in items.events]
-        return ListingNews(entries, items.at, settled=self._note_read(UPSTREAMS, known))
+        return ListingUpdate(entries, items.at, authoritative=self._note_read(UPSTREAMS, known))
 
     def _note_read(self, prefix: str, known: int) -> bool:
         """Note that a list was read; return whether what it lacks is gone, else it is read again later.
@@ -164,34 +164,34 @@
         self._read.add(prefix)
         return settled and is_complete
 
-    async def watch_listing(self, after: int, wait: float) -> ListingNews | StoreLost | HistoryGone:
+    async def watch_listing(self, after: int, wait: float) -> ListingUpdate | StoreUnavailable | RevisionExpired:
         """Return changes of upstreams behind a revision."""
         events = await self._watch(UPSTREAMS, after, wait)
         if not isinstance(events, _Events):
             return events
-        return ListingNews([self._make_entry(item) for item in events.events], events.at)
+        return ListingUpdate([self._make_entry(item) for item in events.events], events.at)
 
-    async def _read_all(self, prefix: str) -> _Events | StoreLost:
+    async def _read_all(self, prefix: str) -> _Events | StoreUnavailable:
         """Return all items with a prefix, as of the first page; a watch from there tells what changed meanwhile."""
         items: list[_Item] = []
         at = None
         query = {"path_prefix": prefix}
         while True:
             page = self._place(await self._get("kv-range", query), _Range)
-            if isinstance(page, StoreLost):
+            if isinstance(page, StoreUnavailable):
                 return page
             at = page.at if at is None else at
             if find_epoch(page.at) != find_epoch(at):
-                return StoreLost("the store was restored between two pages")
+                return StoreUnavailable("the store was restored between two pages")
             items += page.items
             if not page.more or not page.items:
                 return _Events(items, at)
             query["after"] = page.items[-1].tls_key
 
-    async def keep_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreLost | None:
+    async def store_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreUnavailable | None:
         """Write the key of a fingerprint under a lease of its own, unless it is there."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _Lease)
-        if isinstance(lease, StoreLost):
+        if isinstance(lease, StoreUnavailable):
             return lease
         key = f"{QUARANTINE}{fingerprint.hex()}"
         change = {
@@ -201,41 +201,43 @@
         }
         return _find_loss(await self._post("kv-txn", change))
 
-    async def end_quarantine(self, fingerprint: Fingerprint) -> StoreLost | None:
+    async def delete_quarantine(self, fingerprint: Fingerprint) -> StoreUnavailable | None:
         """Remove the key of a fingerprint."""
         change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE}{fingerprint.hex()}"]}
         return _find_loss(await self._post("kv-txn", change))
 
-    async def read_leadership(self) -> LeadershipNews | StoreLost:
+    async def read_leadership(self) -> LeadershipState | StoreUnavailable:
         """Return who leads, what the last order was, and which requests are held."""
         page = self._place(await self._get("kv-range", {"path_prefix": OWN}), _Range)
-        if isinstance(page, StoreLost):
+        if isinstance(page, StoreUnavailable):
             return page
         before, self._leadership_at = self._leadership_at, page.at
         items = {item.tls_key: item for item in page.items}
         order = items.get(LAST_ORDER)
         restored = 0 < find_epoch(before) < find_epoch(page.at) or not self._epochs.is_settled(self._clock.now())
-        return LeadershipNews(
-            taken=LEADER in items,
+        return LeadershipState(
+            has_leader=LEADER in items,
             last_order=0 if order is None else order.revision,
-            at=page.at,
+            revision=page.at,
             order="" if order is None else (order.raw or b"").decode(),
-            held=[found for found in map(_read_fingerprint, items) if found is not None],
+            quarantined=[found for found in map(_read_fingerprint, items) if found is not None],
             restored=restored,
             order_may_be_lost=order is None and (restored or (not before and self._epochs.was_restored)),
         )
 
-    async def watch_leadership(self, after: int, wait: float) -> bool | StoreLost:
+    async def watch_leadership(self, after: int, wait: float) -> bool | StoreUnavailable:
         """Return True as soon as something changed behind a revision."""
         events = await self._watch(OWN, after, wait)
-        if isinstance(events, StoreLost):
+        if isinstance(events, StoreUnavailable):
             return events
-        return isinstance(events, HistoryGone) or bool(events.events)
+        return isinstance(events, RevisionExpired) or bool(events.events)
 
-    async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
+    async def claim_leadership(
+        self, holder: str, lifetime: float, seen: LeadershipState
+    ) -> LeadershipClaim | LeadershipTaken | StoreUnavailable:
         """Claim the leadership on the condition that all is as it was seen."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _Lease)
-        if isinstance(lease, StoreLost):
+        if isinstance(lease, StoreUnavailable):
             return lease
         value = base64.b64encode(holder.encode()).decode()
         change = {
@@ -248,25 +250,29 @@
         }
         answer = await self._post("kv-txn", change)
         if isinstance(answer, str):
-            return StoreLost(answer)
+            return StoreUnavailable(answer)
         if answer.head.status == 412:
-            return Taken()
+            return LeadershipTaken()
         changed = _decode(answer, _Changed)
-        if isinstance(changed, StoreLost):
+        if isinstance(changed, StoreUnavailable):
             return changed
         epoch = self._note_epoch(answer)
-        return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == find_epoch(seen.at) else Taken()
+        return (
+            LeadershipClaim(lease.lease, make_position(epoch, changed.revision))
+            if epoch == find_epoch(seen.revision)
+            else LeadershipTaken()
+        )
 
-    async def keep_leadership(self, claim: Claimed, timeout: float) -> bool | StoreLost:
+    async def renew_leadership(self, claim: LeadershipClaim, timeout: float) -> bool | StoreUnavailable:
         """Renew the lease of a claim."""
         answer = await self._post(f"kv-keep/{claim.lease}", {}, timeout)
         if isinstance(answer, str):
-            return StoreLost(answer)
+            return StoreUnavailable(answer)
         if answer.head.status in (200, 404):
             return answer.head.status == 200 and self._note_epoch(answer) == find_epoch(claim.revision)
-        return StoreLost(f"status {answer.head.status}")
+        return StoreUnavailable(f"status {answer.head.status}")
 
-    async def record_order(self, claim: Claimed, order: str) -> bool | StoreLost:
+    async def record_order(self, claim: LeadershipClaim, order: str) -> bool | StoreUnavailable:
         """Write an order down on the condition that the claim stands."""
         change = {
             "if_revision": [{"tls_key": LEADER, "revision": find_revision(claim.revision)}],
@@ -275,27 +281,29 @@
         }
         answer = await self._post("kv-txn", change)
         if isinstance(answer, str):
-            return StoreLost(answer)
+            return StoreUnavailable(answer)
         if answer.head.status in (200, 412):
             # after a restore, the revision may be that of another VM's claim
             return answer.head.status == 200 and self._note_epoch(answer) == find_epoch(claim.revision)
-        return StoreLost(f"status {answer.head.status}")
+        return StoreUnavailable(f"status {answer.head.status}")
 
-    async def _watch(self, prefix: str, after: int, wait: float) -> _Events | StoreLost | HistoryGone:
+    async def _watch(self, prefix: str, after: int, wait: float) -> _Events | StoreUnavailable | RevisionExpired:
         """Wait for changes behind a position: none of an earlier epoch, and not beyond the time to read again."""
         now = self._clock.now()
         if prefix in self._unsettled:
             if self._epochs.is_settled(now):
-                return HistoryGone()
+                return RevisionExpired()
             wait = min(wait, self._epochs.settled_at - now)
         if find_epoch(after) != (self._epochs.epoch or 0):
-            return HistoryGone()
+            return RevisionExpired()
         query = {"path_prefix": prefix, "after": str(find_revision(after)), "wait_ms": str(int(wait * 1000))}
         answer = await self._get("kv-watch", query, wait + WATCH_MARGIN)
         if not isinstance(answer, str) and answer.head.status == 410:
-            return HistoryGone()
+            return RevisionExpired()
         events = self._place(answer, _Events)
-        return HistoryGone() if isinstance(events, _Events) and find_epoch(events.at) != find_epoch(after) else events
+        return (
+            RevisionExpired() if isinstance(events, _Events) and find_epoch(events.at) != find_epoch(after) else events
+        )
 
     def _note_epoch(self, answer: WholeAnswer) -> Epoch:
         """Take in the epoch that an answer tells, and return it."""
@@ -305,12 +313,12 @@
             self._documents.journal.write("STORE", "restored from a backup", epoch=epoch, before=before)
         return epoch
 
-    def _place(self, answer: WholeAnswer | str, wanted: type[Listed]) -> Listed | StoreLost:
+    def _place(self, answer: WholeAnswer | str, wanted: type[Listed]) -> Listed | StoreUnavailable:
         """Return the items of an answer, with positions in place of revisions."""
         if isinstance(answer, str):
-            return StoreLost(answer)
+            return StoreUnavailable(answer)
         found = _decode(answer, wanted)
-        if isinstance(found, StoreLost):
+        if isinstance(found, StoreUnavailable):
             return found
         epoch = self._note_epoch(answer)
         found.at = make_position(epoch, found.at)
@@ -344,19 +352,19 @@
     return Fingerprint(bytes.fromhex(name))
 
 
-def _find_loss(answer: WholeAnswer | str) -> StoreLost | None:
+def _find_loss(answer: WholeAnswer | str) -> StoreUnavailable | None:
     """Return whether a change may not have been made; where its condition did not hold, another VM has made it."""
     if isinstance(answer, str):
-        return StoreLost(answer)
-    return None if answer.head.status in (200, 412) else StoreLost(f"status {answer.head.status}")
+        return StoreUnavailable(answer)
+    return None if answer.head.status in (200, 412) else StoreUnavailable(f"status {answer.head.status}")
 
 
-def _decode(answer: WholeAnswer | str, wanted: type[Read]) -> Read | StoreLost:
+def _decode(answer: WholeAnswer | str, wanted: type[Read]) -> Read | StoreUnavailable:
     if isinstance(answer, str):
-        return StoreLost(answer)
+        return StoreUnavailable(answer)
     if answer.head.status != 200:
-        return StoreLost(f"status {answer.head.status}")
+        return StoreUnavailable(f"status {answer.head.status}")
     try:
         return msgspec.json.decode(answer.body, type=wanted)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return StoreLost(f"unreadable answer: {problem}")
+        return StoreUnavailable(f"unreadable answer: {problem}")
--- a/src/beamhatch/relay/api.py
+++ b/src/beamhatch/relay/api.py
@@ -11,7 +11,16 @@
 
     from beamhatch.relay.choosing.standing import Load
     from beamhatch.relay.fleet.evacuations import Evacuation
-    from beamhatch.relay.model import Fingerprint, Handle, Phase, RequestFacts, Reservation, Stage, Table, Upstream
+    from beamhatch.relay.model import (
+        Fingerprint,
+        Handle,
+        Phase,
+        RequestFacts,
+        Reservation,
+        RoutingTable,
+        Stage,
+        Upstream,
+    )
     from beamhatch.relay.upstreams.http_client import Call
     from beamhatch.relay.upstreams.listing import Entry
     from beamhatch.relay.workspaces.workspace import WorkspaceName
@@ -29,41 +38,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendTerms:
+class SendOptions:
     """What the relay tells an upstream beside the caller's own headers."""
 
     stage: Stage
-    expect: str
+    expected_upstream: str
     """Id of the upstream that is meant."""
     time_left: float
     """Seconds."""
     handle: Handle | None = None
     reservation: Reservation | None = None
     last_event: int | None = None
-    keyed: bool = False
+    strips_credentials: bool = False
     """True where the caller's key and workspace are told by the relay and not by the caller's own headers."""
     workspace: WorkspaceName | None = None
     """Whose request it is."""
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class AnnouncedLimit:
     """The limit that an upstream names in an answer."""
 
     rate: float | None
     """Requests a second that it takes from all VMs together; None where what it says can't be read."""
 
 
-UNCLEAR_LIMIT = NamedLimit(None)
+UNREADABLE_LIMIT = AnnouncedLimit(None)
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseFacts:
     """What the head of an upstream's answer says."""
 
-    request: str | None
+    request_id: str | None
     """Id of the request that is answered."""
-    signed: bool = False
+    from_upstream: bool = False
     """True where an upstream vouches that the answer is its own."""
     not_run: bool = False
     """True where the upstream proves that it has not run the request."""
@@ -72,9 +81,9 @@
     load: Load | None = None
     leaving: bool = False
     """True where the upstream says that it leaves."""
-    rest: float | None = None
+    backoff: float | None = None
     """Seconds for which the upstream wants nothing from this VM; None where it asks for no rest."""
-    limit: NamedLimit | None = None
+    limit: AnnouncedLimit | None = None
     """None where the upstream names no limit."""
 
 
@@ -86,11 +95,11 @@
         """Return what a caller's headers say."""
 
     @abstractmethod
-    def write_request(self, headers: Headers, terms: SendTerms) -> Headers:
+    def write_request(self, headers: Headers, terms: SendOptions) -> Headers:
         """Return the headers for an upstream, from those of the caller that concern no single connection."""
 
     @abstractmethod
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Return what an upstream's headers say."""
 
     @abstractmethod
@@ -98,11 +107,11 @@
         """Return the id of the KV cache that the answer to a prefill names, or None where it names none."""
 
     @abstractmethod
-    def make_release(self, handle: Handle) -> Call:
+    def make_release_call(self, handle: Handle) -> Call:
         """Return the call that frees a KV cache."""
 
     @abstractmethod
-    def make_reserve(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
+    def make_reserve_call(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
         """Return the call that sets KV memory aside for some seconds."""
 
     @abstractmethod
@@ -110,26 +119,26 @@
         """Return the id of what was set aside, or None where the answer names none."""
 
     @abstractmethod
-    def make_order(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
+    def make_phase_change_call(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
         """Return the call that has an engine play another part.
 
         :param token: rises from holder to holder
         """
 
     @abstractmethod
-    def make_unreserve(self, reservation: Reservation) -> Call:
+    def make_unreserve_call(self, reservation: Reservation) -> Call:
         """Return the call that gives back what was set aside."""
 
 
 @dataclass(frozen=True, slots=True)
-class StoreLost:
+class StoreUnavailable:
     """The store gave no answer, or refused to serve this VM."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryGone:
+class RevisionExpired:
     """The store no longer knows what happened since the revision."""
 
 
@@ -138,42 +147,42 @@
     """The operators' configuration, as written and as read, with the revision of its change."""
 
     raw: bytes
-    table: Table
+    table: RoutingTable
 
 
 @dataclass(frozen=True, slots=True)
-class DirectiveNews:
+class DirectiveUpdate:
     """What the operators wrote, as of a revision; ``document`` is None where it did not change or can't be read."""
 
     document: Document | None
     evacuations: Sequence[Evacuation]
     """Halls that are emptied, or no longer are."""
-    at: int
-    settled: bool = True
+    revision: int
+    authoritative: bool = True
     """False where the store was just restored, or may have been: what a list lacks may be written again."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListingNews:
+class ListingUpdate:
     """News of upstreams up to a revision."""
 
     entries: Sequence[Entry]
-    at: int
-    settled: bool = True
+    revision: int
+    authoritative: bool = True
     """False where the store was just restored, or may have been: what a list lacks may be written again."""
 
 
 @dataclass(frozen=True, slots=True)
-class LeadershipNews:
+class LeadershipState:
     """Whether a VM leads, and what the last order was, as of a revision."""
 
-    taken: bool
+    has_leader: bool
     last_order: int
     """The revision at which the last order was written down; 0 where none ever was."""
-    at: int
+    revision: int
     order: str = ""
     """The last order, as it was written down."""
-    held: Sequence[Fingerprint] = ()
+    quarantined: Sequence[Fingerprint] = ()
     """Requests whose quarantine is kept: they are read with what a few VMs watch anyway, and cost no call."""
     restored: bool = False
     """True where the store was restored since it was read last, or within seconds before."""
@@ -182,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claimed:
+class LeadershipClaim:
     """The leadership is this VM's, by a claim at a revision, as long as it keeps the lease."""
 
     lease: int
@@ -190,7 +199,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class LeadershipTaken:
     """Another VM leads."""
 
 
@@ -198,53 +207,55 @@
     """The platform's store, read linearizably. Each call is paid for; a waiting watch is one call."""
 
     @abstractmethod
-    async def read_directives(self, known: int) -> DirectiveNews | StoreLost:
+    async def read_directives(self, known: int) -> DirectiveUpdate | StoreUnavailable:
         """Return the configuration in force, and all halls that are emptied.
 
         :param known: the revision up to which all evacuations are known by now, 0 where nobody has told
         """
 
     @abstractmethod
-    async def watch_directives(self, after: int, wait: float) -> DirectiveNews | StoreLost | HistoryGone:
+    async def watch_directives(self, after: int, wait: float) -> DirectiveUpdate | StoreUnavailable | RevisionExpired:
         """Return what the operators changed behind a revision as soon as they do, or nothing after some seconds."""
 
     @abstractmethod
-    async def read_listing(self, known: int) -> ListingNews | StoreLost:
+    async def read_listing(self, known: int) -> ListingUpdate | StoreUnavailable:
         """Return all upstreams.
 
         :param known: the lowest revision among the entries that are known by now, 0 where there are none
         """
 
     @abstractmethod
-    async def watch_listing(self, after: int, wait: float) -> ListingNews | StoreLost | HistoryGone:
+    async def watch_listing(self, after: int, wait: float) -> ListingUpdate | StoreUnavailable | RevisionExpired:
         """Return changes of upstreams behind a revision as soon as there are any, or after some seconds."""
 
     @abstractmethod
-    async def keep_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreLost | None:
+    async def store_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreUnavailable | None:
         """Keep the quarantine of a request for some seconds, whatever becomes of the VMs."""
 
     @abstractmethod
-    async def end_quarantine(self, fingerprint: Fingerprint) -> StoreLost | None:
+    async def delete_quarantine(self, fingerprint: Fingerprint) -> StoreUnavailable | None:
         """Keep the quarantine of a request no longer."""
 
     @abstractmethod
-    async def read_leadership(self) -> LeadershipNews | StoreLost:
+    async def read_leadership(self) -> LeadershipState | StoreUnavailable:
         """Return who leads, what the last order was, and which requests are held."""
 
     @abstractmethod
-    async def watch_leadership(self, after: int, wait: float) -> bool | StoreLost:
+    async def watch_leadership(self, after: int, wait: float) -> bool | StoreUnavailable:
         """Return True as soon as something changed behind a revision, or is not known any more; False after a time."""
 
     @abstractmethod
-    async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
+    async def claim_leadership(
+        self, holder: str, lifetime: float, seen: LeadershipState
+    ) -> LeadershipClaim | LeadershipTaken | StoreUnavailable:
         """Claim the leadership on the condition that nobody has it, and that no order was given since it was seen."""
 
     @abstractmethod
-    async def keep_leadership(self, claim: Claimed, timeout: float) -> bool | StoreLost:
+    async def renew_leadership(self, claim: LeadershipClaim, timeout: float) -> bool | StoreUnavailable:
         """Renew the lease of a claim; False where it is over."""
 
     @abstractmethod
-    async def record_order(self, claim: Claimed, order: str) -> bool | StoreLost:
+    async def record_order(self, claim: LeadershipClaim, order: str) -> bool | StoreUnavailable:
         """Write an order down on the condition that the claim stands; False where it does not."""
 
 
@@ -252,5 +263,5 @@
     """How the platform writes what peers hand on to each other."""
 
     @abstractmethod
-    def read_configuration(self, raw: bytes) -> Table | None:
+    def read_configuration(self, raw: bytes) -> RoutingTable | None:
         """Return the configuration in a document, or None where it can't be read."""
--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -12,9 +12,9 @@
 from beamhatch.relay.choosing.pace import EnginePaces
 from beamhatch.relay.choosing.peer_work import PeerWork
 from beamhatch.relay.choosing.spill import PredictedSpill, Spill
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
-from beamhatch.relay.model import Handle, Phase, Upstream, UpstreamId, hash_fraction
-from beamhatch.relay.places import Distance, Places
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
+from beamhatch.relay.model import Handle, Phase, Upstream, UpstreamId, hash_to_fraction
+from beamhatch.relay.places import Distance, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -90,21 +90,21 @@
         hall: str,
         paces: EnginePaces | None = None,
         work: PeerWork | None = None,
-        without: Without = ALL_IN,
-        places: Places | None = None,
+        without: DisabledMechanisms = NONE_DISABLED,
+        places: Topology | None = None,
         spill: Spill | None = None,
     ) -> None:
         self.standings = standings
-        self.distances = Distances(hall, places or Places(), Mechanism.HALL_COST not in without)
+        self.distances = Distances(hall, places or Topology(), Mechanism.DISTANCE_COST not in without)
         self._spill = spill or PredictedSpill()
         self._spills = Mechanism.SPILL not in without
-        self._draws_near = Mechanism.NEAR_DRAW not in without
+        self._draws_near = Mechanism.NEAR_CANDIDATES not in without
         self.paces = EnginePaces() if paces is None else paces
         self.work = PeerWork() if work is None else work
         self.find_cold_cost: Callable[[Upstream, float], float] = _find_no_cost
         """Returns the seconds that an upstream costs more as it is cold."""
-        self._session_gain = 0.0 if Mechanism.SESSION_GAIN in without else SESSION_GAIN
-        self._fault_cost = 0.0 if Mechanism.FAULT_COST in without else FAULT_COST
+        self._session_gain = 0.0 if Mechanism.CACHE_AFFINITY in without else SESSION_GAIN
+        self._fault_cost = 0.0 if Mechanism.FAILURE_COST in without else FAULT_COST
 
     @property
     def hall(self) -> str:
@@ -158,7 +158,7 @@
         candidates = self._draw(usable, Phase.PREFILL, tried, now, decode_hall)
         if not candidates:
             return None
-        home = max(candidates, key=lambda one: hash_fraction(f"{need.identity}/{one.id}"))
+        home = max(candidates, key=lambda one: hash_to_fraction(f"{need.identity}/{one.id}"))
 
         def count_place(hall: str) -> float:
             way = self.distances.count_way(hall, need.body_bytes)
@@ -205,7 +205,7 @@
     ) -> Upstream | None:
         """Return the decode engine with the least work, near the VM and the handle where that costs nothing."""
         candidates: Sequence[Upstream] = self._draw(usable, Phase.DECODE, tried, now, self.hall)
-        find_region = self.distances.places.find_region
+        find_region = self.distances.places.get_region
         refusals = Counter(find_region(hall) for hall in need.refused_halls)
         if self._spills:
             refused = set(need.refused_halls)
@@ -267,7 +267,7 @@
 
     def _draw_near(self, fitting: list[Upstream], hall: str) -> list[Upstream]:
         """Return some from near a hall and some from anywhere, so that far ones are known when near ones are full."""
-        measure = self.distances.places.measure
+        measure = self.distances.places.get_distance
         distances = {found: measure(hall, found) for found in {one.hall for one in fitting}}
         rings: dict[Distance, list[Upstream]] = {distance: [] for distance in Distance}
         for one in fitting:
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.places import Distance, Places
+from beamhatch.relay.places import Distance, Topology
 
 if TYPE_CHECKING:
-    from beamhatch.relay.model import Engine
+    from beamhatch.relay.model import EngineSpec
 
 ROUND_TRIPS = {Distance.SAME_HALL: 0.0005, Distance.SAME_REGION: 0.001, Distance.OTHER_REGION: 0.025}
 """Seconds there and back: usual for machines of one building, of one city, of cities some hundred kilometres apart."""
@@ -51,13 +51,13 @@
     """What distance costs one VM."""
 
     hall: str
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     counts: bool = True
     """False where distance is to cost nothing."""
 
     def measure(self, hall: str) -> Distance:
         """Return how far a hall is from this VM's."""
-        return self.places.measure(self.hall, hall)
+        return self.places.get_distance(self.hall, hall)
 
     def count_way(self, hall: str, caller_bytes: float) -> float:
         """Return the seconds that an upstream's place costs, with a price on what crosses for the caller."""
@@ -70,7 +70,7 @@
         """Return the seconds that it costs to move a KV cache between engines of two halls."""
         if not self.counts:
             return 0.0
-        distance = self.places.measure(source, target)
+        distance = self.places.get_distance(source, target)
         return cache.move_time * MOVE_FACTORS[distance] + cache.size * MOVED_BYTE_PRICE * BYTE_PRICES[distance]
 
 
@@ -88,9 +88,9 @@
 """Of a prompt whose bytes are not told."""
 
 
-def find_cache(engine: Engine, tokens: int) -> CacheFacts:
+def find_cache(engine: EngineSpec, tokens: int) -> CacheFacts:
     """Return what moving the KV cache of some tokens takes."""
-    size = tokens * engine.kv_token_bytes
-    if not size or not engine.link_rate:
+    size = tokens * engine.kv_bytes_per_token
+    if not size or not engine.link_bytes_per_s:
         return UNTOLD_CACHE
-    return CacheFacts(size, size / engine.link_rate)
+    return CacheFacts(size, size / engine.link_bytes_per_s)
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.choosing.rests import Rests
 from beamhatch.relay.fleet.evacuations import Evacuations
 from beamhatch.relay.limits.limits import LimitPermit, Limits
-from beamhatch.relay.places import Places
+from beamhatch.relay.places import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -62,7 +62,7 @@
     """Knows what stands between requests and upstreams."""
 
     listing: Listing
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     evacuations: Evacuations = field(default_factory=Evacuations)
     gate: ColdGate = field(default_factory=OpenGate)
     rests: Rests = field(default_factory=Rests)
@@ -91,19 +91,19 @@
 
     def lies_in(self, upstream: Upstream, regions: Regions) -> bool:
         """Tell whether an upstream is in one of the regions that a request may be served in."""
-        return regions is None or self.places.lies_in(upstream.hall, regions)
+        return regions is None or self.places.is_in_regions(upstream.hall, regions)
 
     def is_cold(self, upstream: Upstream, cold: ColdTerms, now: float) -> bool:
         """Tell whether an upstream is cold, or may be as its hall was taken back a moment ago."""
         return now < self.find_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
-        return now < max(self.listing.latest_cold, self.evacuations.latest_return + cold.start_time)
+        return now < max(self.listing.latest_cold, self.evacuations.latest_return + cold.duration)
 
     def find_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
         """Return until when an upstream is taken as cold, in monotonic seconds."""
         returned = self.evacuations.find_return(upstream.hall)
-        return max(self.listing.find_cold_until(upstream.id), returned + cold.start_time)
+        return max(self.listing.find_cold_until(upstream.id), returned + cold.duration)
 
     def find_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send to a cold upstream, at the latest when that is warm."""
@@ -112,7 +112,7 @@
 
     def take_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
         """Hold room for a request that is to go to an upstream; None where that is warm, and names no limit."""
-        limited = self.limits.hold(upstream.life, now)
+        limited = self.limits.hold(upstream.incarnation, now)
         if cold is None or not self.is_cold(upstream, cold, now):
             return None if limited is None else SendPermit(None, limited)
         self.gate.hold(upstream.id, now)
@@ -124,7 +124,7 @@
 
     def note_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
         """Count a request that goes to an upstream without a permit."""
-        self.limits.spend(upstream.life, now)
+        self.limits.spend(upstream.incarnation, now)
         if cold is not None and self.is_cold(upstream, cold, now):
             self.gate.note_sent(upstream.id, now)
 
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -64,7 +64,7 @@
 
 def _find_rest(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Lack | None:
     """Return when the first of some upstreams that rest may be sent something, None where none rests."""
-    resting = [one.life for one in answering if not eligibility.rests.may_be_sent(one, now)]
+    resting = [one.incarnation for one in answering if not eligibility.rests.may_be_sent(one, now)]
     if not resting:
         return None
     waits = [end - now for end in (eligibility.rests.find_end(life, now) for life in resting) if end is not None]
@@ -75,7 +75,9 @@
 def _find_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Lack | None:
     """Return when the first of some upstreams has room that nothing but its limit keeps shut, None where none is."""
     limits = eligibility.limits
-    lives = [one.life for one in answering if eligibility.find_obstacle(one, None, None, now) is Obstacle.LIMITED]
+    lives = [
+        one.incarnation for one in answering if eligibility.find_obstacle(one, None, None, now) is Obstacle.LIMITED
+    ]
     if not lives:
         return None
     return Lack(Obstacle.LIMITED, min(limits.find_wait(life, now) for life in lives), limits.find_pace(lives))
--- a/src/beamhatch/relay/choosing/rests.py
+++ b/src/beamhatch/relay/choosing/rests.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from beamhatch.relay.model import Life, Upstream, UpstreamId
+    from beamhatch.relay.model import Incarnation, Upstream, UpstreamId
 
 REST_SPREAD = 0.25
 """Share by which a rest is lengthened at the most, drawn anew for each.
@@ -57,7 +57,7 @@
     """A request to an upstream whose rest is over; it tells once whether that is back."""
 
     rests: Rests
-    life: Life
+    life: Incarnation
     _told: bool = False
 
     def end(self, now: float, *, answered: bool) -> None:
@@ -71,15 +71,15 @@
 class Rests:
     """All rests that upstreams have asked this VM for, by the life that asked."""
 
-    _rests: dict[Life, _Rest] = field(default_factory=dict)
+    _rests: dict[Incarnation, _Rest] = field(default_factory=dict)
     _ids: set[UpstreamId] = field(default_factory=set)
     """Whose lives these are: by them, upstreams that ask nothing are passed at little cost."""
 
     def may_be_sent(self, upstream: Upstream, now: float) -> bool:
         """Tell whether an upstream may be sent one more request; see ``may_send``."""
-        return upstream.id not in self._ids or self.may_send(upstream.life, now)
+        return upstream.id not in self._ids or self.may_send(upstream.incarnation, now)
 
-    def take(self, life: Life, seconds: float, now: float) -> bool:
+    def take(self, life: Incarnation, seconds: float, now: float) -> bool:
         """Take in that an upstream wants nothing for some seconds; return whether it was not resting already."""
         until = now + seconds * random.uniform(1.0, 1.0 + REST_SPREAD)
         known = self._rests.get(life)
@@ -90,21 +90,21 @@
         self._ids.add(life.id)
         return True
 
-    def find_end(self, life: Life, now: float) -> float | None:
+    def find_end(self, life: Incarnation, now: float) -> float | None:
         """Return when an upstream's rest ends, None where that is over or none was asked."""
         rest = self._rests.get(life)
         return rest.until if rest is not None and now < rest.until else None
 
-    def may_send(self, life: Life, now: float) -> bool:
+    def may_send(self, life: Incarnation, now: float) -> bool:
         """Tell whether an upstream may be sent one more request. It only looks."""
         rest = self._rests.get(life)
         return rest is None or (now >= rest.until and rest.has_room(now))
 
-    def is_resting(self, life: Life, now: float) -> bool:
+    def is_resting(self, life: Incarnation, now: float) -> bool:
         """Tell whether an upstream's rest lasts, so that it wants nothing at all."""
         return self.find_end(life, now) is not None
 
-    def begin(self, life: Life, now: float) -> Trial | None:
+    def begin(self, life: Incarnation, now: float) -> Trial | None:
         """Count a request that is sent; return what it is to tell, None where the upstream did not ask for rest."""
         rest = self._rests.get(life)
         if rest is None:
@@ -112,7 +112,7 @@
         rest.trials.append(now)
         return Trial(self, life)
 
-    def end(self, life: Life, now: float, *, answered: bool) -> None:
+    def end(self, life: Incarnation, now: float, *, answered: bool) -> None:
         """Note that a request has told what it tells.
 
         :param answered: whether the upstream answered and did not turn it away
--- a/src/beamhatch/relay/choosing/sponsors.py
+++ b/src/beamhatch/relay/choosing/sponsors.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.cold import CountingGate
-from beamhatch.relay.model import hash_fraction
+from beamhatch.relay.model import hash_to_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,7 +39,7 @@
     ) -> None:
         super().__init__(vms, bound, started)
         self._find_cold_until = find_cold_until
-        self._own = hash_fraction(vms.own)
+        self._own = hash_to_fraction(vms.own)
         self._ring = [self._own]
         """The hashes of all VMs, in order."""
         self._shut: set[UpstreamId] = set()
@@ -50,7 +50,7 @@
 
     def take_view(self) -> None:
         """Take in which VMs there are."""
-        self._ring = sorted([self._own, *map(hash_fraction, self.list_others())])
+        self._ring = sorted([self._own, *map(hash_to_fraction, self.list_others())])
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
         """Tell whether one more request may go there now."""
@@ -86,11 +86,11 @@
         left = max(0.0, self._find_cold_until(upstream.id) - now)
         term = int(left // TERM)
         end = (term + 1) * TERM
-        had_one_before = max(terms.start_time, upstream.cold_left) > end
+        had_one_before = max(terms.duration, upstream.cold_left) > end
         return None if had_one_before and left > end - TERM_GAP else term
 
     def _is_sponsor(self, upstream: UpstreamId, term: int, sponsors: int) -> bool:
         """Tell whether this VM is among the next some behind an upstream, the first being next to the last."""
-        first = bisect_left(self._ring, hash_fraction(f"{upstream}/{term}"))
+        first = bisect_left(self._ring, hash_to_fraction(f"{upstream}/{term}"))
         own = bisect_left(self._ring, self._own)
         return (own - first) % len(self._ring) < sponsors
--- a/src/beamhatch/relay/choosing/turns.py
+++ b/src/beamhatch/relay/choosing/turns.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.cold import CountingGate
-from beamhatch.relay.model import hash_fraction
+from beamhatch.relay.model import hash_to_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -65,7 +65,7 @@
     def _find_rank(self, upstream: UpstreamId) -> int:
         rank = self._ranks.get(upstream)
         if rank is None:
-            own = hash_fraction(f"{upstream}/{self.vms.own}")
-            rank = sum(hash_fraction(f"{upstream}/{name}") > own for name in self.list_others())
+            own = hash_to_fraction(f"{upstream}/{self.vms.own}")
+            rank = sum(hash_to_fraction(f"{upstream}/{name}") > own for name in self.list_others())
             self._ranks[upstream] = rank
         return rank
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -21,9 +21,9 @@
 from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.limits.returns import PacedReturns
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
-from beamhatch.relay.places import Places
+from beamhatch.relay.places import Topology
 from beamhatch.relay.quarantine.quarantine import Quarantine
 from beamhatch.relay.quarantine.talk import QuarantineTalk, TalkNeeds
 from beamhatch.relay.requests.budget import Budget, BudgetTerms
@@ -41,18 +41,18 @@
     from beamhatch.clock import Clock
     from beamhatch.observe.journal import Journal
     from beamhatch.observe.tally import Tally
-    from beamhatch.relay.api import Dialect, Document, ListingNews
+    from beamhatch.relay.api import Dialect, Document, ListingUpdate
     from beamhatch.relay.callers.http_server import IncomingRequest, RequestHandler, Responder
     from beamhatch.relay.choosing.chooser import Chooser
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.model import (
         ColdTerms,
         Fingerprint,
-        Life,
+        Incarnation,
         RequestFacts,
         Route,
+        RoutingTable,
         Service,
-        Table,
         Upstream,
         UpstreamId,
     )
@@ -61,29 +61,29 @@
     from beamhatch.relay.upstreams.listing import Entry
     from beamhatch.relay.workspaces.admission import Decision
 
-COLD_COST = 1.0
+COLD_PENALTY_REQUESTS = 1.0
 """Requests whose time, at the rate that a cold upstream bears, it costs more than a warm one.
 
 All VMs like the emptiest upstream best, and one that has just started is empty, and slow. A quarter of it served less
 on a day with 11 engines that came back cold: 0.668 in place of 0.754 (one run each).
 """
 
-COLD_LOOK = 1.0
+COLD_CHECK_INTERVAL_S = 1.0
 """Seconds between two looks for upstreams that have become warm, for the log; there are none while all are warm."""
 
-MOST_NAMED = 8
+MAX_LOGGED_UPSTREAMS = 8
 """Upstreams that one line on cold ones names; of more, it tells how many."""
 
-RETURN_SHARE = 0.9
+RETRY_TIME_LEFT_SHARE = 0.9
 """Share of the longest time that callers of a route begin with, below which one is taken to ask again."""
 
-STOPPING_RETRY = 0.15
+STOPPING_RETRY_S = 0.15
 """Seconds after which a caller may come back to another VM."""
 
-UNREADY_RETRY = 1.0
+UNREADY_RETRY_S = 1.0
 """Seconds after which a caller may come back to a VM that knows no configuration yet."""
 
-BEHIND_RETRY = 0.3
+OUTDATED_RETRY_S = 0.3
 """Seconds after which a caller may come back whose key a VM doesn't know that lacks the newest configuration.
 
 Peers tell each other of a configuration within three round trips; 0.2 s were enough for 24 VMs on a paused clock.
@@ -91,14 +91,14 @@
 
 
 @dataclass(slots=True)
-class Terms:
+class ReloadableSettings:
     """Bounds that the platform sets; a reload may change them."""
 
-    budget: BudgetTerms = field(default_factory=BudgetTerms)
+    retry_budget: BudgetTerms = field(default_factory=BudgetTerms)
 
 
 @dataclass(frozen=True, slots=True)
-class _Place:
+class _Destination:
     """Where a request is served."""
 
     route: Route
@@ -128,24 +128,24 @@
     dialect: Dialect
     client: HttpClient
     chooser: Chooser
-    standings: Standings
-    terms: Terms
+    stats: Standings
+    settings: ReloadableSettings
     admission: Admission = field(default_factory=Admission)
-    without: Without = ALL_IN
+    disabled: DisabledMechanisms = NONE_DISABLED
     listing: Listing = field(default_factory=Listing)
     announcements: Announcements = field(init=False)
     eligibility: Eligibility = field(init=False)
-    changes: Changes = field(default_factory=Changes)
+    phase_changes: Changes = field(default_factory=Changes)
     quarantine: Quarantine = field(default_factory=Quarantine)
-    quarantine_talk: QuarantineTalk = field(init=False)
-    paces: EnginePaces = field(default_factory=EnginePaces)
-    work: PeerWork = field(default_factory=PeerWork)
+    quarantine_gossip: QuarantineTalk = field(init=False)
+    prefill_models: EnginePaces = field(default_factory=EnginePaces)
+    peer_backlog: PeerWork = field(default_factory=PeerWork)
     document: Document | None = None
-    started: float = 0.0
+    started_at: float = 0.0
     """When the VM started, in monotonic seconds."""
-    vms: int = 1
+    vm_count: int = 1
     """VMs that are known to be alive, this one among them."""
-    vms_lately: int = 1
+    recent_vm_count: int = 1
     """VMs that there were of late: a bound that all share is divided by them, as those out of touch use their part."""
     stopping: bool = False
     """True once a planned stop leaves no time for new requests."""
@@ -154,45 +154,47 @@
     """Called when the configuration or the listing has changed."""
     on_evacuation: Callable[[], None] = lambda: None
     """Called when a hall was emptied or taken back."""
-    on_fault: Callable[[], None] = lambda: None
+    on_failure: Callable[[], None] = lambda: None
     """Called when an upstream failed a request."""
-    on_work: Callable[[], None] = lambda: None
+    on_backlog_change: Callable[[], None] = lambda: None
     """Called when this VM's part of what an engine has to read has changed."""
-    places: Places = field(default_factory=Places)
-    _budgets: dict[ServiceName, Budget] = field(default_factory=dict)
-    lines: MemoryLines = field(init=False)
+    topology: Topology = field(default_factory=Topology)
+    _retry_budgets: dict[ServiceName, Budget] = field(default_factory=dict)
+    memory_queues: MemoryLines = field(init=False)
     _demands: defaultdict[ServiceName, Demand] = field(default_factory=lambda: defaultdict(Demand))
-    _lengths: defaultdict[ServiceName, AnswerLengths] = field(default_factory=lambda: defaultdict(AnswerLengths))
-    _read_times: defaultdict[ServiceName, ReadTimes] = field(default_factory=lambda: defaultdict(ReadTimes))
-    _returns: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
-    cold_watch: ColdWatch = field(default_factory=ColdWatch)
-    _cold_look: Any = None
+    _output_lengths: defaultdict[ServiceName, AnswerLengths] = field(default_factory=lambda: defaultdict(AnswerLengths))
+    _prefill_times: defaultdict[ServiceName, ReadTimes] = field(default_factory=lambda: defaultdict(ReadTimes))
+    _retry_schedules: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
+    cold_transitions: ColdWatch = field(default_factory=ColdWatch)
+    _cold_check: Any = None
     """The next look for upstreams that are warm again."""
-    _patience: dict[str, float] = field(default_factory=dict)
+    _longest_time_left: dict[str, float] = field(default_factory=dict)
     """The longest that a caller of each route would wait, in seconds."""
-    _strange_halls: set[str] = field(default_factory=set)
+    _unknown_halls: set[str] = field(default_factory=set)
     """Emptied halls that the settings don't place, as far as they were told of in the log."""
 
     def __post_init__(self) -> None:
         """Put together what stands between requests and upstreams."""
         self.announcements = Announcements(self.clock, self.journal, self.tally, self.dialect, self.listing)
-        self.announcements.on_news = self._note_announcement
+        self.announcements.on_news = self._schedule_withdrawal
         self.eligibility = Eligibility(
             self.listing,
-            self.places,
-            Evacuations(self.places),
+            self.topology,
+            Evacuations(self.topology),
             rests=self.announcements.rests,
             limits=self.announcements.limits,
         )
-        self.announcements.limits.count_vms = lambda: self.vms
-        self.chooser.find_cold_cost = self.find_cold_cost
-        self.lines = MemoryLines(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
-        self.quarantine_talk = QuarantineTalk(
-            TalkNeeds(self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits)
+        self.announcements.limits.count_vms = lambda: self.vm_count
+        self.chooser.find_cold_cost = self.compute_cold_cost
+        self.memory_queues = MemoryLines(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.disabled)
+        self.quarantine_gossip = QuarantineTalk(
+            TalkNeeds(
+                self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.advance_waiting
+            )
         )
 
     @property
-    def table(self) -> Table | None:
+    def table(self) -> RoutingTable | None:
         """Return the configuration in force."""
         return None if self.document is None else self.document.table
 
@@ -211,11 +213,11 @@
         """Tell whether requests can be served."""
         return self.document is not None and self.listing.complete and self.eligibility.evacuations.complete
 
-    def find_limits(self) -> CallerLimits:
+    def get_caller_limits(self) -> CallerLimits:
         """Return the bounds on callers."""
         return CallerLimits() if self.table is None else self.table.limits
 
-    def take_document(self, document: Document, source: str) -> bool:
+    def apply_document(self, document: Document, source: str) -> bool:
         """Put a configuration in force unless a newer one is; return whether it was."""
         version = document.table.version
         if self.table is not None and self.table.version >= version:
@@ -225,63 +227,67 @@
         self.journal.write(
             "CONFIG", "in force", version=version, before=before, source=source, routes=len(document.table.routes)
         )
-        self._report_unknown_regions(document.table)
+        self._log_unknown_regions(document.table)
         for exchange in list(self.exchanges):
             exchange.take_table(document.table)
         self.on_change()
         return True
 
-    def _report_unknown_regions(self, table: Table) -> None:
+    def _log_unknown_regions(self, table: RoutingTable) -> None:
         """Write a line on regions that the configuration names and the settings place no hall in."""
-        unknown = sorted(region for region in table.list_regions() if not self.places.has_any({region}))
+        unknown = sorted(region for region in table.list_named_regions() if not self.topology.has_hall_in({region}))
         if unknown:
             self.journal.write("CONFIG", "regions without halls", regions=unknown, version=table.version)
 
-    def take_places(self, places: Places) -> None:
+    def apply_topology(self, topology: Topology) -> None:
         """Take changed settings of where halls lie."""
-        if places != self.places:
-            self.places = self.eligibility.places = self.eligibility.evacuations.places = places
-            self.chooser.distances.places = places
-            self.journal.write("MAIN", "halls placed anew", halls=len(places.regions))
+        if topology != self.topology:
+            self.topology = self.eligibility.places = self.eligibility.evacuations.places = topology
+            self.chooser.distances.places = topology
+            self.journal.write("MAIN", "halls placed anew", halls=len(topology.regions))
 
-    def take_listing(self, news: ListingNews, source: str, *, whole: bool) -> None:
+    def apply_listing(self, update: ListingUpdate, source: str, *, is_snapshot: bool) -> None:
         """Take in news of upstreams.
 
         :param whole: whether what the news lack is gone
         """
         now = self.clock.now()
         listing = self.listing
-        entries = news.entries if news.settled else listing.pass_over_gone(news.entries)
+        entries = update.entries if update.authoritative else listing.pass_over_gone(update.entries)
         before = {entry.id: listing.find_last(entry.id) for entry in entries}
-        if whole:
-            changed = listing.take_whole(entries, news.at, now)
+        if is_snapshot:
+            changed = listing.take_whole(entries, update.revision, now)
         else:
             changed = [entry for entry in entries if listing.take(entry, now)]
         for entry in changed:
             self.journal.write("LISTING", _describe(entry), upstream=entry.id, revision=entry.revision, source=source)
-            self.changes.end(entry.id, None if entry.upstream is None else entry.upstream.phase)
+            self.phase_changes.end(entry.id, None if entry.upstream is None else entry.upstream.phase)
             last = before.get(entry.id)
-            if entry.upstream is not None and last is not None and not entry.upstream.is_same_life(last):
-                self._note_restart(entry.upstream, last)
-        self._note_cold([entry for entry in changed if entry.upstream is not None and entry.upstream.cold_left], source)
+            if entry.upstream is not None and last is not None and not entry.upstream.is_same_incarnation(last):
+                self._handle_restart(entry.upstream, last)
+        self._record_cold(
+            [entry for entry in changed if entry.upstream is not None and entry.upstream.cold_left], source
+        )
         if changed:
             listing.forget_old(now)
-            self.standings.keep_only(listing.list_ids())
+            self.stats.keep_only(listing.list_ids())
             self.announcements.forget_old(listing.list_ids())
             self.on_change()
 
-    def _note_restart(self, upstream: Upstream, before: Upstream) -> None:
+    def _handle_restart(self, upstream: Upstream, before: Upstream) -> None:
         """Forget what was believed of an upstream that has started again under its id."""
-        self.journal.write("LISTING", "started again", upstream=upstream.id, born=upstream.born, before=before.born)
-        self.standings.get(upstream.id).begin_life()
-        self.changes.end(upstream.id, None)
+        self.journal.write(
+            "LISTING", "started again", upstream=upstream.id, born=upstream.started_at_ms, before=before.started_at_ms
+        )
+        self.stats.get(upstream.id).begin_life()
+        self.phase_changes.end(upstream.id, None)
 
-    def is_over(self, upstream: Upstream) -> bool:
+    def has_restarted(self, upstream: Upstream) -> bool:
         """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
         newest = self.listing.find_last(upstream.id)
-        return newest is not None and not newest.is_same_life(upstream)
+        return newest is not None and not newest.is_same_incarnation(upstream)
 
-    def list_usable(self, service: ServiceName, regions: Regions = None, *, owed: bool = False) -> list[Upstream]:
+    def list_usable(self, service: ServiceName, regions: Regions = None, *, is_retry: bool = False) -> list[Upstream]:
         """Return the upstreams of a service that may get new work.
 
         :param regions: the regions that a request may be served in; None where it may be in any
@@ -289,98 +295,100 @@
         """
         now = self.clock.now()
         return self.eligibility.list_eligible(
-            self._list_staying(service, now), regions, self.find_cold_terms(service), now, owed=owed
+            self._list_not_changing(service, now), regions, self.get_cold_terms(service), now, owed=is_retry
         )
 
-    def _list_staying(self, service: ServiceName, now: float) -> list[Upstream]:
+    def _list_not_changing(self, service: ServiceName, now: float) -> list[Upstream]:
         """Return the upstreams of a service that are listed and not away for a change of their part."""
-        return self.changes.pass_over(self.listing.list_usable(service, now), now)
+        return self.phase_changes.pass_over(self.listing.list_usable(service, now), now)
 
-    def _note_cold(self, entries: Sequence[Entry], source: str) -> None:
+    def _record_cold(self, entries: Sequence[Entry], source: str) -> None:
         """Write one line on the upstreams that turned cold, and look in a while which of them are warm."""
-        turned = self.cold_watch.take([entry.id for entry in entries])
+        turned = self.cold_transitions.take([entry.id for entry in entries])
         if turned:
-            self.journal.write("COLD", "cold", count=len(turned), upstreams=turned[:MOST_NAMED], source=source)
-            self._look_soon()
+            self.journal.write(
+                "COLD", "cold", count=len(turned), upstreams=turned[:MAX_LOGGED_UPSTREAMS], source=source
+            )
+            self._schedule_cold_check()
 
-    def _look_soon(self) -> None:
-        if self._cold_look is None and self.cold_watch.cold:
-            self._cold_look = self.clock.call_later(COLD_LOOK, self._look_for_warm)
+    def _schedule_cold_check(self) -> None:
+        if self._cold_check is None and self.cold_transitions.cold:
+            self._cold_check = self.clock.call_later(COLD_CHECK_INTERVAL_S, self._check_cold)
 
-    def _look_for_warm(self) -> None:
-        self._cold_look = None
-        warm = self.cold_watch.end(self.listing.find_cold_until, self.clock.now())
+    def _check_cold(self) -> None:
+        self._cold_check = None
+        warm = self.cold_transitions.end(self.listing.find_cold_until, self.clock.now())
         if warm:
-            self.journal.write("COLD", "warm", count=len(warm), upstreams=warm[:MOST_NAMED])
-        self._look_soon()
+            self.journal.write("COLD", "warm", count=len(warm), upstreams=warm[:MAX_LOGGED_UPSTREAMS])
+        self._schedule_cold_check()
 
-    def find_cold_wait(
+    def compute_cold_wait(
         self, service: ServiceName, regions: Regions = None, tried: Collection[UpstreamId] = ()
     ) -> float | None:
         """Return the seconds until one of a service's cold upstreams has room for this VM, None where none lacks it.
 
         :param tried: those that a request won't go to any more
         """
-        terms = self.find_cold_terms(service)
+        terms = self.get_cold_terms(service)
         if terms is None:
             return None
         now = self.clock.now()
         find_obstacle = self.eligibility.find_obstacle
-        left = (one for one in self._list_staying(service, now) if one.id not in tried)
+        left = (one for one in self._list_not_changing(service, now) if one.id not in tried)
         shut = (one for one in left if find_obstacle(one, regions, terms, now) is Obstacle.COLD)
         return min((self.eligibility.find_wait(one, terms, now) for one in shut), default=None)
 
-    def find_cold_cost(self, upstream: Upstream, now: float) -> float:
+    def compute_cold_cost(self, upstream: Upstream, now: float) -> float:
         """Return the seconds that a cold upstream costs more: the time in which it bears one more request."""
-        terms = self.find_cold_terms(upstream.service)
+        terms = self.get_cold_terms(upstream.service)
         if terms is None or not self.eligibility.is_cold(upstream, terms, now):
             return 0.0
-        return COLD_COST / terms.rate
+        return COLD_PENALTY_REQUESTS / terms.rate
 
     def count_obstacles(self, service: ServiceName, regions: Regions) -> Counter[Obstacle]:
         """Return how many upstreams of a service each obstacle keeps a request from."""
         now = self.clock.now()
         listed = self.listing.list_usable(service, now)
-        return self.eligibility.count_obstacles(listed, regions, self.find_cold_terms(service), now)
+        return self.eligibility.count_obstacles(listed, regions, self.get_cold_terms(service), now)
 
-    def find_cold_terms(self, service: ServiceName) -> ColdTerms | None:
+    def get_cold_terms(self, service: ServiceName) -> ColdTerms | None:
         """Return what upstreams of a service bear while they are cold; None where that is as much as ever."""
         found = None if self.table is None else self.table.services.get(service)
         return None if found is None else found.cold
 
-    def find_obstacle(self, upstream: Upstream, service: ServiceName, regions: Regions = None) -> Obstacle | None:
+    def get_obstacle(self, upstream: Upstream, service: ServiceName, regions: Regions = None) -> Obstacle | None:
         """Return why an upstream may not be sent a request of a service, or None where it may."""
-        return self.eligibility.find_obstacle(upstream, regions, self.find_cold_terms(service), self.clock.now())
+        return self.eligibility.find_obstacle(upstream, regions, self.get_cold_terms(service), self.clock.now())
 
-    def find_lack(self, service: ServiceName, regions: Regions = None) -> Lack | None:
+    def detect_shortage(self, service: ServiceName, regions: Regions = None) -> Lack | None:
         """Return what keeps a request from all upstreams that could answer it, None where nothing does.
 
         Prefill engines don't count: without a decode engine nothing is answered, and it can do without them. Upstreams
         in other regions don't either, nor engines that are changing their part.
         """
         now = self.clock.now()
-        listed = [*self._list_staying(service, now), *self.listing.list_leaving(service)]
+        listed = [*self._list_not_changing(service, now), *self.listing.list_leaving(service)]
         answering = [one for one in listed if one.phase is not Phase.PREFILL and self.eligibility.lies_in(one, regions)]
-        return find_lack(self.eligibility, answering, regions, self.find_cold_terms(service), now)
+        return find_lack(self.eligibility, answering, regions, self.get_cold_terms(service), now)
 
-    def promise_turn(self, service: ServiceName, lack: Lack) -> float:
+    def reserve_retry_slot(self, service: ServiceName, shortage: Lack) -> float:
         """Return the seconds after which a caller is to come back that limits of all upstreams keep from a service."""
         now = self.clock.now()
-        back = self._returns[service].promise(lack.wait, lack.pace / self.vms, now)
-        lives = [one.life for one in self.listing.list_usable(service, now)]
+        back = self._retry_schedules[service].promise(shortage.wait, shortage.pace / self.vm_count, now)
+        lives = [one.incarnation for one in self.listing.list_usable(service, now)]
         self.announcements.limits.note_refused(lives, now + back)
         return back
 
-    def _note_announcement(self, life: Life) -> None:
+    def _schedule_withdrawal(self, life: Incarnation) -> None:
         """Take back what was to go to an upstream that wants no more, once what is being read is read."""
         self.clock.call_later(0.0, self._withdraw_from, life)
 
-    def _withdraw_from(self, life: Life) -> None:
+    def _withdraw_from(self, incarnation: Incarnation) -> None:
         for exchange in list(self.exchanges):
-            exchange.withdraw_from(life)
-        self._ask_waiting()
+            exchange.withdraw_from(incarnation)
+        self._advance_queued()
 
-    def take_evacuations(self, news: Sequence[Evacuation], source: str, *, as_of: int, whole: bool) -> None:
+    def apply_evacuations(self, updates: Sequence[Evacuation], source: str, *, as_of: int, is_snapshot: bool) -> None:
         """Take in which halls are emptied.
 
         :param as_of: the revision up to which the news tell everything
@@ -388,97 +396,106 @@
         """
         evacuations = self.eligibility.evacuations
         now = self.clock.now()
-        if whole:
-            changed = evacuations.take_whole(news, as_of, now)
+        if is_snapshot:
+            changed = evacuations.take_whole(updates, as_of, now)
         else:
-            changed = [one for one in news if evacuations.take(one, now)]
+            changed = [one for one in updates if evacuations.take(one, now)]
             evacuations.note_known(as_of)
         for one in changed:
-            self._note_evacuation(one, source)
+            self._log_evacuation(one, source)
         if changed:
             self.on_change()
             self.on_evacuation()
-            self._ask_waiting()
+            self._advance_queued()
 
-    def _note_evacuation(self, news: Evacuation, source: str) -> None:
-        event = "emptied" if news.emptied else "taken back"
+    def _log_evacuation(self, evacuation: Evacuation, source: str) -> None:
+        event = "emptied" if evacuation.emptied else "taken back"
         self.journal.write(
             "EVACUATION",
             event,
-            hall=news.hall,
-            revision=news.revision,
+            hall=evacuation.hall,
+            revision=evacuation.revision,
             source=source,
-            under_way=self.count_in(news.hall),
+            under_way=self.count_requests_in(evacuation.hall),
             emptied=len(self.eligibility.evacuations.list_emptied()),
         )
-        strange = self._strange_halls
-        if not self.places.knows(news.hall) and news.hall not in strange and len(strange) < MOST_UNPLACED:
-            strange.add(news.hall)
-            self.journal.write("EVACUATION", "unknown hall", hall=news.hall, source=source)
-
-    def _ask_waiting(self) -> None:
+        strange = self._unknown_halls
+        if (
+            not self.topology.is_known(evacuation.hall)
+            and evacuation.hall not in strange
+            and len(strange) < MOST_UNPLACED
+        ):
+            strange.add(evacuation.hall)
+            self.journal.write("EVACUATION", "unknown hall", hall=evacuation.hall, source=source)
+
+    def _advance_queued(self) -> None:
         """Have all who wait for decode memory plan anew: where nothing is left they are answered now."""
-        for key, line in self.lines.list_all():
-            if self.find_lack(key.service, key.regions) is not None:
+        for key, line in self.memory_queues.list_all():
+            if self.detect_shortage(key.service, key.regions) is not None:
                 for waiter in line.list_all():
                     waiter.advance()
 
-    def count_in(self, hall: str) -> int:
+    def count_requests_in(self, hall: str) -> int:
         """Return how many requests are under way at upstreams of a hall."""
         return sum(exchange.hall == hall for exchange in self.exchanges)
 
-    def count_in_emptied(self) -> int:
+    def count_requests_in_evacuated(self) -> int:
         """Return how many requests are still under way at upstreams of emptied halls."""
-        return sum(self.count_in(hall) for hall in self.eligibility.evacuations.list_emptied())
+        return sum(self.count_requests_in(hall) for hall in self.eligibility.evacuations.list_emptied())
 
-    def take_change(self, upstream: UpstreamId, news: ChangeNews, source: str) -> None:
+    def apply_phase_change(self, upstream: UpstreamId, update: ChangeNews, source: str) -> None:
         """Take in that an engine was ordered to play another part."""
         found = self.listing.find(upstream)
-        if found is None or found.phase is news.phase:
+        if found is None or found.phase is update.phase:
             return
-        if self.changes.take(upstream, news, self.clock.now()):
+        if self.phase_changes.take(upstream, update, self.clock.now()):
             self.journal.write(
-                "LISTING", "changing", upstream=upstream, phase=news.phase.value, certain=news.certain, source=source
+                "LISTING",
+                "changing",
+                upstream=upstream,
+                phase=update.phase.value,
+                certain=update.certain,
+                source=source,
             )
             self.on_change()
 
-    def note_turned_away(self, upstream: UpstreamId) -> None:
+    def record_rejection(self, upstream: UpstreamId) -> None:
         """Take in that an engine turned a request away that it should have had room for."""
-        if self.changes.confirm(upstream, self.clock.now()):
+        if self.phase_changes.confirm(upstream, self.clock.now()):
             self.journal.write("LISTING", "changing", upstream=upstream, certain=True, source="turned away")
             self.on_change()
 
-    def find_budget(self, service: ServiceName) -> Budget:
+    def get_retry_budget(self, service: ServiceName) -> Budget:
         """Return the budget of repeated sends to a service."""
-        budget = self._budgets.get(service)
+        budget = self._retry_budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = Budget(self.terms.budget, self.started)
-        budget.terms = self.terms.budget
+            budget = self._retry_budgets[service] = Budget(self.settings.retry_budget, self.started_at)
+        budget.terms = self.settings.retry_budget
         return budget
 
-    def find_demand(self, service: ServiceName) -> Demand:
+    def get_demand(self, service: ServiceName) -> Demand:
         """Return what this VM's streams ask of a service."""
         return self._demands[service]
 
-    def find_read_times(self, service: ServiceName) -> ReadTimes:
+    def get_prefill_times(self, service: ServiceName) -> ReadTimes:
         """Return how long the prompts of a service took of late."""
-        return self._read_times[service]
+        return self._prefill_times[service]
 
-    def find_lengths(self, service: ServiceName) -> AnswerLengths:
+    def get_output_lengths(self, service: ServiceName) -> AnswerLengths:
         """Return how long the answers of a service become."""
-        return self._lengths[service]
+        return self._output_lengths[service]
 
-    def note_length(self, service: ServiceName, facts: RequestFacts, tokens: int) -> None:
+    def record_output_length(self, service: ServiceName, facts: RequestFacts, tokens: int) -> None:
         """Learn how long an answer became."""
-        if Mechanism.LEARNED_ROOM not in self.without:
-            self._lengths[service].note(facts, tokens)
+        if Mechanism.LEARNED_OUTPUT_LENGTHS not in self.disabled:
+            self._output_lengths[service].note(facts, tokens)
 
-    def report_demand(self, service: ServiceName) -> DemandReport:
+    def make_demand_report(self, service: ServiceName) -> DemandReport:
         """Return what this VM's streams ask of a service, as other VMs are told."""
         now = self.clock.now()
-        demand = self.find_demand(service)
-        reading = self.paces.get_reading(service)
-        whole = self.paces.get_whole(service)
+        demand = self.get_demand(service)
+        reading = self.prefill_models.get_reading(service)
+        whole = self.prefill_models.get_whole(service)
         return DemandReport(
             prompt_rate=round(demand.count_prompt_rate(now)),
             wait_rate=round(demand.count_wait_rate(now), 2),
@@ -490,15 +507,15 @@
             whole_rate=round(whole.pace.rate) if whole.learned else 0.0,
         )
 
-    def take_paces(self, reports: Mapping[str, DemandReport]) -> None:
+    def apply_prefill_models(self, reports: Mapping[str, DemandReport]) -> None:
         """Take over what another VM has found of the engines, where this one knows nothing yet."""
         for service, report in reports.items():
             if report.read_rate:
-                self.paces.get_reading(ServiceName(service)).take(Pace(report.read_overhead, report.read_rate))
+                self.prefill_models.get_reading(ServiceName(service)).take(Pace(report.read_overhead, report.read_rate))
 
-    def report_demands(self) -> dict[str, DemandReport]:
+    def make_demand_reports(self) -> dict[str, DemandReport]:
         """Return what this VM's streams ask of each service with engines."""
-        return {name: self.report_demand(name) for name in self._demands}
+        return {name: self.make_demand_report(name) for name in self._demands}
 
     # --- callers -----------------------------------------------------------------------------------------------------
 
@@ -508,14 +525,14 @@
         if isinstance(facts, BadRequest):
             self._refuse(responder, _Refusal(facts.status, facts.detail), "")
             return None
-        place = self._find_place(incoming, facts)
+        place = self._find_destination(incoming, facts)
         if isinstance(place, _Refusal):
             self._refuse(responder, place, facts.id)
             return None
-        self.find_budget(place.service.name).note_request(self.clock.now())
+        self.get_retry_budget(place.service.name).note_request(self.clock.now())
         if place.service.engine is not None:
-            answer = self.find_lengths(place.service.name).find_mean(facts)
-            self.find_demand(place.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
+            answer = self.get_output_lengths(place.service.name).find_mean(facts)
+            self.get_demand(place.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
         exchange = RelayExchange(
             self,
             incoming,
@@ -531,31 +548,31 @@
         exchange.start()
         return exchange
 
-    def _find_place(self, incoming: IncomingRequest, facts: RequestFacts) -> _Place | _Refusal:
+    def _find_destination(self, incoming: IncomingRequest, facts: RequestFacts) -> _Destination | _Refusal:
         """Return where a request is to be served, or why it is not."""
         if self.stopping:
-            return _Refusal(503, "this VM stops", STOPPING_RETRY)
+            return _Refusal(503, "this VM stops", STOPPING_RETRY_S)
         table = self.table
         if table is None or not self.ready:
-            return _Refusal(503, "no configuration is known yet", UNREADY_RETRY)
+            return _Refusal(503, "no configuration is known yet", UNREADY_RETRY_S)
         route = table.find_route(incoming.host, incoming.path)
         if route is None:
             return _Refusal(404, f"no route, by version {table.version}")
         service = table.services.get(route.choose_service(facts.identity))
         if service is None:
-            return _Refusal(503, "the route's service is not configured", UNREADY_RETRY)
+            return _Refusal(503, "the route's service is not configured", UNREADY_RETRY_S)
         decision = self.admission.decide(facts, route, table, self.clock.now())
         if not isinstance(decision, Admitted):
             return _make_refusal(decision, table.version)
-        regions = table.find_regions(route, decision.workspace)
+        regions = table.get_allowed_regions(route, decision.workspace)
         refusal = None if regions is None else self._refuse_by_regions(regions, table.version)
         fingerprint = find_fingerprint(incoming, decision.workspace)
-        refusal = refusal or self._refuse_held(fingerprint)
+        refusal = refusal or self._refuse_quarantined(fingerprint)
         if refusal is not None:
             self.admission.give_back(decision, self.clock.now())
-        return refusal or _Place(route, service, decision, regions, fingerprint)
+        return refusal or _Destination(route, service, decision, regions, fingerprint)
 
-    def _refuse_held(self, fingerprint: Fingerprint) -> _Refusal | None:
+    def _refuse_quarantined(self, fingerprint: Fingerprint) -> _Refusal | None:
         """Return how a request is refused that ends what runs it, None where it does not."""
         hold = self.quarantine.find_hold(fingerprint, self.clock.now())
         if hold is None:
@@ -569,7 +586,7 @@
         403 is told only where nothing but another configuration can mend it and this VM is sure to have the newest:
         a 4xx to a request that another version allows is worse than a repeat.
         """
-        if regions and self.places.has_any(regions):
+        if regions and self.topology.has_hall_in(regions):
             return None
         if regions:
             self.tally.count("residency_refusals_total", "no_hall")
@@ -578,24 +595,24 @@
         detail = f"route and workspace allow no region in common, by version {version}"
         if self.admission.may_be_behind():
             self.tally.count("residency_refusals_total", "maybe_never")
-            return _Refusal(503, f"{detail}, and there may be a newer one", BEHIND_RETRY)
+            return _Refusal(503, f"{detail}, and there may be a newer one", OUTDATED_RETRY_S)
         self.tally.count("residency_refusals_total", "never")
         return _Refusal(403, detail)
 
-    def end_waits(self, fingerprint: Fingerprint) -> None:
+    def advance_waiting(self, fingerprint: Fingerprint) -> None:
         """Have all who wait with a request that is held now be told so."""
         for exchange in list(self.exchanges):
             if exchange.fingerprint == fingerprint:
                 exchange.advance()
 
-    def is_return(self, route: Route, time_left: float | None) -> bool:
+    def is_caller_retry(self, route: Route, time_left: float | None) -> bool:
         """Tell whether a caller seems to have asked before: others of its route began with clearly more time."""
-        if time_left is None or Mechanism.RETURNS in self.without:
+        if time_left is None or Mechanism.CALLER_RETRIES in self.disabled:
             return False
-        longest = self._patience[route.name] = max(time_left, self._patience.get(route.name, 0.0))
-        return time_left < RETURN_SHARE * longest
+        longest = self._longest_time_left[route.name] = max(time_left, self._longest_time_left.get(route.name, 0.0))
+        return time_left < RETRY_TIME_LEFT_SHARE * longest
 
-    def note_refused(self, status: int, detail: str) -> None:
+    def record_bad_request(self, status: int, detail: str) -> None:
         """Note a request that could not be read."""
         self.tally.count("requests_total", f"bad_{status}")
         self.journal.write("CALLER", "bad request", status=status, detail=detail)
@@ -614,7 +631,9 @@
         case OverQuota():
             return _Refusal(429, f"the quota of workspace {decision.workspace} is spent", decision.retry_after)
         case Undecided():
-            return _Refusal(503, f"the API key is not in version {version}, and there may be a newer one", BEHIND_RETRY)
+            return _Refusal(
+                503, f"the API key is not in version {version}, and there may be a newer one", OUTDATED_RETRY_S
+            )
         case _:
             return _Refusal(401, f"the API key is missing or unknown, by version {version}")
 
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.choosing.sponsors import SponsorGate
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.choosing.turns import TurnGate
-from beamhatch.relay.core import Core, Terms
+from beamhatch.relay.core import Core, ReloadableSettings
 from beamhatch.relay.engines.leadership import Leadership
 from beamhatch.relay.engines.ordering import Ordering
 from beamhatch.relay.fleet.departure_talk import DepartureTalk
@@ -23,9 +23,9 @@
 from beamhatch.relay.fleet.membership import Member, Membership
 from beamhatch.relay.fleet.watching import DirectivesWatcher, ListingWatcher, Watcher
 from beamhatch.relay.limits.talk import LimitTalk
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Address, CallerLimits
-from beamhatch.relay.places import Places
+from beamhatch.relay.places import Topology
 from beamhatch.relay.quarantine.keeping import QuarantineKeeping
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.upstreams.listing import DRAIN_TIME, GONE_GRACE_SHARE, Listing
@@ -42,28 +42,28 @@
     from beamhatch.relay.requests.budget import BudgetTerms
     from beamhatch.relay.workspaces.quota import LimitChange, QuotaShare
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 """Connections that the kernel keeps until they are accepted: a second of the largest bursts."""
 
-IDLE_CLOSE_DELAY = 2.6
+IDLE_CLOSE_DELAY_S = 2.6
 """Seconds behind the begin of a planned stop after which idle connections are closed: by then no new ones come."""
 
-START_PATIENCE = 0.5
+STARTUP_PEER_TIMEOUT_S = 0.5
 """Seconds for which a new VM waits for its peers to tell it what they have, before it asks the store.
 
 VMs that are seeds of the others ask the store at once.
 """
 
-STOP_INTERVAL = 0.05
+STOP_CHECK_INTERVAL_S = 0.05
 """Seconds between two looks during a planned stop."""
 
-STOP_MARGIN = 0.6
+STOP_MARGIN_S = 0.6
 """Seconds before the end of the time for a planned stop at which what is left is cut."""
 
-LAST_TAKEN = 2.85
+MAX_ACCEPT_REQUESTS_S = 2.85
 """Seconds for which a stopping VM takes requests; the platform lets long ones be cut only if sent within 3 s."""
 
-LONGEST_LISTEN = 3.2
+MAX_LISTEN_S = 3.2
 """Seconds for which a stopping VM goes on to accept connections."""
 
 
@@ -79,22 +79,22 @@
     store_address: Address
     grace: float
     """Seconds that a planned stop may take."""
-    budget: BudgetTerms
+    retry_budget: BudgetTerms
     quota: QuotaTerms = field(default_factory=QuotaTerms)
     peer_address: Address | None = None
     seeds: list[str] = field(default_factory=list)
-    turn_time: float = 3.0
+    handover_time: float = 3.0
     """Seconds that have to pass between the orders of two VMs."""
-    places: Places = field(default_factory=Places)
+    topology: Topology = field(default_factory=Topology)
     cold_overage: float = 1.0
     """Times the rate that a cold upstream bears which may reach it in one second."""
     cold_slack: float = 0.0
     """Requests on top of that."""
     drain_time: float = DRAIN_TIME
     """Seconds behind the end of its entry in which an upstream may still be sent requests."""
-    strength: float = 0.0
+    link_mbit_per_s: float = 0.0
     """Mbit/s of the VM's link: of the VMs of a hall, the stronger ones watch the store for the others."""
-    without: Without = ALL_IN
+    disabled: DisabledMechanisms = NONE_DISABLED
     """Mechanisms that are left out, to measure what they are worth."""
     metrics_address: Address | None = None
     metrics_path: str = "/metrics"
@@ -119,7 +119,7 @@
         self.tally = tally
         client = HttpClient(clock)
         standings = Standings()
-        paces = EnginePaces(learns=Mechanism.LEARNED_PACES not in settings.without)
+        paces = EnginePaces(learns=Mechanism.LEARNED_PREFILL_RATES not in settings.disabled)
         work = PeerWork()
         self.core = Core(
             clock=clock,
@@ -127,32 +127,32 @@
             tally=tally,
             dialect=dialect,
             client=client,
-            chooser=LeastCost(standings, settings.hall, paces, work, settings.without, settings.places),
-            standings=standings,
-            paces=paces,
-            without=settings.without,
-            work=work,
-            terms=Terms(settings.budget),
+            chooser=LeastCost(standings, settings.hall, paces, work, settings.disabled, settings.topology),
+            stats=standings,
+            prefill_models=paces,
+            disabled=settings.disabled,
+            peer_backlog=work,
+            settings=ReloadableSettings(settings.retry_budget),
             listing=Listing(gone_grace=GONE_GRACE_SHARE * settings.drain_time),
-            started=clock.now(),
-            places=settings.places,
+            started_at=clock.now(),
+            topology=settings.topology,
         )
-        self.callers = CallerServer(clock, self.core.serve, self.core.find_limits, self.core.note_refused)
+        self.callers = CallerServer(clock, self.core.serve, self.core.get_caller_limits, self.core.record_bad_request)
         self._gossip = self._make_gossip(documents)
         self._watchers = self._make_watchers(store)
         if self._gossip is not None:
-            self._gossip.is_turned_away = self._is_turned_away
+            self._gossip.is_turned_away = self._is_store_unreachable
         keeping = QuarantineKeeping(self.core, store)
-        self.core.quarantine_talk.on_hold = keeping.keep
-        self.core.quarantine_talk.on_clear = keeping.end
-        self._usage = self._make_usage()
-        if self._gossip is not None and Mechanism.TOLD_DEPARTURES not in settings.without:
+        self.core.quarantine_gossip.on_hold = keeping.keep
+        self.core.quarantine_gossip.on_clear = keeping.end
+        self._usage_gossip = self._make_usage_gossip()
+        if self._gossip is not None and Mechanism.SHARED_DEPARTURES not in settings.disabled:
             departures = DepartureTalk(clock, self.core.announcements)
             departures.list_connections = self._gossip.list_connections
             self.core.announcements.on_departure = departures.tell_soon
             self._gossip.departures = departures
         limits = self.core.announcements.limits
-        limits.shared = Mechanism.SHARED_LIMITS not in settings.without
+        limits.shared = Mechanism.SHARED_LIMITS not in settings.disabled
         if self._gossip is not None:
             limits.own = self._gossip.membership.own.address
             limits.find_share = self._gossip.find_share
@@ -160,30 +160,30 @@
             self._gossip.limits.list_connections = self._gossip.list_connections
             self._gossip.limits.hands_on = self._gossip.adds_up
         self.core.eligibility.gate = self._make_cold_gate()
-        self.core.admission.may_be_behind = self._may_be_behind
+        self.core.admission.may_be_behind = self._may_be_outdated
         self.leadership: Leadership | None = None
-        self._ordering: Ordering | None = None
+        self._phase_controller: Ordering | None = None
         if self._gossip is not None:
             self.leadership = Leadership(self.core, store, settings.vm, self._gossip.membership.count_ahead)
-            self.leadership.tenure.turn_time = settings.turn_time
-            self.leadership.on_regained = self._renew_watches
-            self.leadership.on_quarantine = self.core.quarantine_talk.take_kept
-            self.leadership.on_restored_quarantine = self.core.quarantine_talk.restore_kept
-            self._ordering = Ordering(self.core, self.leadership, settings.vm, self._gossip.find_pressure)
+            self.leadership.tenure.turn_time = settings.handover_time
+            self.leadership.on_regained = self._restart_watches
+            self.leadership.on_quarantine = self.core.quarantine_gossip.take_kept
+            self.leadership.on_restored_quarantine = self.core.quarantine_gossip.restore_kept
+            self._phase_controller = Ordering(self.core, self.leadership, settings.vm, self._gossip.find_pressure)
         self._ports: list[Any] = []
         self._caller_port: Any = None
         self._stopping_since: float | None = None
         tally.gauges["open_requests"] = lambda: float(len(self.core.exchanges))
         tally.gauges["emptied_halls"] = lambda: float(len(self.core.eligibility.evacuations.list_emptied()))
-        tally.gauges["requests_in_emptied_halls"] = lambda: float(self.core.count_in_emptied())
+        tally.gauges["requests_in_emptied_halls"] = lambda: float(self.core.count_requests_in_evacuated())
         tally.gauges["configuration_version"] = lambda: float(self.core.version)
-        tally.gauges["known_vms"] = lambda: float(self.core.vms)
+        tally.gauges["known_vms"] = lambda: float(self.core.vm_count)
         tally.gauges["held_requests"] = lambda: float(self.core.quarantine.count(clock.now()))
         tally.gauges["leaving_by_own_word"] = lambda: float(len(self.core.announcements.list_untold()))
         tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.rests.count(clock.now()))
         tally.gauges["limit_share"] = lambda: self.core.announcements.limits.find_share()
         tally.gauges["limited_upstreams"] = lambda: float(self.core.announcements.limits.count())
-        tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_watch.cold))
+        tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_transitions.cold))
         tally.gauges["connections_opened"] = lambda: float(client.opened)
         tally.gauges["log_lines_left_out"] = lambda: float(journal.left_out)
 
@@ -197,21 +197,21 @@
         self.core.client.start()
         if self._gossip is not None:
             self.core.on_change = self._gossip.tell_soon
-            self.core.on_fault = self._gossip.tell_soon
-            self.core.on_work = self._gossip.tell_work_soon
+            self.core.on_failure = self._gossip.tell_soon
+            self.core.on_backlog_change = self._gossip.tell_work_soon
             self._gossip.start()
         for watcher in self._watchers:
             watcher.start()
-        self._usage.start()
-        if self.leadership is not None and self._ordering is not None:
+        self._usage_gossip.start()
+        if self.leadership is not None and self._phase_controller is not None:
             self.leadership.start()
-            if Mechanism.ORDERS not in settings.without:
-                self._ordering.start()
+            if Mechanism.PHASE_CHANGES not in settings.disabled:
+                self._phase_controller.start()
         gc.collect()
         gc.freeze()  # what was loaded stays: later collections need not look through it
         self.journal.write("MAIN", "started", store=str(settings.store_address), seeds=settings.seeds)
 
-    def _renew_watches(self) -> None:
+    def _restart_watches(self) -> None:
         for watcher in self._watchers:
             watcher.renew()
 
@@ -222,8 +222,8 @@
 
     def reload(self, settings: RelaySettings) -> None:
         """Take changed settings as far as a running process can: bounds, seeds and where halls lie."""
-        self.core.terms.budget = settings.budget
-        self.core.take_places(settings.places)
+        self.core.settings.retry_budget = settings.retry_budget
+        self.core.apply_topology(settings.topology)
         if self.core.admission.share is not None:
             self.core.admission.share.take_terms(settings.quota)
         if isinstance(self.core.eligibility.gate, CountingGate):
@@ -244,33 +244,33 @@
         if self.leadership is not None:
             self.leadership.stop()
         self.journal.write("STOP", "begun", open_requests=len(self.core.exchanges))
-        self.clock.call_later(IDLE_CLOSE_DELAY, self.callers.close_idle)
-        self.clock.call_later(STOP_INTERVAL, self._go_on_stopping)
+        self.clock.call_later(IDLE_CLOSE_DELAY_S, self.callers.close_idle)
+        self.clock.call_later(STOP_CHECK_INTERVAL_S, self._continue_stop)
 
-    def _go_on_stopping(self) -> None:
+    def _continue_stop(self) -> None:
         assert self._stopping_since is not None
         elapsed = self.clock.now() - self._stopping_since
-        if elapsed > self.settings.grace - STOP_MARGIN:
+        if elapsed > self.settings.grace - STOP_MARGIN_S:
             for exchange in list(self.core.exchanges):
                 exchange.cut("this VM stops")
-            self.clock.call_later(STOP_INTERVAL, self._end, elapsed)
+            self.clock.call_later(STOP_CHECK_INTERVAL_S, self._finish_stop, elapsed)
             return
-        self.core.stopping = elapsed > LAST_TAKEN
-        if elapsed > LONGEST_LISTEN:
+        self.core.stopping = elapsed > MAX_ACCEPT_REQUESTS_S
+        if elapsed > MAX_LISTEN_S:
             if self._caller_port is not None:
                 port, self._caller_port = self._caller_port, None
                 port.stopListening()
             self.callers.close_idle()
             if not self.core.exchanges and not self.callers.connections:
-                self._end(elapsed)
+                self._finish_stop(elapsed)
                 return
-        self.clock.call_later(STOP_INTERVAL, self._go_on_stopping)
+        self.clock.call_later(STOP_CHECK_INTERVAL_S, self._continue_stop)
 
-    def _end(self, elapsed: float) -> None:
+    def _finish_stop(self, elapsed: float) -> None:
         self.journal.write("STOP", "ended", seconds=round(elapsed, 2), cut=len(self.core.exchanges))
         for watcher in self._watchers:
             watcher.stop()
-        self._usage.stop()
+        self._usage_gossip.stop()
         if self._gossip is not None:
             self._gossip.stop()
         self.journal.flush()
@@ -282,24 +282,24 @@
         settings = self.settings
         if settings.peer_address is None:
             return None
-        own = Member(str(settings.peer_address), settings.hall, settings.strength)
+        own = Member(str(settings.peer_address), settings.hall, settings.link_mbit_per_s)
         return Gossip(self.core, documents, settings.vm, Membership(own, settings.seeds))
 
-    def _make_usage(self) -> UsageTalk:
+    def _make_usage_gossip(self) -> UsageTalk:
         """Return what keeps the quotas of workspaces over all VMs."""
         settings = self.settings
         gossip = self._gossip
         news = UsageNews(settings.vm, settings.hall)
         share: QuotaShare
-        if Mechanism.SHARED_QUOTAS in settings.without:
-            share = EqualShare(news, self._count_vms, settings.quota, self.core.started)
+        if Mechanism.SHARED_QUOTAS in settings.disabled:
+            share = EqualShare(news, self._count_vms, settings.quota, self.core.started_at)
         else:
             share = FollowingShare(
-                news, self._count_vms, settings.quota, self.core.started, on_limit=self._report_limit
+                news, self._count_vms, settings.quota, self.core.started_at, on_limit=self._log_quota_limit
             )
         self.core.admission.share = share
         connections = gossip.list_connections if gossip is not None else list
-        adds_up = gossip.membership.is_watcher if gossip is not None else _is_always_due
+        adds_up = gossip.membership.is_watcher if gossip is not None else _always
         usage = UsageTalk(self.core, share, connections, adds_up)
         if gossip is not None:
             gossip.usage = usage
@@ -308,18 +308,18 @@
     def _make_cold_gate(self) -> CountingGate:
         """Return what keeps the bound of cold upstreams over all VMs."""
         settings = self.settings
-        kind = TurnGate if Mechanism.SPONSORS in settings.without else SponsorGate
+        kind = TurnGate if Mechanism.SPONSORS in settings.disabled else SponsorGate
         if self._gossip is None:
             vms = KnownVms(settings.vm, lambda now: [], lambda: False)
         else:
             membership = self._gossip.membership
             vms = KnownVms(membership.own.address, membership.list_remembered, lambda: membership.has_others)
-        return kind(vms, _make_cold_bound(settings), self.core.started, self.core.listing.find_cold_until)
+        return kind(vms, _make_cold_bound(settings), self.core.started_at, self.core.listing.find_cold_until)
 
     def _count_vms(self) -> int:
         return 1 if self._gossip is None else self._gossip.membership.size
 
-    def _report_limit(self, change: LimitChange) -> None:
+    def _log_quota_limit(self, change: LimitChange) -> None:
         self.tally.count("quota_limits_total", "begun" if change.share < 1 else "ended")
         self.journal.write(
             "QUOTA",
@@ -331,7 +331,7 @@
             vms=change.vms,
         )
 
-    def _may_be_behind(self) -> bool:
+    def _may_be_outdated(self) -> bool:
         """Tell whether there may be a newer configuration: peers told of one, or nobody can tell."""
         hears_peers = False
         if self._gossip is not None:
@@ -341,19 +341,19 @@
         return not hears_peers and not all(watcher.connected for watcher in self._watchers)
 
     def _make_watchers(self, store: Store) -> list[Watcher]:
-        alone = self._gossip is None or Mechanism.FEW_WATCHERS in self.settings.without
-        is_due = _is_always_due if alone or self._gossip is None else self._gossip.watches
-        hears_peers = _hears_nobody if self._gossip is None else self._gossip.hears_peers
+        alone = self._gossip is None or Mechanism.FEW_WATCHERS in self.settings.disabled
+        is_due = _always if alone or self._gossip is None else self._gossip.watches
+        hears_peers = _has_no_peers if self._gossip is None else self._gossip.hears_peers
         first = self.settings.peer_address is None or str(self.settings.peer_address) in self.settings.seeds
-        patience = 0.0 if first or not self.settings.seeds else START_PATIENCE
+        patience = 0.0 if first or not self.settings.seeds else STARTUP_PEER_TIMEOUT_S
         kinds = (DirectivesWatcher, ListingWatcher)
         return [watcher(self.core, store, is_due, hears_peers, patience) for watcher in kinds]
 
-    def _is_turned_away(self) -> bool:
+    def _is_store_unreachable(self) -> bool:
         return any(watcher.is_turned_away() for watcher in self._watchers)
 
     def _listen(self, address: Address, factory: Any) -> Any:
-        return self.clock.reactor.listenTCP(address.port, factory, backlog=BACKLOG, interface=address.host)
+        return self.clock.reactor.listenTCP(address.port, factory, backlog=LISTEN_BACKLOG, interface=address.host)
 
     def _make_status_server(self, ready_path: str) -> CallerServer:
         def serve(incoming: IncomingRequest, responder: Responder) -> None:
@@ -379,9 +379,9 @@
     return ColdBound(settings.cold_overage, settings.cold_slack)
 
 
-def _is_always_due() -> bool:
+def _always() -> bool:
     return True
 
 
-def _hears_nobody() -> bool:
+def _has_no_peers() -> bool:
     return False
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from beamhatch.relay.model import Engine, ServiceName
+    from beamhatch.relay.model import EngineSpec, ServiceName
 
 
 class FleetDemand(PeerWords[Mapping[str, DemandReport]]):
@@ -23,7 +23,9 @@
 
     __slots__ = ()
 
-    def find_pressure(self, service: ServiceName, engine: Engine, own: DemandReport, vms: int, now: float) -> Pressure:
+    def find_pressure(
+        self, service: ServiceName, engine: EngineSpec, own: DemandReport, vms: int, now: float
+    ) -> Pressure:
         """Return what all VMs ask of a service; those that were not heard are taken to ask as much as the others.
 
         :param own: what this VM's own streams ask
@@ -36,7 +38,7 @@
         return Pressure(prompt_rate, wait_rate, _find_figures(engine, reports))
 
 
-def _find_figures(engine: Engine, reports: Sequence[DemandReport]) -> EngineFigures:
+def _find_figures(engine: EngineSpec, reports: Sequence[DemandReport]) -> EngineFigures:
     """Return what is known of the engines and of streams: means by traffic, and what most VMs found of the engines."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
--- a/src/beamhatch/relay/engines/leadership.py
+++ b/src/beamhatch/relay/engines/leadership.py
@@ -16,7 +16,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.relay.api import Claimed, LeadershipNews, StoreLost
+from beamhatch.relay.api import LeadershipClaim, LeadershipState, StoreUnavailable
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -124,7 +124,7 @@
     def __init__(self, core: Core, store: Store, vm: str, find_rank: Callable[[], int]) -> None:
         self.core = core
         self.tenure = Tenure()
-        self.claim: Claimed | None = None
+        self.claim: LeadershipClaim | None = None
         self._store = store
         self._vm = vm
         self._find_rank = find_rank
@@ -175,41 +175,41 @@
         while True:
             seen = await self._store.read_leadership()
             self._note_answer(seen)
-            if isinstance(seen, StoreLost):
+            if isinstance(seen, StoreUnavailable):
                 await sleep(self.core.clock, LOST_PAUSE * random.uniform(0.7, 1.3))
                 continue
             self._last_order.take(seen.last_order, self.core.clock.now(), may_be_lost=seen.order_may_be_lost)
             if seen.restored:
-                self.on_restored_quarantine(seen.held, self._find_rank() == 0)
+                self.on_restored_quarantine(seen.quarantined, self._find_rank() == 0)
             else:
-                self.on_quarantine(seen.held)
+                self.on_quarantine(seen.quarantined)
             if not recalled:
                 recalled = True
                 self.on_recall(seen.order)
-            if not seen.taken and await self._stand(seen):
+            if not seen.has_leader and await self._stand(seen):
                 await sleep(self.core.clock, LOST_PAUSE * random.uniform(0.7, 1.3))
                 continue  # the store may be away, so it is read from: a watch could wait for long
             await self._await_change(seen)
 
-    async def _await_change(self, seen: LeadershipNews) -> None:
+    async def _await_change(self, seen: LeadershipState) -> None:
         """Wait until it is worth looking again."""
         rank = self._find_rank()
         if rank >= CANDIDATES:
             await self._sleep_by_rank()
             return
-        news = await self._store.watch_leadership(seen.at, WATCH_WAIT)
-        pause = LOST_PAUSE if isinstance(news, StoreLost) else TURN_PAUSE * rank
+        news = await self._store.watch_leadership(seen.revision, WATCH_WAIT)
+        pause = LOST_PAUSE if isinstance(news, StoreUnavailable) else TURN_PAUSE * rank
         await sleep(self.core.clock, pause * random.uniform(0.7, 1.3))
 
     async def _sleep_by_rank(self) -> None:
         """Wait for the longer the more VMs go before this one."""
         await sleep(self.core.clock, LOOK_INTERVAL * self._find_rank() * random.uniform(0.7, 1.3))
 
-    async def _stand(self, seen: LeadershipNews) -> bool:
+    async def _stand(self, seen: LeadershipState) -> bool:
         """Claim the lease, and keep it for as long as possible; return whether this VM had it."""
         sent_at = self.core.clock.now()
         claim = await self._store.claim_leadership(self._vm, LEASE_TIME, seen)
-        if not isinstance(claim, Claimed):
+        if not isinstance(claim, LeadershipClaim):
             return False
         self.claim = claim
         self.tenure.begin(claim.revision, sent_at, self._last_order)
@@ -217,11 +217,11 @@
         while self.tenure.holds(self.core.clock.now()):
             await sleep(self.core.clock, KEEP_INTERVAL)
             sent_at = self.core.clock.now()
-            kept = await self._store.keep_leadership(claim, KEEP_TIMEOUT)
+            kept = await self._store.renew_leadership(claim, KEEP_TIMEOUT)
             self._note_answer(kept)
             if kept is True:
                 self.tenure.renew(sent_at)
-            elif not isinstance(kept, StoreLost):
+            elif not isinstance(kept, StoreUnavailable):
                 break
         self.tenure.end()
         self.claim = None
@@ -230,7 +230,7 @@
 
     def _note_answer(self, answer: object) -> None:
         """Notice when the store is back: these calls are made often, also while nothing changes."""
-        lost = isinstance(answer, StoreLost)
+        lost = isinstance(answer, StoreUnavailable)
         if self._lost and not lost:
             self.on_regained()
         self._lost = lost
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -91,7 +91,7 @@
         if order and not recalled:
             self.core.journal.write("LEADER", "last order unreadable", order=order[:200])
         for upstream, phase in recalled:
-            self.core.take_change(upstream, ChangeNews(phase, RECALLED_LIFE, certain=False), "store")
+            self.core.apply_phase_change(upstream, ChangeNews(phase, RECALLED_LIFE, certain=False), "store")
 
     def _look(self) -> None:
         self.core.clock.call_later(LOOK_INTERVAL, self._look)
@@ -107,17 +107,17 @@
                 self._look_at(service, now)
 
     def _look_at(self, service: Service, now: float) -> None:
-        listed = self.core.listing.list_lasting(service.name, now, self.core.standings.list_silent(now))
+        listed = self.core.listing.list_lasting(service.name, now, self.core.stats.list_silent(now))
         lasting = self.core.eligibility.evacuations.list_outside(listed)
-        engines = [one for one in self.core.changes.foresee(lasting, now) if one.phase is not Phase.PLAIN]
+        engines = [one for one in self.core.phase_changes.foresee(lasting, now) if one.phase is not Phase.PLAIN]
         left = self.core.listing.count_left(service.name)
         if left > self._left.get(service.name, 0):
             self._ordered.pop(service.name, None)  # what was learned before an engine left holds no longer
         self._left[service.name] = left
         pressure = self._find_pressure(service)
         assert service.engine is not None
-        changing = {one.id for one in engines if self.core.changes.is_under_way(one.id, now)}
-        weighed = weigh_changes(engines, pressure, service.engine.switch_time, changing)
+        changing = {one.id for one in engines if self.core.phase_changes.is_under_way(one.id, now)}
+        weighed = weigh_changes(engines, pressure, service.engine.phase_change_time, changing)
         self._note_weighed(service, pressure, weighed, now)
         if self._reverses(service, weighed.phase, now):
             return
@@ -157,7 +157,7 @@
         return {
             one.id
             for one in self.core.list_usable(service.name)
-            if now >= self.core.standings.get(one.id).silent_until and not self.core.changes.is_under_way(one.id, now)
+            if now >= self.core.stats.get(one.id).silent_until and not self.core.phase_changes.is_under_way(one.id, now)
         }
 
     async def _order_all(self, changes: list[PhaseChange], pressure: Pressure) -> None:
@@ -175,15 +175,17 @@
             "LEADER", "orders", upstream=upstream.id, phase=phase, token=token, **describe_pressure(pressure)
         )
         self.core.tally.count("orders_total", change.phase.value)
-        call = self.core.dialect.make_order(upstream, change.phase, self._vm, token)
+        call = self.core.dialect.make_phase_change_call(upstream, change.phase, self._vm, token)
         ordered_at = self.core.clock.now()
-        self.core.eligibility.limits.spend(upstream.life, ordered_at)
+        self.core.eligibility.limits.spend(upstream.incarnation, ordered_at)
         answer = await fetch(self.core.client, self.core.clock, upstream.address, call, ORDER_TIMEOUT)
         answered = not isinstance(answer, str)
         if not isinstance(answer, str):
             self.core.announcements.read(upstream, answer.head, ordered_at)
         if isinstance(answer, str) or answer.head.status == ACCEPTED:
-            self.core.take_change(upstream.id, ChangeNews(change.phase, LONGEST_CHANGE, certain=answered), "order")
+            self.core.apply_phase_change(
+                upstream.id, ChangeNews(change.phase, LONGEST_CHANGE, certain=answered), "order"
+            )
         outcome = answer if isinstance(answer, str) else f"status {answer.head.status}"
         self.core.journal.write("LEADER", "order answered", upstream=upstream.id, outcome=outcome)
 
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from beamhatch.relay.places import Places
+from beamhatch.relay.places import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -37,7 +37,7 @@
 class Evacuations:
     """All halls of which there are news."""
 
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     complete: bool = False
     """True once the whole of what the store has was taken in, read by this VM or by a peer."""
     as_of: int = 0
--- a/src/beamhatch/relay/fleet/far_words.py
+++ b/src/beamhatch/relay/fleet/far_words.py
@@ -20,7 +20,7 @@
     from beamhatch.relay.engines.changing import ChangeNews
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.fleet.membership import Member
-    from beamhatch.relay.model import Life
+    from beamhatch.relay.model import Incarnation
 
 DEMAND_CHANGE = 0.25
 """Share by which a figure of a report has to change to be told: the sum over tens of VMs is nearer than that."""
@@ -77,7 +77,7 @@
     _changing: dict[str, tuple[ChangeNews, float]] = field(default_factory=dict)
     _evacuations: dict[str, int] | None = None
     """Revision by hall; None before any were told."""
-    departures: set[Life] = field(default_factory=set)
+    departures: set[Incarnation] = field(default_factory=set)
     """Lives of upstreams that leave of which both ends know."""
     mentioned: set[str] = field(default_factory=set)
     """Addresses of the VMs that it was told of, or told of itself."""
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from beamhatch.relay.api import Document, ListingNews
+from beamhatch.relay.api import Document, ListingUpdate
 from beamhatch.relay.engines.fleet_demand import FleetDemand
 from beamhatch.relay.fleet.far_words import SIGN_OF_LIFE
 from beamhatch.relay.fleet.gossip_message import (
@@ -112,12 +112,12 @@
         self.clock = core.clock
         self.journal = core.journal
         self.membership = membership
-        core.quarantine_talk.list_connections = self.list_connections
-        core.quarantine_talk.hall = membership.own.hall
-        core.quarantine_talk.hands_on = self.adds_up
+        core.quarantine_gossip.list_connections = self.list_connections
+        core.quarantine_gossip.hall = membership.own.hall
+        core.quarantine_gossip.hands_on = self.adds_up
         self._documents = documents
         self._vm = vm
-        self._traffic = PeerTraffic(core.tally, membership.own.hall, core.places)
+        self._traffic = PeerTraffic(core.tally, membership.own.hall, core.topology)
         self._connections: set[PeerConnection] = set()
         self._dialled: dict[str, PeerConnection | None] = {}
         """Addresses that this VM dialled, with the connection once it is up."""
@@ -169,7 +169,7 @@
 
     def watches(self) -> bool:
         """Tell whether this VM is to watch the store: for its hall, or because it hears from nobody."""
-        if self.membership.has_others and self.clock.now() < self.core.started + SETTLE_TIME:
+        if self.membership.has_others and self.clock.now() < self.core.started_at + SETTLE_TIME:
             return False
         return self.membership.is_watcher() or not self.hears_peers()
 
@@ -226,9 +226,9 @@
         self._drop_silent(now)
         self.membership.forget_old(now)
         self._fleet.forget_old(now)
-        self.core.work.forget_old(now)
-        self.core.vms = self.membership.size
-        self.core.vms_lately = self.membership.count_lately(now)
+        self.core.peer_backlog.forget_old(now)
+        self.core.vm_count = self.membership.size
+        self.core.recent_vm_count = self.membership.count_lately(now)
         self._dial(now)
         self._adds_up = self.membership.is_watcher()
         halls = {connection.hall for connection in self.list_connections()}
@@ -296,7 +296,7 @@
         self._work.ask()
 
     def _tell_work(self) -> None:
-        reading = self.core.standings.list_reading()
+        reading = self.core.stats.list_reading()
         if reading == self._told_work or self._stopped:
             return
         self._told_work = reading
@@ -318,7 +318,7 @@
 
         :param regular: whether they are given a sign of life where there are no news
         """
-        beat = self._make_beat(self.core.paces.take_untold())
+        beat = self._make_beat(self.core.prefill_models.take_untold())
         for connection in list(self._connections):
             self._tell_beat(connection, beat, regular=regular)
 
@@ -346,7 +346,7 @@
     def find_pressure(self, service: Service) -> Pressure:
         """Return what all VMs ask of a service, worked out from those that were heard of late."""
         assert service.engine is not None
-        own = self.core.report_demand(service.name)
+        own = self.core.make_demand_report(service.name)
         now = self.clock.now()
         return self._fleet.find_pressure(service.name, service.engine, own, self.membership.size, now)
 
@@ -379,7 +379,7 @@
         """Take in what is said of single upstreams, and of requests that end them."""
         match message:
             case QuarantineNews():
-                self.core.quarantine_talk.take(connection, message)
+                self.core.quarantine_gossip.take(connection, message)
             case DepartureNews():
                 if self.departures is not None:
                     self.departures.take(connection, message)
@@ -398,14 +398,14 @@
                 raw = unpack_document(message)
                 table = self._documents.read_configuration(raw)
                 if table is not None:
-                    self.core.take_document(Document(raw, table), f"peer {connection.vm}")
+                    self.core.apply_document(Document(raw, table), f"peer {connection.vm}")
             case AskListing():
                 if self.core.listing.complete:
                     entries = self.core.listing.list_since(message.after, self.clock.now())
                     connection.tell(ListingPart(message.after, self.core.listing.newest, entries))
             case ListingPart():
-                news = ListingNews(message.entries, message.revision)
-                self.core.take_listing(news, f"peer {connection.vm}", whole=message.after == 0)
+                news = ListingUpdate(message.entries, message.revision)
+                self.core.apply_listing(news, f"peer {connection.vm}", is_snapshot=message.after == 0)
 
     def _hand_configuration_on(self, connection: PeerConnection) -> None:
         document = self.core.document
@@ -428,9 +428,9 @@
         self.membership.note_reached(message.member.address)
         for mention in message.known[:MOST_MENTIONED]:
             self.membership.take(mention.member, mention.age, now)
-        self.core.vms = self.membership.size
+        self.core.vm_count = self.membership.size
         if is_new:
-            self.core.quarantine_talk.tell_all(connection)
+            self.core.quarantine_gossip.tell_all(connection)
             if self.departures is not None:
                 self.departures.tell_all(connection)
             if self.limits is not None:
@@ -444,21 +444,21 @@
         heard.take(message)
         if connection.vm:
             self._fleet.take(connection.vm, heard.demands, now)
-            self.core.take_paces(heard.demands)
+            self.core.apply_prefill_models(heard.demands)
             for reading in message.readings:
-                self.core.paces.note_told(reading)
+                self.core.prefill_models.note_told(reading)
         if connection.hall == self.membership.own.hall:
             self.membership.note_watch(connection.address, turned_away=message.turned_away)
         self._take_work(connection)
-        faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
+        faulty = {} if Mechanism.PEER_FAILURES in self.core.disabled else message.faulty
         for upstream, share in faulty.items():
-            self.core.standings.get(UpstreamId(upstream)).note_hint(share, now)
+            self.core.stats.get(UpstreamId(upstream)).note_hint(share, now)
         self._take_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
                 connection.told.forget_evacuations()  # a peer that is behind may believe one that has ended
             source = f"peer {connection.vm}"
-            self.core.take_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, whole=True)
+            self.core.apply_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, is_snapshot=True)
         self.newest_version = max(self.newest_version, heard.version)
         if self._lacks("configuration", self.core.version, heard.version):
             connection.tell(AskConfiguration())
@@ -466,12 +466,12 @@
             connection.tell(AskListing(self.core.revision))
 
     def _take_work(self, connection: PeerConnection) -> None:
-        if connection.vm and Mechanism.PEER_WORK not in self.core.without:
-            self.core.work.take(connection.vm, connection.heard.reading, self.clock.now())
+        if connection.vm and Mechanism.PEER_BACKLOG not in self.core.disabled:
+            self.core.peer_backlog.take(connection.vm, connection.heard.reading, self.clock.now())
 
     def _take_changes(self, connection: PeerConnection, message: Beat) -> None:
         for upstream, news in message.changing.items():
-            self.core.take_change(UpstreamId(upstream), news, f"peer {connection.vm}")
+            self.core.apply_phase_change(UpstreamId(upstream), news, f"peer {connection.vm}")
 
     def _lacks(self, what: str, own: int, theirs: int) -> bool:
         """Tell whether to ask for something newer: at once, unless the store should tell it at any moment."""
@@ -494,10 +494,10 @@
         return Beat(
             core.version,
             core.revision,
-            core.report_demands(),
-            core.standings.list_faulty(LEAST_FAULTS, now),
-            core.changes.list_news(now),
-            core.standings.list_reading(),
+            core.make_demand_reports(),
+            core.stats.list_faulty(LEAST_FAULTS, now),
+            core.phase_changes.list_news(now),
+            core.stats.list_reading(),
             list(readings),
             evacuations.list_news() if evacuations.complete and not evacuations.lacks_room else None,
             evacuations.as_of,
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -11,7 +11,7 @@
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
 from beamhatch.relay.limits.words import LimitWord, Spent
-from beamhatch.relay.model import Life
+from beamhatch.relay.model import Incarnation
 from beamhatch.relay.quarantine.ends import EndNews
 from beamhatch.relay.quarantine.quarantine import ClearNews, HoldNews
 from beamhatch.relay.upstreams.listing import Entry
@@ -123,7 +123,7 @@
 class DepartureNews(msgspec.Struct, tag="departures", frozen=True):
     """Which upstreams said in an answer that they leave, and the store does not tell of yet."""
 
-    lives: list[Life]
+    lives: list[Incarnation]
 
 
 class LimitNews(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
--- a/src/beamhatch/relay/fleet/membership.py
+++ b/src/beamhatch/relay/fleet/membership.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from beamhatch.relay.model import hash_fraction
+from beamhatch.relay.model import hash_to_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -261,7 +261,7 @@
         elsewhere = [one for one in self._list_members() if one.hall != self.own.hall]
         others = [one.address for one in elsewhere or here if one.address not in targets]
         free = [address for address in others if self._may_dial(address, now)]
-        free.sort(key=lambda address: hash_fraction(f"{self.own.address}/{address}"))
+        free.sort(key=lambda address: hash_to_fraction(f"{self.own.address}/{address}"))
         first = self._list_counterparts(now)
         targets += [*first, *(address for address in free if address not in first)][:OTHERS]
         return targets + self._list_strange_seeds(now)
@@ -311,4 +311,4 @@
 
 def _rank(member: Member) -> tuple[float, float, str]:
     """Return what members are ordered by, the same on every VM."""
-    return -member.strength, hash_fraction(member.address), member.address
+    return -member.strength, hash_to_fraction(member.address), member.address
--- a/src/beamhatch/relay/fleet/peer_traffic.py
+++ b/src/beamhatch/relay/fleet/peer_traffic.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.fleet.gossip_message import Message
-    from beamhatch.relay.places import Places
+    from beamhatch.relay.places import Topology
 
 LENGTH_BYTES = 4
 """Bytes of the length ahead of each message."""
@@ -19,7 +19,7 @@
 class PeerTraffic:
     """The counters ``peer_bytes_total`` and ``peer_messages_total``, each labelled ``KIND DISTANCE``."""
 
-    def __init__(self, tally: Tally, hall: str, places: Places) -> None:
+    def __init__(self, tally: Tally, hall: str, places: Topology) -> None:
         """Make one.
 
         :param hall: the hall of this VM
@@ -34,7 +34,7 @@
         :param size: bytes of the encoded message
         :param hall: the receiver's hall, empty where it is not known
         """
-        distance = self._places.measure(self._hall, hall).name.lower() if hall else UNKNOWN_PLACE
+        distance = self._places.get_distance(self._hall, hall).name.lower() if hall else UNKNOWN_PLACE
         label = f"{type(message).__struct_config__.tag} {distance}"
         self._tally.add("peer_bytes_total", label, size + LENGTH_BYTES)
         self._tally.count("peer_messages_total", label)
--- a/src/beamhatch/relay/fleet/watching.py
+++ b/src/beamhatch/relay/fleet/watching.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.relay.api import DirectiveNews, HistoryGone, ListingNews, StoreLost
+from beamhatch.relay.api import DirectiveUpdate, ListingUpdate, RevisionExpired, StoreUnavailable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -59,7 +59,7 @@
         self._hears_peers = hears_peers
         self._patience = patience
         self._running: defer.Deferred[None] | None = None
-        self._waiting: defer.Deferred[int | StoreLost | HistoryGone] | None = None
+        self._waiting: defer.Deferred[int | StoreUnavailable | RevisionExpired] | None = None
         self._renewing = False
         self.connected = True
         """False once the store has given no answer, until it does."""
@@ -92,11 +92,11 @@
         """Tell whether this VM has the thing from anybody."""
 
     @abstractmethod
-    async def read(self) -> int | StoreLost:
+    async def read(self) -> int | StoreUnavailable:
         """Take in all of it; return the revision as of which it was read."""
 
     @abstractmethod
-    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+    async def watch(self, after: int) -> int | StoreUnavailable | RevisionExpired:
         """Take in what changed behind a revision; return up to which one."""
 
     async def _run(self) -> None:
@@ -107,7 +107,7 @@
                 await sleep(self.core.clock, DUTY_INTERVAL * random.uniform(0.7, 1.3))
                 continue
             at = await self.read()
-            if isinstance(at, StoreLost):
+            if isinstance(at, StoreUnavailable):
                 await self._wait_again(at)
                 continue
             has_read = True
@@ -130,10 +130,10 @@
             news = await self._watch_once(at)
             if news is None:
                 continue
-            if isinstance(news, HistoryGone):
+            if isinstance(news, RevisionExpired):
                 self.core.journal.write("STORE", "history gone", watch=self.name, after=at)
                 return
-            if isinstance(news, StoreLost):
+            if isinstance(news, StoreUnavailable):
                 await self._wait_again(news)
                 return
             self._note_connected(news)
@@ -141,7 +141,7 @@
                 await sleep(self.core.clock, self.settle_time)
             at = news
 
-    async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
+    async def _watch_once(self, at: int) -> int | StoreUnavailable | RevisionExpired | None:
         """Watch behind a revision; return None where this is to be done anew."""
         self._waiting = defer.ensureDeferred(self.watch(at))
         try:
@@ -152,7 +152,7 @@
             self._renewing = False
             return None
 
-    async def _wait_again(self, lost: StoreLost) -> None:
+    async def _wait_again(self, lost: StoreUnavailable) -> None:
         if self.connected:
             self.connected = False
             self._lost_at = self.core.clock.now()
@@ -182,28 +182,28 @@
         """Tell whether there is a configuration, and which halls are emptied is known."""
         return self.core.table is not None and self.core.eligibility.evacuations.complete
 
-    async def read(self) -> int | StoreLost:
+    async def read(self) -> int | StoreUnavailable:
         """Read all of it."""
         news = await self.store.read_directives(self.core.eligibility.evacuations.as_of)
-        if isinstance(news, StoreLost):
+        if isinstance(news, StoreUnavailable):
             return news
-        self._take(news, whole=news.settled or not self.core.eligibility.evacuations.complete)
-        return news.at
+        self._take(news, whole=news.authoritative or not self.core.eligibility.evacuations.complete)
+        return news.revision
 
-    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+    async def watch(self, after: int) -> int | StoreUnavailable | RevisionExpired:
         """Wait for changes."""
         news = await self.store.watch_directives(after, WATCH_WAIT)
-        if not isinstance(news, DirectiveNews):
+        if not isinstance(news, DirectiveUpdate):
             return news
         self._take(news, whole=False)
-        return news.at
+        return news.revision
 
-    def _take(self, news: DirectiveNews, *, whole: bool) -> None:
+    def _take(self, news: DirectiveUpdate, *, whole: bool) -> None:
         if news.document is not None:
-            self.core.take_document(news.document, "store")
+            self.core.apply_document(news.document, "store")
         # an unsettled list ends nothing: peers may know of evacuations that the operators still have to write again
-        as_of = news.at if news.settled else 0
-        self.core.take_evacuations(news.evacuations, "store", as_of=as_of, whole=whole)
+        as_of = news.revision if news.authoritative else 0
+        self.core.apply_evacuations(news.evacuations, "store", as_of=as_of, is_snapshot=whole)
 
 
 class ListingWatcher(Watcher):
@@ -216,20 +216,20 @@
         """Tell whether there is a whole list."""
         return self.core.listing.complete
 
-    async def read(self) -> int | StoreLost:
+    async def read(self) -> int | StoreUnavailable:
         """Read the list."""
         news = await self.store.read_listing(self.core.listing.find_oldest())
-        if isinstance(news, StoreLost):
+        if isinstance(news, StoreUnavailable):
             return news
         # an unsettled list drops nothing: peers may know of upstreams that still have to write their entries again
-        known = news if news.settled else replace(news, at=0)
-        self.core.take_listing(known, "store", whole=news.settled or not self.core.listing.complete)
-        return news.at
+        known = news if news.authoritative else replace(news, revision=0)
+        self.core.apply_listing(known, "store", is_snapshot=news.authoritative or not self.core.listing.complete)
+        return news.revision
 
-    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+    async def watch(self, after: int) -> int | StoreUnavailable | RevisionExpired:
         """Wait for changes of the list."""
         news = await self.store.watch_listing(after, WATCH_WAIT)
-        if isinstance(news, ListingNews):
-            self.core.take_listing(news, "store", whole=False)
-            return news.at
+        if isinstance(news, ListingUpdate):
+            self.core.apply_listing(news, "store", is_snapshot=False)
+            return news.revision
         return news
--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -16,7 +16,7 @@
 
 from beamhatch.relay.limits.account import Account
 from beamhatch.relay.limits.words import LimitWord, Origin, Spent, make_key
-from beamhatch.relay.model import Life, UpstreamId, hash_fraction
+from beamhatch.relay.model import Incarnation, UpstreamId, hash_to_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable
@@ -52,7 +52,7 @@
 MOST_PLACES = 65_536
 """Places of VMs that are remembered, of 100 peers at 600 upstreams: 8 MB."""
 
-NO_LIFE = Life(UpstreamId(""), 0)
+NO_LIFE = Incarnation(UpstreamId(""), 0)
 
 
 def _count_one() -> int:
@@ -72,7 +72,7 @@
     """Room for one request at an upstream that names a limit, from the plan until it goes out or is given up."""
 
     limits: Limits
-    life: Life
+    life: Incarnation
     _held: bool = True
 
     def use(self, now: float) -> None:
@@ -101,16 +101,16 @@
     """Returns the part of all VMs that hear of each other and of this one."""
     on_news: Callable[[], None] = _ignore
     """Called when there is something to tell other VMs."""
-    _accounts: dict[Life, Account] = field(default_factory=dict)
+    _accounts: dict[Incarnation, Account] = field(default_factory=dict)
     _ids: set[UpstreamId] = field(default_factory=set)
     """Whose lives these are: most upstreams name no limit, and are passed by their ids."""
-    _by_key: dict[LifeKey, Life] = field(default_factory=dict)
+    _by_key: dict[LifeKey, Incarnation] = field(default_factory=dict)
     _untold: dict[LifeKey, Spent] = field(default_factory=dict)
-    _untold_words: dict[Life, LimitWord] = field(default_factory=dict)
+    _untold_words: dict[Incarnation, LimitWord] = field(default_factory=dict)
 
     # --- what is known -----------------------------------------------------------------------------------------------
 
-    def find(self, life: Life) -> float | None:
+    def find(self, life: Incarnation) -> float | None:
         """Return the limit of a life in requests a second, None where it names none."""
         account = self._accounts.get(life)
         return None if account is None else account.rate
@@ -119,7 +119,7 @@
         """Return how many lives name one."""
         return sum(account.rate is not None for account in self._accounts.values())
 
-    def take(self, life: Life, rate: float | None, asked_at: float, now: float) -> bool:
+    def take(self, life: Incarnation, rate: float | None, asked_at: float, now: float) -> bool:
         """Take in what an answer of the upstream names, None for nothing; return whether that is news.
 
         :param asked_at: when the request went out that is answered
@@ -155,7 +155,7 @@
             account.take_rate(word.rate, word.version, now)
         return True
 
-    def _open(self, life: Life, word: LimitWord, now: float) -> Account:
+    def _open(self, life: Incarnation, word: LimitWord, now: float) -> Account:
         account = Account(word.rate, word.version, now, now, level=min(0.0, word.level))
         key = make_key(life)
         account.place = _find_place(key, self.own)
@@ -166,7 +166,7 @@
             self._drop(next(iter(self._accounts)))
         return account
 
-    def _drop(self, life: Life) -> None:
+    def _drop(self, life: Incarnation) -> None:
         del self._accounts[life]
         self._note_dropped()
 
@@ -190,9 +190,9 @@
 
     def may_be_sent(self, upstream: Upstream, now: float, *, owed: bool = False) -> bool:
         """Tell whether an upstream may be sent one more request; see ``may_send``."""
-        return upstream.id not in self._ids or self.may_send(upstream.life, now, owed=owed)
+        return upstream.id not in self._ids or self.may_send(upstream.incarnation, now, owed=owed)
 
-    def may_send(self, life: Life, now: float, *, owed: bool = False) -> bool:
+    def may_send(self, life: Incarnation, now: float, *, owed: bool = False) -> bool:
         """Tell whether this VM may send one more request to an upstream. It only looks.
 
         :param owed: whether its caller was refused before
@@ -221,7 +221,7 @@
         share = self.find_share()
         return share if self.shared else share / max(1, self.count_vms())
 
-    def spend(self, life: Life, now: float) -> bool:
+    def spend(self, life: Incarnation, now: float) -> bool:
         """Count a request; return whether its upstream names a limit."""
         account = self._accounts.get(life)
         if account is None or account.rate is None:
@@ -236,20 +236,20 @@
             self.on_news()
         return True
 
-    def hold(self, life: Life, now: float) -> LimitPermit | None:
+    def hold(self, life: Incarnation, now: float) -> LimitPermit | None:
         """Take room for a request that is to go out; None where its upstream names no limit.
 
         The others are told now: while a prompt is read elsewhere, they would else take the same room.
         """
         return LimitPermit(self, life) if self.spend(life, now) else None
 
-    def give_back(self, life: Life, now: float) -> None:
+    def give_back(self, life: Incarnation, now: float) -> None:
         """Keep room that was held and not used for this VM's next request."""
         account = self._accounts.get(life)
         if account is not None:
             account.give_back(now)
 
-    def describe(self, life: Life) -> dict[str, object]:
+    def describe(self, life: Incarnation) -> dict[str, object]:
         """Return what this VM's part of a limit follows from, as it is written to the log."""
         account = self._accounts.get(life)
         if account is None:
@@ -261,7 +261,7 @@
             "sends": self._sends(account),
         }
 
-    def find_wait(self, life: Life, now: float) -> float:
+    def find_wait(self, life: Incarnation, now: float) -> float:
         """Return the seconds until a request should find room at an upstream that names a limit, where none has now."""
         account = self._accounts.get(life)
         if account is None or account.rate is None:
@@ -270,13 +270,13 @@
         account.fill(part, now)
         return account.find_wait(part)
 
-    def find_pace(self, lives: Iterable[Life]) -> float:
+    def find_pace(self, lives: Iterable[Incarnation]) -> float:
         """Return the requests a second that some upstreams take by their limits, those that name none left out."""
         share = self.find_share()
         accounts = (self._accounts.get(life) for life in lives)
         return sum(one.find_pace(share) for one in accounts if one is not None and one.rate is not None)
 
-    def note_refused(self, lives: Iterable[Life], until: float) -> None:
+    def note_refused(self, lives: Iterable[Incarnation], until: float) -> None:
         """Note that a caller was refused as these upstreams take no more, and may be back by some time."""
         for life in lives:
             account = self._accounts.get(life)
@@ -307,7 +307,7 @@
         self._untold_words, self._untold = {}, {}
         return words, spent
 
-    def _tell_word(self, life: Life, account: Account) -> None:
+    def _tell_word(self, life: Incarnation, account: Account) -> None:
         self._untold_words[life] = _make_word(life, account)
         self.on_news()
 
@@ -320,10 +320,10 @@
 @lru_cache(maxsize=MOST_PLACES)
 def _find_place(key: LifeKey, vm: str) -> float:
     """Return the place of a VM among those that send to an upstream, the same on all VMs."""
-    return hash_fraction(f"{key}/{vm}")
+    return hash_to_fraction(f"{key}/{vm}")
 
 
-def _make_word(life: Life, account: Account) -> LimitWord:
+def _make_word(life: Incarnation, account: Account) -> LimitWord:
     return LimitWord(life, account.version, account.rate, round(account.level, 2))
 
 
--- a/src/beamhatch/relay/limits/words.py
+++ b/src/beamhatch/relay/limits/words.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from beamhatch.relay.model import Life
+from beamhatch.relay.model import Incarnation
 
 Origin = NewType("Origin", int)
 """Names one start of a VM, drawn at random: a VM that restarts counts anew, under another one."""
@@ -19,7 +19,7 @@
 class LimitWord(msgspec.Struct, array_like=True, frozen=True):
     """What an upstream said of its limit last, as far as the sender knows."""
 
-    life: Life
+    life: Incarnation
     version: int
     """Rises with each change that a VM heard from the upstream behind those that it knew of."""
     rate: float | None
@@ -39,6 +39,6 @@
     """Those that the sender did not know of before: what counts for a receiver to which the origin is new."""
 
 
-def make_key(life: Life) -> LifeKey:
+def make_key(life: Incarnation) -> LifeKey:
     """Return what names a life, the same on all VMs; two lives hardly ever have one name."""
-    return LifeKey(zlib.crc32(f"{life.id}/{life.born}".encode()))
+    return LifeKey(zlib.crc32(f"{life.id}/{life.started_at_ms}".encode()))
--- a/src/beamhatch/relay/model.py
+++ b/src/beamhatch/relay/model.py
@@ -23,11 +23,11 @@
 """The regions in which something may be served, cached and kept; None where it may be in any."""
 
 
-def intersect_regions(one: Regions, other: Regions) -> Regions:
+def intersect_regions(first: Regions, second: Regions) -> Regions:
     """Return the regions that two bounds both allow."""
-    if one is None or other is None:
-        return other if one is None else one
-    return one & other
+    if first is None or second is None:
+        return second if first is None else first
+    return first & second
 
 
 class RouteKind(Enum):
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class WeightedService:
     """The weight of one service among those that a route is split over."""
 
     service: ServiceName
@@ -86,14 +86,14 @@
     host: str
     prefix: str
     kind: RouteKind
-    shares: tuple[Share, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout: float
     target_latency: float
     max_attempts: int = 1
     resumable: bool = False
-    target_gap: float = 0.3
+    target_event_interval: float = 0.3
     """The longest pause between two events of a stream in time."""
-    caller_patience: float = 3.6
+    caller_event_timeout: float = 3.6
     """Seconds without an event after which a caller leaves a stream."""
     public: bool = False
     """True where requests need no key."""
@@ -109,34 +109,34 @@
 
     def choose_service(self, identity: str) -> ServiceName:
         """Return the service for a request; the same identity always gets the same one."""
-        if len(self.shares) == 1:
-            return self.shares[0].service
-        total = sum(share.weight for share in self.shares)
-        point = hash_fraction(identity) * total
-        for share in self.shares:
+        if len(self.weighted_services) == 1:
+            return self.weighted_services[0].service
+        total = sum(share.weight for share in self.weighted_services)
+        point = hash_to_fraction(identity) * total
+        for share in self.weighted_services:
             point -= share.weight
             if point < 0:
                 return share.service
-        return self.shares[-1].service
+        return self.weighted_services[-1].service
 
 
 @dataclass(frozen=True, slots=True)
-class Engine:
+class EngineSpec:
     """What is known of the engines of a service."""
 
     slots: int
     kv_tokens: int
-    handle_lifetime: float
+    handle_ttl: float
     """Seconds for which a prefilled KV cache is kept for a decode engine."""
-    hold_lifetime: float = 0.0
+    reservation_ttl: float = 0.0
     """Seconds for which an engine sets memory aside for a request to come; 0 where it does not."""
-    switch_time: float = 6.0
+    phase_change_time: float = 6.0
     """Seconds that an idle engine needs to change its part."""
-    event_tokens: int = 1
+    tokens_per_event: int = 1
     """Tokens of one event of a stream; its last one may have fewer."""
-    kv_token_bytes: float = 0.0
+    kv_bytes_per_token: float = 0.0
     """Bytes of the KV cache of one token; 0 where it is not told."""
-    link_rate: float = 0.0
+    link_bytes_per_s: float = 0.0
     """Bytes a second that an engine's link carries to another one of its hall; 0 where it is not told."""
 
 
@@ -144,7 +144,7 @@
 class ColdTerms:
     """What an upstream of a service bears while it is cold, as it is for some time behind its start."""
 
-    start_time: float
+    duration: float
     """Seconds for which it stays cold behind a start."""
     rate: float
     """Requests a second that it bears, from all VMs together."""
@@ -155,7 +155,7 @@
     """A service; ``engine`` is None for a plain one, ``cold`` where its upstreams bear as much when they are cold."""
 
     name: ServiceName
-    engine: Engine | None = None
+    engine: EngineSpec | None = None
     cold: ColdTerms | None = None
 
 
@@ -170,7 +170,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
+class RoutingTable:
     """One version of the operators' configuration."""
 
     version: int
@@ -189,11 +189,11 @@
         """Tell whether the work of any workspace is limited."""
         return any(workspace.quota is not None for workspace in self.workspaces)
 
-    def find_workspace(self, key: KeyDigest | None) -> Workspace | None:
+    def get_workspace(self, key: KeyDigest | None) -> Workspace | None:
         """Return the workspace that has a key, or None."""
         return None if key is None else self.by_key.get(key)
 
-    def find_regions(self, route: Route, workspace: WorkspaceName | None, before: Regions = None) -> Regions:
+    def get_allowed_regions(self, route: Route, workspace: WorkspaceName | None, fallback: Regions = None) -> Regions:
         """Return where a request may be served: in the regions that its route and its workspace both allow.
 
         :param before: what holds for a workspace that is not in this table: its absence must not widen anything
@@ -201,9 +201,9 @@
         if workspace is None:
             return route.regions
         found = self.by_name.get(workspace)
-        return intersect_regions(route.regions, before if found is None else found.regions)
+        return intersect_regions(route.regions, fallback if found is None else found.regions)
 
-    def list_regions(self) -> set[RegionName]:
+    def list_named_regions(self) -> set[RegionName]:
         """Return all regions that routes and workspaces name."""
         bounds = [*(route.regions for route in self.routes), *(one.regions for one in self.workspaces)]
         return {region for bound in bounds if bound is not None for region in bound}
@@ -216,13 +216,13 @@
         return None
 
 
-def make_table(
+def make_routing_table(
     version: int,
     routes: list[Route],
     services: list[Service],
     limits: CallerLimits,
     workspaces: tuple[Workspace, ...] = (),
-) -> Table:
+) -> RoutingTable:
     """Return a table with its routes in the order in which they are tried, and its workspaces by their keys."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
@@ -233,14 +233,14 @@
     by_key = {key: workspace for workspace in workspaces for key in workspace.keys}
     by_name = {workspace.name: workspace for workspace in workspaces}
     by_service = {service.name: service for service in services}
-    return Table(version, tuple(routes), by_service, limits, ordered, workspaces, by_key, by_name)
+    return RoutingTable(version, tuple(routes), by_service, limits, ordered, workspaces, by_key, by_name)
 
 
-class Life(NamedTuple):
+class Incarnation(NamedTuple):
     """One start of an upstream."""
 
     id: UpstreamId
-    born: int
+    started_at_ms: int
     """When it started, in Unix milliseconds by its own clock; 0 where it does not tell.
 
     It names a life, and is no time: another number under the same id is another start, which holds nothing of before.
@@ -260,17 +260,17 @@
     slots: int
     cold_left: float = 0.0
     """Seconds for which it stays cold, counted from when this was told."""
-    born: int = 0
-    """See ``Life``."""
+    started_at_ms: int = 0
+    """See ``Incarnation``."""
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return which start of the upstream it is."""
-        return Life(self.id, self.born)
+        return Incarnation(self.id, self.started_at_ms)
 
-    def is_same_life(self, other: Upstream) -> bool:
+    def is_same_incarnation(self, other: Upstream) -> bool:
         """Tell whether two entries are of one start of an upstream."""
-        return self.life == other.life
+        return self.incarnation == other.incarnation
 
 
 @dataclass(frozen=True, slots=True)
@@ -279,7 +279,7 @@
 
     id: str
     upstream: Upstream
-    made_at: float
+    created_at: float
     """Monotonic seconds."""
 
 
@@ -290,7 +290,7 @@
     id: str | None
     """None where it was not asked, and only room by the limit that it names is kept."""
     upstream: Upstream
-    until: float
+    expires_at: float
     """Monotonic seconds."""
 
 
@@ -315,7 +315,7 @@
     output_tokens: int = 0
     """The most tokens that will be made."""
     parts: tuple[PromptPart, ...] = ()
-    output_guess: int = 0
+    output_estimate: int = 0
     """The tokens that the caller expects of the answer; 0 where it does not say."""
     key: KeyDigest | None = field(default=None, repr=False)
     """Of the key that the caller showed; None where it showed none that can be read."""
@@ -326,7 +326,7 @@
         return self.parts[-1].id if self.parts else self.id
 
 
-def hash_fraction(text: str) -> float:
+def hash_to_fraction(text: str) -> float:
     """Return a number from 0 up to 1 that is the same for the same text on every VM."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2**64
--- a/src/beamhatch/relay/quarantine/keeping.py
+++ b/src/beamhatch/relay/quarantine/keeping.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.relay.api import StoreLost
+from beamhatch.relay.api import StoreUnavailable
 from beamhatch.relay.quarantine.quarantine import HOLD_TIME
 
 if TYPE_CHECKING:
@@ -69,10 +69,10 @@
             hold = quarantine.find_hold(fingerprint, now)
             if hold is None:
                 return  # cleared, or another request explains the ends
-            lost = await self._store.keep_quarantine(fingerprint, min(HOLD_TIME, hold.until - now))
+            lost = await self._store.store_quarantine(fingerprint, min(HOLD_TIME, hold.until - now))
             if lost is None:
                 self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
-                self.core.quarantine_talk.note_held(fingerprint)
+                self.core.quarantine_gossip.note_held(fingerprint)
                 return
             pause = await self._wait_again(fingerprint, lost, pause)
 
@@ -81,12 +81,12 @@
         until = self.core.clock.now() + HOLD_TIME
         pause = FIRST_PAUSE
         while self.core.quarantine.find_hold(fingerprint, now := self.core.clock.now()) is None and now < until:
-            lost = await self._store.end_quarantine(fingerprint)
+            lost = await self._store.delete_quarantine(fingerprint)
             if lost is None:
                 return
             pause = await self._wait_again(fingerprint, lost, pause)
 
-    async def _wait_again(self, fingerprint: Fingerprint, lost: StoreLost, pause: float) -> float:
+    async def _wait_again(self, fingerprint: Fingerprint, lost: StoreUnavailable, pause: float) -> float:
         """Wait before the next try; return the seconds to wait before the one behind it."""
         self.core.tally.count("store_failures_total", "quarantine")
         self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=lost.detail)
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from beamhatch.relay.api import SendTerms
+from beamhatch.relay.api import SendOptions
 from beamhatch.relay.callers.headers import strip_hop_by_hop
 from beamhatch.relay.callers.http_server import RequestHandler
 from beamhatch.relay.callers.own_answer import send_error
@@ -33,7 +33,16 @@
     from beamhatch.relay.callers.http_server import IncomingRequest, Responder
     from beamhatch.relay.choosing.eligibility import SendPermit
     from beamhatch.relay.core import Core
-    from beamhatch.relay.model import Fingerprint, Life, Regions, RequestFacts, Route, Service, Table, Upstream
+    from beamhatch.relay.model import (
+        Fingerprint,
+        Incarnation,
+        Regions,
+        RequestFacts,
+        Route,
+        RoutingTable,
+        Service,
+        Upstream,
+    )
     from beamhatch.relay.requests.line import Line
     from beamhatch.relay.upstreams.http_client import Head
     from beamhatch.relay.workspaces.admission import Admitted
@@ -105,14 +114,14 @@
         self.core = core
         self._admitted = admitted
         late_at = incoming.arrived + FIRST_EVENT_SHARE * route.target_latency
-        if Mechanism.WHOLE_RUNS in core.without:
+        if Mechanism.DECODE_PREFILL in core.disabled:
             late_at = float("inf")
         self.request = RelayRequest(
             facts,
             route,
             service,
-            answer_room=0 if service.engine is None else core.find_lengths(service.name).find_room(facts),
-            reserves=Mechanism.RESERVATIONS not in core.without,
+            answer_room=0 if service.engine is None else core.get_output_lengths(service.name).find_room(facts),
+            reserves=Mechanism.RESERVATIONS not in core.disabled,
             late_at=late_at,
             regions=regions,
             body_bytes=len(incoming.body),
@@ -131,7 +140,7 @@
         self._cold_timer: Any = None
         self._memory_since: float | None = None
         """When the request got decode memory, in monotonic seconds."""
-        self._returns = core.is_return(route, facts.time_left)
+        self._returns = core.is_caller_retry(route, facts.time_left)
         self._timer: Any = None
         self._failure: WholeAnswer | None = None
         self._first_event = 0.0
@@ -171,18 +180,18 @@
         usable = self._list_usable()
         answering = any(one.phase is not Phase.PREFILL for one in usable)
         may_go_on = answering or request.reservation is not None
-        lack = None if may_go_on else self.core.find_lack(service, request.regions)
+        lack = None if may_go_on else self.core.detect_shortage(service, request.regions)
         if lack is not None:
             self.core.tally.count("shut_total", lack.obstacle.name.lower())
-            self.core.find_demand(service).drop_prompt(request.facts.prompt_tokens)
+            self.core.get_demand(service).drop_prompt(request.facts.prompt_tokens)
             if lack.obstacle is Obstacle.LIMITED:
-                back = self.core.promise_turn(service, lack)
+                back = self.core.reserve_retry_slot(service, lack)
             else:
                 back = spread_return(lack.wait, random.random(), owed=self._returns)
             step = request.refuse_shut(f"nothing may be sent to any upstream: {lack.obstacle.value}", back)
         else:
-            vms = max(self.core.vms, self.core.vms_lately)
-            step = request.plan(usable, self.core.chooser, self.core.find_budget(service), vms, now)
+            vms = max(self.core.vm_count, self.core.recent_vm_count)
+            step = request.plan(usable, self.core.chooser, self.core.get_retry_budget(service), vms, now)
         if isinstance(step, Refuse) and not step.full and request.regions is not None:
             return self._explain_by_regions(step, request.regions)
         return step
@@ -190,11 +199,11 @@
     @property
     def _line(self) -> Line[Waiter]:
         """Return the line in which it waits, where it has to."""
-        return self.core.lines.find(self.request.service.name, self.request.regions)
+        return self.core.memory_queues.find(self.request.service.name, self.request.regions)
 
     def _list_usable(self) -> list[Upstream]:
         owed = self._returns or self.request.doubt
-        return self.core.list_usable(self.request.service.name, self.request.regions, owed=owed)
+        return self.core.list_usable(self.request.service.name, self.request.regions, is_retry=owed)
 
     def _explain_by_regions(self, step: Refuse, regions: Regions) -> Refuse:
         """Return a refusal as it is told where upstreams in other regions might have served the request."""
@@ -218,20 +227,20 @@
         """
         request = self.request
         handle, held = request.handle, request.reservation
-        if handle is not None and self.core.is_over(handle.upstream):
+        if handle is not None and self.core.has_restarted(handle.upstream):
             request.note_handle_spent()
         elif handle is not None and not self.core.eligibility.lies_in(handle.upstream, request.regions):
-            self._call(handle.upstream, self.core.dialect.make_release(handle))
+            self._call(handle.upstream, self.core.dialect.make_release_call(handle))
             request.note_handle_spent()
         if held is None:
             self._drop_permit()
             return
-        if self.core.is_over(held.upstream):
+        if self.core.has_restarted(held.upstream):
             self._drop_permit()
             request.give_up_reservation()
             self.write_log("memory given up", to=held.upstream.id, obstacle="started again")
             return
-        obstacle = self.core.find_obstacle(held.upstream, request.service.name, request.regions)
+        obstacle = self.core.get_obstacle(held.upstream, request.service.name, request.regions)
         has_room = self._permit is not None and obstacle in (Obstacle.COLD, Obstacle.LIMITED)
         if obstacle is None or has_room:
             return
@@ -240,10 +249,10 @@
         self.write_log("memory given up", to=held.upstream.id, obstacle=obstacle.name.lower())
         self._free_memory(held)
 
-    def withdraw_from(self, life: Life) -> None:
+    def withdraw_from(self, life: Incarnation) -> None:
         """Send what has not gone out elsewhere, as an upstream wants no more."""
         attempt = self._attempt
-        if attempt is None or attempt.sent or attempt.upstream.life != life:
+        if attempt is None or attempt.sent or attempt.upstream.incarnation != life:
             return
         self.write_log("taken back", to=life.id)
         self._stop_attempt()
@@ -291,7 +300,7 @@
             self._run_out()
             return
         request = self.request
-        standing = self.core.standings.get(send.upstream.id)
+        standing = self.core.stats.get(send.upstream.id)
         self.write_log(
             "sent",
             fingerprint=self.fingerprint.hex(),
@@ -302,7 +311,7 @@
             running=standing.running,
             others=round(standing.count_others(now), 1),
             faults=round(standing.get_faults(now), 2),
-            **self.core.announcements.describe_limit(send.upstream.life),
+            **self.core.announcements.describe_limit(send.upstream.incarnation),
         )
         if request.split and send.stage is not Stage.PREFILL:
             self.note_memory()
@@ -321,11 +330,11 @@
         now = self.core.clock.now()
         in_time = self.request.route.target_latency * IN_TIME_SHARE
         line = self._line
-        if Mechanism.LINE in self.core.without and not self.request.begun:
+        if Mechanism.MEMORY_QUEUE in self.core.disabled and not self.request.begun:
             self._carry_out(self.request.refuse_full())
             return
         if not self._in_line:
-            self.core.find_demand(self.request.service.name).note_wait(now)
+            self.core.get_demand(self.request.service.name).note_wait(now)
         began_to_wait = self.request.displaced or self.request.doubt or self._cold_since is not None
         owed = self._returns or self.request.begun or began_to_wait
         if not self._in_line and not owed and not line.has_room(in_time, now):
@@ -351,7 +360,7 @@
             )
         late_at = self._incoming.arrived + in_time
         place = PlaceTerms(late_at, now + self.request.longest_wait, owed, self._claim)
-        self.core.lines.wait(self, LineKey(self.request.service.name, self.request.regions), place)
+        self.core.memory_queues.wait(self, LineKey(self.request.service.name, self.request.regions), place)
 
     @property
     def has_attempt(self) -> bool:
@@ -368,12 +377,12 @@
         self._drop_permit()
         now = self.core.clock.now()
         self._permit = self.core.eligibility.take_permit(step.upstream, self.request.service.cold, now)
-        if self.core.eligibility.limits.find(step.upstream.life) is not None:
+        if self.core.eligibility.limits.find(step.upstream.incarnation) is not None:
             self._rely_on_permit(step)
             return
         attempt = ReserveAttempt(self, step)
         self._attempt = attempt
-        attempt.start(self.core.dialect.make_reserve(step.upstream, step.tokens, step.lifetime))
+        attempt.start(self.core.dialect.make_reserve_call(step.upstream, step.tokens, step.lifetime))
 
     def _rely_on_permit(self, step: Reserve) -> None:
         """Go on without asking an engine for memory that names a limit: the call would cost one stream of two.
@@ -394,14 +403,14 @@
 
     def _make_call(self, send: Send, now: float) -> Call:
         last_event = self.request.last_event if self.request.route.resumable else self.request.facts.last_event
-        terms = SendTerms(
+        terms = SendOptions(
             stage=send.stage,
-            expect=send.upstream.id,
+            expected_upstream=send.upstream.id,
             time_left=self.limit - now,
             handle=send.handle,
             reservation=send.reservation,
             last_event=last_event,
-            keyed=self._admitted.keyed,
+            strips_credentials=self._admitted.keyed,
             workspace=self._admitted.workspace,
         )
         headers = self.core.dialect.write_request(self._passed_on, terms)
@@ -481,7 +490,7 @@
             self._fail(step)
             return
         longest = LONGEST_RETRY_SHARE * max(0.0, self.limit - now)
-        soon = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vms > 1 else wait
+        soon = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vm_count > 1 else wait
         back = min(wait, longest, soon)  # the next try reaches another VM, which may have room before this one
         self._answer(503, "its upstreams are cold", round(max(SHORTEST_RETRY, back), 2))
 
@@ -489,7 +498,7 @@
         """Return the seconds until a cold upstream has room, None where that would not help."""
         if not step.lacks_upstream or (isinstance(step, Refuse) and step.retry_after is not None):
             return None
-        return self.core.find_cold_wait(self.request.service.name, self.request.regions, self.request.tried)
+        return self.core.compute_cold_wait(self.request.service.name, self.request.regions, self.request.tried)
 
     def _give_up(self, step: Refuse | Fail) -> None:
         if isinstance(step, Fail):
@@ -520,7 +529,7 @@
     def _predict_memory(self) -> float:
         """Return after how many seconds there should be decode memory: by then the streams of now have ended."""
         now = self.core.clock.now()
-        residence = self.core.find_demand(self.request.service.name).find_residence(now)
+        residence = self.core.get_demand(self.request.service.name).find_residence(now)
         time_left = self.limit - now
         return min(residence * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD), LONGEST_RETRY_SHARE * time_left)
 
@@ -571,7 +580,7 @@
         self._drop_permit()
         self.leave_line()
         if self._memory_since is not None:
-            self.core.find_demand(self.request.service.name).end_stream(self._memory_since, self.core.clock.now())
+            self.core.get_demand(self.request.service.name).end_stream(self._memory_since, self.core.clock.now())
         self._give_back()
         if not self.request.doubt:
             self.core.admission.give_back(self._admitted, self.core.clock.now())
@@ -590,7 +599,7 @@
         """Free what engines hold for a request that has ended."""
         request = self.request
         if request.handle is not None:
-            self._call(request.handle.upstream, self.core.dialect.make_release(request.handle))
+            self._call(request.handle.upstream, self.core.dialect.make_release_call(request.handle))
             request.note_handle_spent()
         if request.reservation is not None:
             self._free_memory(request.reservation)
@@ -598,7 +607,7 @@
 
     def _free_memory(self, held: Reservation) -> None:
         if held.id is not None:
-            self._call(held.upstream, self.core.dialect.make_unreserve(held))
+            self._call(held.upstream, self.core.dialect.make_unreserve_call(held))
 
     def _call(self, upstream: Upstream, call: Call) -> None:
         """Give something back, unless nothing may go there now: it lapses by itself.
@@ -607,12 +616,12 @@
         """
         eligibility = self.core.eligibility
         now = self.core.clock.now()
-        resting = eligibility.rests.is_resting(upstream.life, now)
+        resting = eligibility.rests.is_resting(upstream.incarnation, now)
         if resting or eligibility.evacuations.is_emptied(upstream.hall):
             return
         if not eligibility.limits.may_be_sent(upstream, now):
             return
-        eligibility.limits.spend(upstream.life, now)
+        eligibility.limits.spend(upstream.incarnation, now)
         self.write_log("given back", target=call.target, to=upstream.id)
         self.core.client.open(upstream.address, call, AnnouncementSink(self.core.announcements, upstream))
 
@@ -638,14 +647,14 @@
         """Note that the request has decode memory from now on, until its end."""
         if self._memory_since is None:
             self._memory_since = self.core.clock.now()
-            self.core.find_demand(self.request.service.name).begin_stream(self._memory_since)
-            self.core.lines.find(self.request.service.name).note_served(self._claim, self._memory_since)
+            self.core.get_demand(self.request.service.name).begin_stream(self._memory_since)
+            self.core.memory_queues.find(self.request.service.name).note_served(self._claim, self._memory_since)
 
     def note_first_event(self) -> None:
         """Learn how long decode memory is held before the first event."""
         if self._memory_since is not None and not self.request.begun:
             seconds = self.core.clock.now() - self._memory_since
-            self.core.find_demand(self.request.service.name).note_first_event(seconds)
+            self.core.get_demand(self.request.service.name).note_first_event(seconds)
 
     @property
     def hall(self) -> str | None:
@@ -676,12 +685,14 @@
         if self._attempt is not None:
             self._attempt.go_on()
 
-    def take_table(self, table: Table) -> None:
+    def take_table(self, table: RoutingTable) -> None:
         """Take the times and regions of a new configuration for a request that is under way."""
         route = table.find_route(self._incoming.host, self._incoming.path)
         if route is None or self._ended:
             return
-        self._take_regions(table.find_regions(route, self._admitted.workspace, self.request.regions), table.version)
+        self._take_regions(
+            table.get_allowed_regions(route, self._admitted.workspace, self.request.regions), table.version
+        )
         if self._ended or route.timeout == self.request.route.timeout:
             return
         self.write_log("timeout changed", timeout=route.timeout, version=table.version)
--- a/src/beamhatch/relay/requests/lengths.py
+++ b/src/beamhatch/relay/requests/lengths.py
@@ -71,7 +71,7 @@
 
     def note(self, facts: RequestFacts, tokens: int) -> None:
         """Take in an answer that ended whole."""
-        self._answers.append(_Ended(facts.output_guess, max(1, tokens)))
+        self._answers.append(_Ended(facts.output_estimate, max(1, tokens)))
         if len(self._answers) < FEWEST_SAMPLES:
             return
         self._usual = math.exp(fmean(math.log(one.tokens) for one in self._answers))
@@ -90,7 +90,7 @@
         return min(mean, facts.output_tokens) if facts.output_tokens else mean
 
     def _expect(self, facts: RequestFacts) -> float:
-        return _expect(facts.output_guess, self._usual or _guess_unseen(facts))
+        return _expect(facts.output_estimate, self._usual or _guess_unseen(facts))
 
 
 def _expect(guess: int, usual: float) -> float:
--- a/src/beamhatch/relay/requests/memory_lines.py
+++ b/src/beamhatch/relay/requests/memory_lines.py
@@ -121,7 +121,9 @@
         now = self._clock.now()
         self.find(service)
         for key, line in self._lines.items():
-            if key.service == service and (key.regions is None or self._eligibility.places.lies_in(hall, key.regions)):
+            if key.service == service and (
+                key.regions is None or self._eligibility.places.is_in_regions(hall, key.regions)
+            ):
                 line.note_freed(now)
                 self._poll_in(FREED_DELAY if line.has_fresh(now) else LATE_FREED_DELAY, key)
 
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -157,7 +157,7 @@
             tokens,
             cache=find_cache(engine, facts.prompt_tokens),
             body_bytes=self.body_bytes,
-            answer_bytes=EVENT_BYTES * (self.answer_room or facts.output_tokens) // engine.event_tokens,
+            answer_bytes=EVENT_BYTES * (self.answer_room or facts.output_tokens) // engine.tokens_per_event,
             decode_hall="" if self.reservation is None else self.reservation.upstream.hall,
         )
 
@@ -169,7 +169,7 @@
     @property
     def longest_wait(self) -> float:
         """Return the seconds for which it waits for decode memory at the most, so that its caller is still there."""
-        return WAIT_SHARE * self.route.caller_patience
+        return WAIT_SHARE * self.route.caller_event_timeout
 
     @property
     def landings_failed(self) -> bool:
@@ -212,15 +212,15 @@
     def _choose_reservation(self, usable: list[Upstream], chooser: Chooser, now: float) -> Step | None:
         """Return how to get decode memory, or None where it is set aside already or can't be."""
         engine = self.service.engine
-        if engine is None or not engine.hold_lifetime or not self.reserves:
+        if engine is None or not engine.reservation_ttl or not self.reserves:
             return None
-        if self.reservation is not None and now < self.reservation.until - RESERVATION_MARGIN:
+        if self.reservation is not None and now < self.reservation.expires_at - RESERVATION_MARGIN:
             return None
         self.reservation = None
         if len(self._full) < RESERVE_TRIES:
             decode = self._choose_decode(usable, chooser, now, self.handle, self._full)
             if decode is not None and not chooser.is_unreachable(decode, now):
-                return Reserve(decode, self.facts.prompt_tokens + self.answer_room, engine.hold_lifetime)
+                return Reserve(decode, self.facts.prompt_tokens + self.answer_room, engine.reservation_ttl)
         if not self._full:
             return self._give_up("no decode engine can be asked", lacks_upstream=True)
         return self._wait_for_memory(now)
@@ -250,7 +250,7 @@
         engine = self.service.engine
         if self.handle is None or engine is None or self._landings >= MOST_LANDINGS:
             return None
-        if now - self.handle.made_at > engine.handle_lifetime * HANDLE_MARGIN:
+        if now - self.handle.created_at > engine.handle_ttl * HANDLE_MARGIN:
             return None
         if self.reservation is not None:
             return Send(Stage.DECODE, self.reservation.upstream, self.handle, self.reservation)
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -20,9 +20,9 @@
     from beamhatch.clock import Clock
     from beamhatch.observe.journal import Journal
     from beamhatch.observe.tally import Tally
-    from beamhatch.relay.api import AnswerFacts, Dialect, NamedLimit
+    from beamhatch.relay.api import AnnouncedLimit, Dialect, ResponseFacts
     from beamhatch.relay.limits.words import LimitWord
-    from beamhatch.relay.model import Life, Upstream, UpstreamId
+    from beamhatch.relay.model import Incarnation, Upstream, UpstreamId
     from beamhatch.relay.upstreams.http_client import Fault, Head
     from beamhatch.relay.upstreams.listing import Listing
 
@@ -44,36 +44,36 @@
     listing: Listing
     rests: Rests = field(default_factory=Rests)
     limits: Limits = field(default_factory=Limits)
-    on_news: Callable[[Life], None] = lambda life: None
+    on_news: Callable[[Incarnation], None] = lambda life: None
     """Called when an upstream may be sent nothing from now on that it might be sent before."""
     on_departure: Callable[[], None] = lambda: None
     """Called when an upstream has told this VM that it leaves, and the store has not."""
-    _limits_written: dict[Life, float] = field(default_factory=dict)
+    _limits_written: dict[Incarnation, float] = field(default_factory=dict)
     """When the last line was written on the limit of each life, in monotonic seconds."""
 
-    def read(self, upstream: Upstream, head: Head, asked_at: float, *, of_request: bool = False) -> AnswerFacts:
+    def read(self, upstream: Upstream, head: Head, asked_at: float, *, of_request: bool = False) -> ResponseFacts:
         """Return what the head of an upstream's answer says, and take in what it says of the upstream.
 
         :param asked_at: when the call went out that is answered, in monotonic seconds
         :param of_request: whether that was a caller's request, and not a call about memory or parts
         """
-        facts = self.dialect.read_answer(head.status, head.headers)
+        facts = self.dialect.read_response(head.status, head.headers)
         if head.status != MISDIRECTED:  # else it is another one's word
-            self._take(upstream.life, facts)
-            ran = of_request and facts.signed and not facts.not_run
-            self._take_limit(upstream.life, facts.limit, asked_at, ends=ran)
+            self._take(upstream.incarnation, facts)
+            ran = of_request and facts.from_upstream and not facts.not_run
+            self._take_limit(upstream.incarnation, facts.limit, asked_at, ends=ran)
         return facts
 
-    def _take(self, life: Life, facts: AnswerFacts) -> None:
+    def _take(self, life: Incarnation, facts: ResponseFacts) -> None:
         if facts.leaving and self.take_departure(life, "its answer"):
             self.on_departure()
-        if facts.rest is not None:
+        if facts.backoff is not None:
             self.tally.count("announcements_total", "rest")
-            if self.rests.take(life, facts.rest, self.clock.now()):
-                self.journal.write("LISTING", "asks for rest", upstream=life.id, seconds=facts.rest)
+            if self.rests.take(life, facts.backoff, self.clock.now()):
+                self.journal.write("LISTING", "asks for rest", upstream=life.id, seconds=facts.backoff)
                 self.on_news(life)
 
-    def _take_limit(self, life: Life, limit: NamedLimit | None, asked_at: float, *, ends: bool) -> None:
+    def _take_limit(self, life: Incarnation, limit: AnnouncedLimit | None, asked_at: float, *, ends: bool) -> None:
         """Take in the limit that an upstream names, or that it names none; what can't be read changes nothing.
 
         :param ends: whether an answer without the word takes a limit back: that of a request that was run
@@ -94,7 +94,7 @@
         self._note_limit(word.life, before, source)
         return True
 
-    def _note_limit(self, life: Life, before: float | None, source: str) -> None:
+    def _note_limit(self, life: Incarnation, before: float | None, source: str) -> None:
         """Write a line on a changed limit, at most one a second for each upstream, and tell of a new one."""
         rate = self.limits.find(life)
         now = self.clock.now()
@@ -107,16 +107,16 @@
         if before is None and rate is not None:
             self.on_news(life)
 
-    def take_departure(self, life: Life, source: str) -> bool:
+    def take_departure(self, life: Incarnation, source: str) -> bool:
         """Take in that an upstream leaves, by its own word; return whether that is news."""
         if not self.listing.note_leaving(life, self.clock.now()):
             return False
         self.tally.count("announcements_total", "leaving")
-        self.journal.write("LISTING", "says that it leaves", upstream=life.id, born=life.born, source=source)
+        self.journal.write("LISTING", "says that it leaves", upstream=life.id, born=life.started_at_ms, source=source)
         self.on_news(life)
         return True
 
-    def list_untold(self) -> list[Life]:
+    def list_untold(self) -> list[Incarnation]:
         """Return the lives that leave and of which the store has not told yet, oldest first."""
         return self.listing.departures.list_untold()
 
@@ -126,16 +126,16 @@
         if self.listing.is_leaving(upstream):
             told["leaving"] = True
             self.tally.count("sent_in_spite_total", "leaving")
-        if self.limits.find(upstream.life) is not None:
+        if self.limits.find(upstream.incarnation) is not None:
             self.tally.count("limited_sends_total")
         now = self.clock.now()
-        end = self.rests.find_end(upstream.life, now)
+        end = self.rests.find_end(upstream.incarnation, now)
         if end is not None:
             told["rest_left"] = round(end - now, 3)
             self.tally.count("sent_in_spite_total", "rest")
         return told
 
-    def describe_limit(self, life: Life) -> dict[str, float]:
+    def describe_limit(self, life: Incarnation) -> dict[str, float]:
         """Return what the line of a send tells of the limit that its upstream names; nothing where it names none."""
         rate = self.limits.find(life)
         return {} if rate is None else {"limit": rate}
