--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.upstreams.http_client import AnswerSink, Fault
 
 if TYPE_CHECKING:
-    from beamhatch.relay.api import AnswerFacts
+    from beamhatch.relay.api import ResponseFacts
     from beamhatch.relay.choosing.eligibility import SendPermit
     from beamhatch.relay.choosing.pace import ReadingPace
     from beamhatch.relay.choosing.rests import Trial
@@ -28,9 +28,9 @@
         self.send = send
         self.core = exchange.core
         self.request = exchange.request
-        self.standing = self.core.standings.get(send.upstream.id)
+        self.standing = self.core.stats.get(send.upstream.id)
         self.head: Head | None = None
-        self.facts: AnswerFacts | None = None
+        self.facts: ResponseFacts | None = None
         self.body = bytearray()
         self.permit: SendPermit | None = None
         """Room at an upstream that is cold or names a limit, held until the request goes out."""
@@ -57,7 +57,7 @@
         """Send the request."""
         now = self.core.clock.now()
         self.standing.begin(self._tokens, now)
-        self._trial = self.core.eligibility.rests.begin(self.send.upstream.life, now)
+        self._trial = self.core.eligibility.rests.begin(self.send.upstream.incarnation, now)
         if self._reads:
             self._begin_reading()
         self._wait(self.get_patience())
@@ -77,16 +77,18 @@
 
     def _begin_reading(self) -> None:
         upstream = self.send.upstream.id
-        self._tokens_ahead = self.standing.reading + self.core.work.count_tokens(upstream, self.core.clock.now())
+        self._tokens_ahead = self.standing.reading + self.core.peer_backlog.count_tokens(
+            upstream, self.core.clock.now()
+        )
         self._unread = self.request.need.prompt_tokens
         self.standing.reading += self._unread
-        self.core.on_work()
+        self.core.on_backlog_change()
 
     def _end_reading(self) -> None:
         if self._unread:
             self.standing.reading -= self._unread
             self._unread = 0
-            self.core.on_work()
+            self.core.on_backlog_change()
 
     def _note_reading(self, pace: ReadingPace) -> None:
         """Learn from a prompt that was read, unless it had to wait for others."""
@@ -123,7 +125,7 @@
         if told:
             planned = round(now - self._started_at, 3)
             self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **told)
-        self.request.note_sent(self.send, self.core.find_budget(self.request.service.name), now)
+        self.request.note_sent(self.send, self.core.get_retry_budget(self.request.service.name), now)
         if self.permit is not None:
             self.permit.use(now)
         else:
@@ -131,11 +133,11 @@
 
     def is_own(self, head: Head) -> bool:
         """Tell whether an answer is to this request."""
-        facts = self.core.dialect.read_answer(head.status, head.headers)
-        own = facts.request is None or facts.request == self.request.facts.id
+        facts = self.core.dialect.read_response(head.status, head.headers)
+        own = facts.request_id is None or facts.request_id == self.request.facts.id
         if not own:
             self.core.tally.count("foreign_answers_total")
-            self.exchange.write_log("foreign answer dropped", to=self.send.upstream.id, of=facts.request)
+            self.exchange.write_log("foreign answer dropped", to=self.send.upstream.id, of=facts.request_id)
         return own
 
     def take_head(self, head: Head) -> None:
@@ -159,7 +161,7 @@
             self.standing.note_silence(now)
         else:
             self.standing.note_fault(now)
-        self.core.on_fault()
+        self.core.on_failure()
         self.exchange.write_log(
             "send failed",
             to=self.send.upstream.id,
@@ -184,7 +186,7 @@
         """Tell of a run whose upstream may have ended; a prompt that is only read runs nothing."""
         begun = self.head is not None
         self.core.tally.count("broken_runs_total", "begun" if begun else "unanswered")
-        self.core.quarantine_talk.note_broken(self.send.upstream, self.exchange.fingerprint, ran, begun=begun)
+        self.core.quarantine_gossip.note_broken(self.send.upstream, self.exchange.fingerprint, ran, begun=begun)
 
     def take_not_run(self) -> None:
         """Go on elsewhere behind an upstream that turned the request away."""
@@ -205,7 +207,7 @@
         )
         self.core.tally.count("turned_away_total", str(self.head.status))
         if self.head.status != MISDIRECTED:
-            self.core.note_turned_away(self.send.upstream.id)
+            self.core.record_rejection(self.send.upstream.id)
         self.request.note_not_run(self.send)
         self.note_turned_away(now)
         self.exchange.go_on_elsewhere(self)
@@ -225,7 +227,7 @@
         now = self.core.clock.now()
         self.standing.note_success(now - self._started_at, now)
         if self.send.stage is not Stage.PREFILL:
-            self.core.quarantine_talk.note_good(self.exchange.fingerprint)
+            self.core.quarantine_gossip.note_good(self.exchange.fingerprint)
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
 
     def fail(self, detail: str) -> None:
@@ -251,7 +253,7 @@
             self.standing.note_fault(now)
         else:
             self.standing.note_silence(now)
-            self.core.on_fault()
+            self.core.on_failure()
         abandoned = self.may_abandon()
         self.exchange.write_log(
             "silent",
@@ -293,4 +295,4 @@
             self._end_reading()
             self.standing.end(self._tokens)
             if self._sent and self.send.stage is not Stage.PREFILL and self.request.split:
-                self.core.lines.note_freed(self.request.service.name, self.send.upstream.hall)
+                self.core.memory_queues.note_freed(self.request.service.name, self.send.upstream.hall)
--- a/src/beamhatch/relay/upstreams/departures.py
+++ b/src/beamhatch/relay/upstreams/departures.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from beamhatch.relay.model import Life, UpstreamId
+    from beamhatch.relay.model import Incarnation, UpstreamId
 
 MOST_KEPT = 4096
 """Lives that are remembered, the newest: 0.5 MB. Over half of the upstreams of the size to design for, 6,900."""
@@ -30,12 +30,12 @@
 class Departures:
     """All lives that are known to leave."""
 
-    _known: dict[Life, _Departure] = field(default_factory=dict)
+    _known: dict[Incarnation, _Departure] = field(default_factory=dict)
     """In the order in which they were heard of."""
     _ids: set[UpstreamId] = field(default_factory=set)
     """Whose lives these are: most upstreams stay, and are passed by their ids; see ``Rests``."""
 
-    def take(self, life: Life, now: float, *, by_store: bool = False) -> bool:
+    def take(self, life: Incarnation, now: float, *, by_store: bool = False) -> bool:
         """Take in that an upstream leaves; return whether that is news."""
         known = self._known.get(life)
         if known is not None:
@@ -52,7 +52,7 @@
         """Tell whether any life of an upstream leaves."""
         return upstream in self._ids
 
-    def has(self, life: Life) -> bool:
+    def has(self, life: Incarnation) -> bool:
         """Tell whether a life leaves."""
         return life in self._known
 
@@ -60,7 +60,7 @@
         """Return how many lives are known to leave."""
         return len(self._known)
 
-    def list_untold(self) -> list[Life]:
+    def list_untold(self) -> list[Incarnation]:
         """Return the lives that the store has not told of yet, oldest first."""
         return [life for life, departure in self._known.items() if not departure.by_store]
 
--- a/src/beamhatch/relay/upstreams/listing.py
+++ b/src/beamhatch/relay/upstreams/listing.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from beamhatch.relay.model import Life
+    from beamhatch.relay.model import Incarnation
 
 GONE_GRACE_SHARE = 0.85
 """Share of the time behind the end of its entry, in which an upstream may still be sent requests, that is used."""
@@ -108,17 +108,17 @@
             known.cold_until = now + entry.upstream.cold_left
             self.latest_cold = max(self.latest_cold, known.cold_until)
             if entry.upstream.draining:
-                self.departures.take(entry.upstream.life, now, by_store=True)
+                self.departures.take(entry.upstream.incarnation, now, by_store=True)
         return True
 
-    def note_leaving(self, life: Life, now: float) -> bool:
+    def note_leaving(self, life: Incarnation, now: float) -> bool:
         """Take in that an upstream leaves, by another word than its entry; return whether that is news."""
         self._listed.clear()
         return self.departures.take(life, now)
 
     def is_leaving(self, upstream: Upstream) -> bool:
         """Tell whether an upstream leaves."""
-        return self.departures.may_have(upstream.id) and self.departures.has(upstream.life)
+        return self.departures.may_have(upstream.id) and self.departures.has(upstream.incarnation)
 
     def _may_last(self, known: _Known) -> bool:
         """Tell whether it may be used, or expected back, as long as its entry is not gone for long."""
@@ -144,7 +144,7 @@
         known = self._known.get(entry.id)
         if known is None or known.last is None or known.entry.upstream is not None or entry.upstream is None:
             return False
-        return known.last.is_same_life(entry.upstream)
+        return known.last.is_same_incarnation(entry.upstream)
 
     def list_since(self, revision: int, now: float) -> list[Entry]:
         """Return the news behind a revision as they are handed on now, oldest first."""
--- a/src/beamhatch/relay/upstreams/plain_attempt.py
+++ b/src/beamhatch/relay/upstreams/plain_attempt.py
@@ -34,7 +34,7 @@
             self.take_not_run()
             return
         answer = WholeAnswer(self.head, bytes(self.body))
-        if 200 <= status < 300 and (not self.facts.signed or self.facts.encoded):
+        if 200 <= status < 300 and (not self.facts.from_upstream or self.facts.encoded):
             self.take_fault(Fault.MALFORMED, "the answer does not bear the upstream's signature")
         elif status >= 500 or status in PROMISES:
             self.exchange.keep_failure(answer)
--- a/src/beamhatch/relay/upstreams/prefill_attempt.py
+++ b/src/beamhatch/relay/upstreams/prefill_attempt.py
@@ -49,17 +49,17 @@
             return
         self.succeed()
         now = self.core.clock.now()
-        self.core.find_read_times(self.request.service.name).note(now - self._started_at, now)
-        self._note_reading(self.core.paces.get_reading(self.request.service.name))
+        self.core.get_prefill_times(self.request.service.name).note(now - self._started_at, now)
+        self._note_reading(self.core.prefill_models.get_reading(self.request.service.name))
         self.request.note_prefilled(Handle(handle, self.send.upstream, now))
         self.exchange.go_on_elsewhere(self)
 
     def get_patience(self) -> float:
         """Return the patience: some times what this engine takes at present, or any engine at the worst."""
         by_engine = PATIENCE_FACTOR * self.standing.latency
-        if Mechanism.READ_TIMES in self.core.without:
+        if Mechanism.PREFILL_TIMES in self.core.disabled:
             return max(SHORTEST_PATIENCE, by_engine)
-        slowest = self.core.find_read_times(self.request.service.name).find_slowest(self.core.clock.now())
+        slowest = self.core.get_prefill_times(self.request.service.name).find_slowest(self.core.clock.now())
         return max(SHORTEST_PATIENCE, by_engine, SLOWEST_FACTOR * slowest)
 
     def may_abandon(self) -> bool:
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -51,8 +51,8 @@
     def start(self, call: Call) -> None:
         """Ask."""
         now = self.core.clock.now()
-        self.core.standings.get(self._step.upstream.id).tried_at = now
-        self._trial = self.core.eligibility.rests.begin(self._step.upstream.life, now)
+        self.core.stats.get(self._step.upstream.id).tried_at = now
+        self._trial = self.core.eligibility.rests.begin(self._step.upstream.incarnation, now)
         http = self.core.client.open(self._step.upstream.address, call, self)
         if not self._ended:
             self._http = http
@@ -94,7 +94,7 @@
         self._end()
         now = self.core.clock.now()
         upstream = self._step.upstream
-        standing = self.core.standings.get(upstream.id)
+        standing = self.core.stats.get(upstream.id)
         standing.note_alive(now)
         found = self.core.dialect.read_reservation(bytes(self._body)) if self._head.status == GRANTED else None
         self.core.tally.count("reservations_total", str(self._head.status))
@@ -116,7 +116,7 @@
             return
         self._end()
         upstream = self._step.upstream
-        self.core.standings.get(upstream.id).note_silence(self.core.clock.now())
+        self.core.stats.get(upstream.id).note_silence(self.core.clock.now())
         self._exchange.request.note_no_reservation(upstream.id)
         self._exchange.write_log("not reserved", to=upstream.id, fault=fault.value, detail=detail)
         self._exchange.go_on_elsewhere(self)
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -76,20 +76,20 @@
         """Learn how long the answer became."""
         service = self.request.service
         if service.engine is not None and self.request.last_event:
-            tokens = self.request.last_event * service.engine.event_tokens
-            self.core.note_length(service.name, self.request.facts, tokens)
+            tokens = self.request.last_event * service.engine.tokens_per_event
+            self.core.record_output_length(service.name, self.request.facts, tokens)
 
     def note_turned_away(self, now: float) -> None:
         """Take in that an engine could not have the KV cache."""
         if self.send.handle is not None and self.request.landings_failed:
-            holder = self.core.standings.get(self.send.handle.upstream.id)
+            holder = self.core.stats.get(self.send.handle.upstream.id)
             holder.lapsed_until = now + LAPSE_PAUSE
 
     def get_patience(self) -> float:
         """Return the patience with an engine that has to read the prompt, or has it."""
         route = self.request.route
         if self.request.begun:
-            return max(SHORTEST_PATIENCE, GAP_PATIENCE * route.target_gap)
+            return max(SHORTEST_PATIENCE, GAP_PATIENCE * route.target_event_interval)
         times = WHOLE_PATIENCE if self.send.stage is Stage.WHOLE else FIRST_EVENT_PATIENCE
         return max(SHORTEST_PATIENCE, times * route.target_latency)
 
@@ -101,12 +101,12 @@
     def _streams(self) -> bool:
         assert self.head is not None
         assert self.facts is not None
-        return self.head.status == 200 and self.facts.signed and not self.facts.encoded
+        return self.head.status == 200 and self.facts.from_upstream and not self.facts.encoded
 
     def _pass_on(self, data: bytes, last: int | None) -> None:
         assert self.head is not None
         if self._unread:
-            self._note_reading(self.core.paces.get_whole(self.request.service.name))
+            self._note_reading(self.core.prefill_models.get_whole(self.request.service.name))
             self._end_reading()
         if not self.request.begun:
             self.exchange.begin_answer(self.head)
@@ -122,12 +122,12 @@
         service = self.request.service
         if service.engine is None or last is None:
             return
-        demand = self.core.find_demand(service.name)
+        demand = self.core.get_demand(service.name)
         if before is None:
             self.exchange.note_first_event()
         else:
             events = last - (self.request.last_event or 0)
-            demand.note_tokens(events * service.engine.event_tokens, now - before, now)
+            demand.note_tokens(events * service.engine.tokens_per_event, now - before, now)
 
     def _take_failure(self) -> None:
         assert self.head is not None
--- a/src/beamhatch/relay/workspaces/admission.py
+++ b/src/beamhatch/relay/workspaces/admission.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from beamhatch.relay.model import RequestFacts, Route, Table
+    from beamhatch.relay.model import RequestFacts, Route, RoutingTable
     from beamhatch.relay.workspaces.quota import QuotaShare
     from beamhatch.relay.workspaces.workspace import Workspace, WorkspaceName
 
@@ -62,11 +62,11 @@
     may_be_behind: Callable[[], bool] = field(default=_is_never_behind)
     """Tells whether there may be a newer configuration than this VM's."""
 
-    def decide(self, facts: RequestFacts, route: Route, table: Table, now: float) -> Decision:
+    def decide(self, facts: RequestFacts, route: Route, table: RoutingTable, now: float) -> Decision:
         """Return whether a request is taken; one that is has its cost taken from the quota."""
         if not table.workspaces:
             return Admitted()
-        workspace = table.find_workspace(facts.key)
+        workspace = table.get_workspace(facts.key)
         if workspace is None:
             return self._decide_unknown(facts, route)
         if self.share is None or workspace.quota is None:
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -145,7 +145,7 @@
 def make_two(platform: Platform) -> None:
     platform.add_vm("vm2", ["vm1:8002"])
     platform.network.run_until(lambda: platform.is_ready("vm2"))
-    platform.network.run_until(lambda: platform.vms["vm1"].core.vms == 2)
+    platform.network.run_until(lambda: platform.vms["vm1"].core.vm_count == 2)
 
 
 def test_a_vm_that_the_store_turns_away_learns_from_its_peers() -> None:
@@ -161,21 +161,24 @@
     import json
 
     from beamhatch.platform.documents import PlatformDocuments
-    from beamhatch.relay.api import Document, ListingNews
+    from beamhatch.relay.api import Document, ListingUpdate
     from beamhatch.relay.model import UpstreamId
 
     raw = json.dumps(configuration).encode()
     documents = PlatformDocuments(MemoryJournal(PausedClock(Network())))
     table = documents.read_configuration(raw)
     assert table is not None
-    vm1.core.take_document(Document(raw, table), "test")
+    vm1.core.apply_document(Document(raw, table), "test")
     entry = json.dumps(platform.upstreams["plain-0"].describe(PLAIN, "hall-a", "draining")).encode()
-    vm1.core.take_listing(
-        ListingNews([documents.read_entry(UpstreamId("plain-0"), 999, entry)], 999), "test", whole=False
+    vm1.core.apply_listing(
+        ListingUpdate([documents.read_entry(UpstreamId("plain-0"), 999, entry)], 999), "test", is_snapshot=False
     )
     platform.network.run(1.5)
     assert get_version(platform, "vm2") == 2
-    names = {one.id for one in platform.vms["vm2"].core.listing.list_usable(table.routes[0].shares[0].service, 0.0)}
+    names = {
+        one.id
+        for one in platform.vms["vm2"].core.listing.list_usable(table.routes[0].weighted_services[0].service, 0.0)
+    }
     assert names == {"plain-1"}
 
 
--- a/tests/platform/test_cold.py
+++ b/tests/platform/test_cold.py
@@ -25,7 +25,7 @@
     decode: int = 2,
 ) -> Platform:
     """Return a platform whose upstreams of some names are cold, and whose VM is no longer new."""
-    without = frozenset({Mechanism.ORDERS})  # engines that change their part turn requests away
+    without = frozenset({Mechanism.PHASE_CHANGES})  # engines that change their part turn requests away
     platform = make_platform(plain=plain, prefill=prefill, decode=decode, without=without)
     platform.configure(2, cold=cold or dict(ONE_A_SECOND))
     platform.network.run(3.0)
@@ -111,7 +111,7 @@
     platform = make_cold(decode=2, prefill=1)
     callers = [platform.call("/stream/x", f"q{number}") for number in range(8)]
     platform.turn_cold("decode-0", 20.0)
-    watch = platform.vms["vm1"].core.cold_watch
+    watch = platform.vms["vm1"].core.cold_transitions
     platform.network.run_until(lambda: bool(watch.cold))
     engine = platform.upstreams["decode-0"]
     before = len(engine.arrived)
@@ -202,7 +202,7 @@
 def test_many_upstreams_that_turn_cold_at_once_are_one_line() -> None:
     platform = make_platform(plain=30)
     core = platform.vms["vm1"].core
-    core._note_cold([core.listing._known[UpstreamId(f"plain-{n}")].entry for n in range(30)], "store")
+    core._record_cold([core.listing._known[UpstreamId(f"plain-{n}")].entry for n in range(30)], "store")
     lines = [line for line in platform.journals["vm1"].lines if line["event"] == "cold"]
     assert [(line["count"], len(line["upstreams"])) for line in lines] == [(30, 8)]
 
--- a/tests/platform/test_decisions.py
+++ b/tests/platform/test_decisions.py
@@ -63,14 +63,14 @@
     platform = make_readers(rate)
     warm_up(platform)
     for vm in platform.vms.values():
-        pace = vm.core.paces.get_reading(ServiceName(MODEL)).pace
+        pace = vm.core.prefill_models.get_reading(ServiceName(MODEL)).pace
         assert pace.predict(PROMPT) == pytest.approx(PROMPT / rate, rel=0.25, abs=0.03)
 
 
 @pytest.mark.parametrize(("rate", "callers"), [(MIDDLE, 9), (2 * MIDDLE, 24)])
 def test_decode_engines_read_what_a_prefill_engine_would_be_late_with(rate: float, callers: int) -> None:
     late = []
-    for without in (frozenset({Mechanism.WHOLE_RUNS}), frozenset[Mechanism]()):
+    for without in (frozenset({Mechanism.DECODE_PREFILL}), frozenset[Mechanism]()):
         platform = make_readers(rate, without=without)
         warm_up(platform)
         seconds = burst(platform, callers)
@@ -94,7 +94,7 @@
     platform.network.run(0.15)
     engine = platform.upstreams["prefill-0"]
     now = platform.clock.now()
-    other = platform.vms["vm3"].core.work
+    other = platform.vms["vm3"].core.peer_backlog
     assert other.count_tokens(engine.instance, now) == 2 * PROMPT  # type: ignore[arg-type]
     platform.network.run(3.0)
     assert other.count_tokens(engine.instance, platform.clock.now()) == 0  # type: ignore[arg-type]
@@ -106,7 +106,7 @@
         ask(platform, f"w{number}", f"vm{1 + number % 8}", prompt=1000 + 1300 * (number % 7))
         platform.network.run(0.5)
     for vm in platform.vms.values():
-        pace = vm.core.paces.get_reading(ServiceName(MODEL)).pace
+        pace = vm.core.prefill_models.get_reading(ServiceName(MODEL)).pace
         assert pace.predict(PROMPT) == pytest.approx(PROMPT / FAST, rel=0.25, abs=0.03)
 
 
@@ -115,7 +115,7 @@
     warm_up(platform)
     platform.add_vm("late", ["vm1:8002"])
     platform.network.run(2.0)
-    pace = platform.vms["late"].core.paces.get_reading(ServiceName(MODEL)).pace
+    pace = platform.vms["late"].core.prefill_models.get_reading(ServiceName(MODEL)).pace
     assert pace.predict(PROMPT) == pytest.approx(PROMPT / SLOW, rel=0.25)
 
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -50,12 +50,12 @@
 def test_an_upstreams_entry_is_read_with_its_start() -> None:
     entry = read(json.dumps(ENTRY).encode())
     assert entry.upstream is not None
-    assert entry.upstream.born == 1_900_000_000_000
+    assert entry.upstream.started_at_ms == 1_900_000_000_000
     assert entry.readable
     untold = {name: value for name, value in ENTRY.items() if name != "born"}
     older = read(json.dumps(untold).encode())
     assert older.upstream is not None
-    assert older.upstream.born == 0
+    assert older.upstream.started_at_ms == 0
 
 
 @pytest.mark.parametrize("name", REQUIRED)
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.engines.throughput import EngineFigures
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 from tests.support.platform import MODEL, OTHER_DOOR, STORE, Caller, Platform, make_platform
 
 if TYPE_CHECKING:
@@ -316,7 +316,7 @@
     platform.configure(1)
     platform.add_plain("plain-a")
     platform.add_plain("plain-odd", "odd")
-    platform.add_vm(places=Places({"hall-a": RegionName("west")}))
+    platform.add_vm(places=Topology({"hall-a": RegionName("west")}))
     platform.network.run_until(platform.is_ready)
     for _ in range(2):
         platform.empty("odd")
@@ -389,7 +389,7 @@
 
 
 def press(platform: Platform, rate: float) -> None:
-    ordering = platform.vms["vm1"]._ordering
+    ordering = platform.vms["vm1"]._phase_controller
     assert ordering is not None
     figures = EngineFigures(60_000, 5000.0, 100.0, 3.0)
     ordering._find_pressure = lambda _: Pressure(rate, 0.0, figures)
@@ -416,7 +416,7 @@
 def test_an_order_of_a_moment_ago_does_not_hold_up_what_an_emptied_hall_asks_for() -> None:
     platform = make_led_halls()
     press(platform, 10_000.0)
-    ordering = platform.vms["vm1"]._ordering
+    ordering = platform.vms["vm1"]._phase_controller
     assert ordering is not None
     ordering._ordered[ServiceName(MODEL)] = _Ordered(Phase.PREFILL, platform.clock.now())
     platform.empty("hall-b")
@@ -430,11 +430,11 @@
     vm = platform.vms["vm1"]
     engine = vm.core.listing.find(UpstreamId("decode-0"))
     assert engine is not None
-    assert vm._ordering is not None
+    assert vm._phase_controller is not None
     pressure = Pressure(0.0, 0.0, EngineFigures(60_000, 5000.0, 600.0, 3.0))
-    defer.ensureDeferred(vm._ordering._order_all([PhaseChange(engine, Phase.PREFILL)], pressure))
+    defer.ensureDeferred(vm._phase_controller._order_all([PhaseChange(engine, Phase.PREFILL)], pressure))
     revision = make_position(Epoch(platform.store.epoch), platform.store.revision + 100)
-    vm.core.take_evacuations([Evacuation("hall-b", revision, True)], "test", as_of=revision, whole=False)
+    vm.core.apply_evacuations([Evacuation("hall-b", revision, True)], "test", as_of=revision, is_snapshot=False)
     platform.network.run(0.3)
     assert vm.leadership is not None
     assert platform.store.find_newest("beamhatch/order")
--- a/tests/platform/test_fair_line.py
+++ b/tests/platform/test_fair_line.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import ServiceName
 from beamhatch.relay.places import RegionName
 from beamhatch.relay.workspaces.workspace import WorkspaceName
@@ -18,7 +18,7 @@
     return platform.call("/stream/x", request, headers=headers)
 
 
-def fill_line(without: Without) -> tuple[Platform, Caller]:
+def fill_line(without: DisabledMechanisms) -> tuple[Platform, Caller]:
     """Have one workspace take all decode memory and the place in line, behind a small request of the other."""
     platform = make_platform(decode=1, without=without)
     platform.configure(2, ROUTES, [make_workspace(name, key) for name, key in KEYS.items()])
@@ -31,8 +31,10 @@
     return platform, waiting
 
 
-@pytest.mark.parametrize(("without", "displaced"), [(ALL_IN, True), (frozenset({Mechanism.FAIRNESS}), False)])
-def test_a_workspace_that_was_served_little_takes_the_place_in_line(without: Without, *, displaced: bool) -> None:
+@pytest.mark.parametrize(("without", "displaced"), [(NONE_DISABLED, True), (frozenset({Mechanism.FAIRNESS}), False)])
+def test_a_workspace_that_was_served_little_takes_the_place_in_line(
+    without: DisabledMechanisms, *, displaced: bool
+) -> None:
     platform, waiting = fill_line(without)
     other = ask(platform, "back", "other")
     platform.network.run(0.05)
@@ -41,15 +43,15 @@
 
 
 def test_two_requests_of_one_workspace_do_not_drive_each_other_out() -> None:
-    platform, waiting = fill_line(ALL_IN)
+    platform, waiting = fill_line(NONE_DISABLED)
     again = ask(platform, "desk", "again")
     platform.network.run(0.05)
     assert (waiting.status, again.status) == (0, 503)
 
 
 def test_lines_of_different_regions_share_what_workspaces_were_served() -> None:
-    platform, _ = fill_line(ALL_IN)
+    platform, _ = fill_line(NONE_DISABLED)
     core = platform.vms["vm1"].core
-    line = core.lines.find(ServiceName(MODEL), frozenset({RegionName("west")}))
+    line = core.memory_queues.find(ServiceName(MODEL), frozenset({RegionName("west")}))
     desk, back = WorkspaceName("desk"), WorkspaceName("back")
     assert line.order.find_lead(desk, back, platform.clock.now()) > 20_000
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -8,7 +8,7 @@
 
 from beamhatch.relay.engines.changing import ChangeNews
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 from tests.support.platform import MODEL, PLAIN, ROUTES, Platform, make_route, make_workspace
 
@@ -32,7 +32,7 @@
 
 def make_fleet(vms: int, halls: int = 6) -> Platform:
     """Return a platform of several halls whose VMs know each other; connections are known by who dialled."""
-    platform = Platform(places=Places(REGION_OF), names_hosts=True)
+    platform = Platform(places=Topology(REGION_OF), names_hosts=True)
     hall_of = {f"vm{number}": HALLS[number % halls] for number in range(vms)}
 
     def find_delay(here: str, there: str) -> float:
@@ -78,7 +78,7 @@
 
 def count_heard(vm: Daemon) -> int:
     """Return how many VMs the usage of quotas covers that a VM knows."""
-    return vm._usage.news.find_fleet(vm.clock.now()).vms
+    return vm._usage_gossip.news.find_fleet(vm.clock.now()).vms
 
 
 def know_version(platform: Platform, version: int) -> bool:
@@ -101,11 +101,11 @@
 def test_what_a_workspace_asks_in_one_hall_is_known_in_all_within_a_second() -> None:
     platform = make_fleet(24)
     asking = platform.vms[list_hall(platform, HALLS[2])[-1]]
-    asking._usage.news.own.note_asked(WorkspaceName("desk"), 100_000, asking.clock.now())
+    asking._usage_gossip.news.own.note_asked(WorkspaceName("desk"), 100_000, asking.clock.now())
     knowing = platform.vms.values()
 
     def is_known() -> bool:
-        fleets = [vm._usage.news.find_fleet(vm.clock.now()) for vm in knowing]
+        fleets = [vm._usage_gossip.news.find_fleet(vm.clock.now()) for vm in knowing]
         return all(WorkspaceName("desk") in fleet.rates for fleet in fleets)
 
     platform.network.run_until(is_known, 1.0)
@@ -136,7 +136,7 @@
     platform.network.run(1.0)
     assert count_across(platform) - before < MOST_HEAL_BYTES
     platform.network.run(20.0)
-    assert {vm.core.vms for vm in platform.vms.values()} == {24}
+    assert {vm.core.vm_count for vm in platform.vms.values()} == {24}
     assert know_version(platform, 2)
     assert count_adding(platform) == 12
 
@@ -160,16 +160,16 @@
     far = [one for one in gossip.list_connections() if one.hall != teller.settings.hall]
     assert far
     for _ in range(6):
-        teller.core.standings.get(UpstreamId("plain-1")).note_fault(teller.clock.now())
-    teller.core.find_demand(ServiceName(MODEL)).note_prompt(5000, 70, teller.clock.now())
-    teller.core.take_change(UpstreamId("engine-0"), ChangeNews(Phase.PREFILL, 5.0, True), "test")
+        teller.core.stats.get(UpstreamId("plain-1")).note_fault(teller.clock.now())
+    teller.core.get_demand(ServiceName(MODEL)).note_prompt(5000, 70, teller.clock.now())
+    teller.core.apply_phase_change(UpstreamId("engine-0"), ChangeNews(Phase.PREFILL, 5.0, True), "test")
     teller.core.on_change()
     platform.network.run(0.1)
     for connection in far:
         hearer = platform.vms[connection.vm]
         now = hearer.clock.now()
-        assert hearer.core.standings.get(UpstreamId("plain-1")).get_faults(now) > 0.5
-        assert hearer.core.changes.is_under_way(UpstreamId("engine-0"), now)
+        assert hearer.core.stats.get(UpstreamId("plain-1")).get_faults(now) > 0.5
+        assert hearer.core.phase_changes.is_under_way(UpstreamId("engine-0"), now)
         assert hearer._gossip is not None
         reports = [told.get(ServiceName(MODEL)) for told in hearer._gossip._fleet.list_values(now)]
         assert any(report is not None and report.prompt_rate > 0 for report in reports)
@@ -178,7 +178,7 @@
 def test_demand_that_does_not_change_stays_known_across_halls() -> None:
     platform = make_fleet(12)
     for vm in platform.vms.values():
-        vm.core.find_demand(ServiceName(MODEL)).note_prompt(5000, 70, vm.clock.now())
+        vm.core.get_demand(ServiceName(MODEL)).note_prompt(5000, 70, vm.clock.now())
     platform.network.run(8.0)
     for vm in platform.vms.values():
         assert vm._gossip is not None
@@ -206,15 +206,15 @@
     platform = make_fleet(18)
     for _ in range(9):
         platform.network.run(10.0)
-        assert {vm.core.vms for vm in platform.vms.values()} == {18}
+        assert {vm.core.vm_count for vm in platform.vms.values()} == {18}
 
 
 def test_a_fleet_that_starts_knows_all_its_vms_soon() -> None:
-    platform = Platform(places=Places(REGION_OF), names_hosts=True)
+    platform = Platform(places=Topology(REGION_OF), names_hosts=True)
     platform.configure(1)
     platform.add_plain("plain-0")
     for number in range(30):
         platform.add_vm(f"vm{number}", ["vm0:8002", "vm1:8002"], HALLS[number % 6])
-    platform.network.run_until(lambda: {vm.core.vms for vm in platform.vms.values()} == {30}, 1.1)
+    platform.network.run_until(lambda: {vm.core.vm_count for vm in platform.vms.values()} == {30}, 1.1)
     platform.network.run(15.0)
     assert count_across(platform) / 30 < MOST_START_BYTES
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -40,7 +40,7 @@
 
 def test_all_know_each_other_by_few_connections() -> None:
     platform = make_fleet(24)
-    assert {vm.core.vms for vm in platform.vms.values()} == {24}
+    assert {vm.core.vm_count for vm in platform.vms.values()} == {24}
     counts = count_connections(platform)
     assert sum(counts) / len(counts) <= 8.5
 
@@ -118,7 +118,7 @@
     platform.configure(2, [*ROUTES, NEW_ROUTE])
     platform.network.run(1.5)
     assert know_version(platform, 2)
-    assert {vm.core.vms for vm in platform.vms.values()} == {9}
+    assert {vm.core.vm_count for vm in platform.vms.values()} == {9}
 
 
 def test_requests_are_served_though_connections_to_upstreams_went_silent() -> None:
@@ -189,6 +189,6 @@
     for number in itertools.islice(itertools.count(2), 4):
         platform.add_vm(f"vm{number}", ["late:8002"])
     platform.network.run(10.0)
-    assert {vm.core.vms for vm in platform.vms.values()} == {1}
+    assert {vm.core.vm_count for vm in platform.vms.values()} == {1}
     platform.add_vm("late", ["vm1:8002"])
-    platform.network.run_until(lambda: {vm.core.vms for vm in platform.vms.values()} == {6}, 60.0)
+    platform.network.run_until(lambda: {vm.core.vm_count for vm in platform.vms.values()} == {6}, 60.0)
--- a/tests/platform/test_limit.py
+++ b/tests/platform/test_limit.py
@@ -176,7 +176,7 @@
     core = platform.vms[vm].core
     found = core.listing.find_last(UpstreamId(upstream.instance))
     assert found is not None
-    return core.announcements.limits.find(found.life)
+    return core.announcements.limits.find(found.incarnation)
 
 
 def test_the_others_are_told_before_they_ask() -> None:
@@ -325,7 +325,7 @@
     found = core.listing.find_last(UpstreamId("decode-0"))
     assert found is not None
     now = platform.clock.now()
-    core.announcements.limits.take(found.life, 2.6, now, now)
+    core.announcements.limits.take(found.incarnation, 2.6, now, now)
     head = Head(200, [("Response-Signature", "x")])
     core.announcements.read(found, head, now + 1.0)
     assert knows(platform, "vm0", upstream) == 2.6
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -51,7 +51,7 @@
     platform.upstreams["plain-0"].stop()
     for number in range(4):
         serve(platform, "/safe/x", f"r{number}")
-    standing = platform.vms["vm1"].core.standings.get(ONLY)
+    standing = platform.vms["vm1"].core.stats.get(ONLY)
     now = platform.clock.now()
     assert standing.is_unreachable(now)
     platform.upstreams["plain-0"].fault = UpstreamFault.NONE
@@ -71,13 +71,13 @@
     entry = platform.upstreams["plain-0"].describe(PLAIN, "hall-a")
     platform.store.put("servers/plain-0", {**entry, "born": int(str(entry["born"])) + 1})
     platform.finish(caller)
-    assert platform.vms["vm1"].core.standings.get(ONLY).running == 0
+    assert platform.vms["vm1"].core.stats.get(ONLY).running == 0
 
 
 def test_an_engine_that_was_to_change_its_part_is_used_in_the_part_that_it_starts_with() -> None:
     platform = make_platform(prefill=1, decode=1)
     core = platform.vms["vm1"].core
-    core.take_change(UpstreamId("decode-0"), ChangeNews(Phase.PREFILL, 15.0, certain=True), "a test")
+    core.apply_phase_change(UpstreamId("decode-0"), ChangeNews(Phase.PREFILL, 15.0, certain=True), "a test")
     assert serve(platform, "/resumable/x", "q1") == 503
     start_again(platform, "decode-0")
     assert serve(platform, "/resumable/x", "q2") == 200
@@ -88,7 +88,7 @@
     platform.add_vm("vm2", ["vm1:8002"], "hall-b")
     platform.network.run(2.0)
     for vm in platform.vms.values():
-        vm.core.take_change(UpstreamId("decode-0"), ChangeNews(Phase.PREFILL, 15.0, certain=True), "a test")
+        vm.core.apply_phase_change(UpstreamId("decode-0"), ChangeNews(Phase.PREFILL, 15.0, certain=True), "a test")
     platform.network.run(1.0)
     start_again(platform, "decode-0")
     platform.network.run(2.0)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -110,7 +110,7 @@
             engine.step = 0.005
     # The leader believes that the engines read so slowly that one of the decode engines has to help.
     (leader,) = find_leaders(platform)
-    ordering = platform.vms[leader]._ordering
+    ordering = platform.vms[leader]._phase_controller
     assert ordering is not None
     slow = EngineFigures(60_000, 11_000.0, 10.0, 1.0, read_rate=5_000.0, whole_rate=1_000.0)
     ordering._find_pressure = lambda _: Pressure(14_000, 0.0, slow)
@@ -147,7 +147,7 @@
 def give_order(platform: Platform) -> str:
     """Have the leader order a decode engine to read prompts; return the engine."""
     (leader,) = find_leaders(platform)
-    ordering = platform.vms[leader]._ordering
+    ordering = platform.vms[leader]._phase_controller
     assert ordering is not None
     engine = platform.vms[leader].core.listing.find(UpstreamId("decode-0"))
     assert engine is not None
@@ -217,7 +217,7 @@
         platform.add_engine(f"decode-{number}", "decode", kv_tokens=13_000)
     platform.network.run_until(lambda: find_leaders(platform), 30.0)
     platform.network.run(12.0)
-    (ordering,) = [vm._ordering for vm in platform.vms.values() if vm._ordering is not None]
+    (ordering,) = [vm._phase_controller for vm in platform.vms.values() if vm._phase_controller is not None]
     figures = EngineFigures(13_000, 5000.0, 600.0, 3.0)
     counts = []
     for rate in (6_000, 200_000, 200_000):
@@ -240,7 +240,7 @@
 
 def test_a_last_order_that_can_not_be_read_is_told() -> None:
     platform = make_platform()
-    ordering = platform.vms["vm1"]._ordering
+    ordering = platform.vms["vm1"]._phase_controller
     assert ordering is not None
     ordering._recall("nonsense")
     lines = platform.journals["vm1"].lines
--- a/tests/platform/test_own_word.py
+++ b/tests/platform/test_own_word.py
@@ -202,7 +202,7 @@
     assert waiting.status == 0
     core = platform.vms["vm1"].core
     for listed in core.listing.list_usable(ServiceName("models"), platform.clock.now()):
-        core.announcements.take_departure(listed.life, "a test")
+        core.announcements.take_departure(listed.incarnation, "a test")
     platform.network.run(0.01)
     assert waiting.status == 503
 
@@ -228,9 +228,9 @@
     assert held is not None
     core = platform.vms["vm1"].core
     if word == "leaves":
-        core.announcements.take_departure(held.upstream.life, "a test")
+        core.announcements.take_departure(held.upstream.incarnation, "a test")
     else:
-        core.announcements.rests.take(held.upstream.life, 3.0, platform.clock.now())
+        core.announcements.rests.take(held.upstream.incarnation, 3.0, platform.clock.now())
     calls = platform.upstreams[held.upstream.id].calls
     assert platform.finish(caller).status == 200
     assert platform.upstreams[held.upstream.id].arrived == []
@@ -250,7 +250,7 @@
     assert not attempt.sent
     for name in ("plain-0", "plain-1", "plain-2"):
         platform.network.heal(f"host-{name}")
-    core.announcements.take_departure(attempt.upstream.life, "a test")
+    core.announcements.take_departure(attempt.upstream.incarnation, "a test")
     assert platform.finish(caller).status == 200
     platform.network.run(1.0)
     assert platform.upstreams[attempt.upstream.id].arrived == []
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -332,11 +332,11 @@
     caller = platform.call("/stream/x", "q1")
     platform.network.run(0.1)
     core = platform.vms["vm1"].core
-    assert len(core.lines.find(ServiceName(MODEL))) == 1
+    assert len(core.memory_queues.find(ServiceName(MODEL))) == 1
     engine.used = 0
     engine.answer_delay = 0.02
     for _ in range(40):
-        core.lines.note_freed(ServiceName(MODEL))
+        core.memory_queues.note_freed(ServiceName(MODEL))
         platform.network.run(0.002)
     platform.finish(caller)
     assert caller.events == list(range(1, 11))
--- a/tests/platform/test_residency.py
+++ b/tests/platform/test_residency.py
@@ -9,7 +9,7 @@
 
 from beamhatch.platform.standin.upstream import StandInEngine
 from beamhatch.relay.model import ServiceName
-from beamhatch.relay.places import Distance, Places, RegionName
+from beamhatch.relay.places import Distance, RegionName, Topology
 from beamhatch.relay.workspaces.admission import Admission, Admitted
 from tests.support.platform import MODEL, PLAIN, Platform, make_request, make_route, make_workspace
 
@@ -17,7 +17,7 @@
     from beamhatch.relay.daemon import Daemon
 
 EAST, WEST = RegionName("east"), RegionName("west")
-PLACES = Places({"hall-a": WEST, "hall-b": EAST})
+PLACES = Topology({"hall-a": WEST, "hall-b": EAST})
 BODY = b"what must not leave the region"
 
 Bound = list[str] | None
@@ -127,7 +127,7 @@
     elif cause == "emptied":
         platform.store.put("op/evacuate/hall-b", {})
     elif cause == "no places":
-        core.take_places(Places())
+        core.apply_topology(Topology())
     platform.network.run(1.0)
     begun = platform.clock.now()
     caller = platform.finish(platform.call(path, "q"))
@@ -190,8 +190,8 @@
 def test_memory_that_comes_free_counts_in_the_lines_that_may_use_it() -> None:
     platform = make_world()
     core, service = platform.vms["vm1"].core, ServiceName(MODEL)
-    lines = [core.lines.find(service, bound) for bound in (None, frozenset({EAST}), frozenset({WEST}))]
-    core.lines.note_freed(service, "hall-b")
+    lines = [core.memory_queues.find(service, bound) for bound in (None, frozenset({EAST}), frozenset({WEST}))]
+    core.memory_queues.note_freed(service, "hall-b")
     assert [line.count_rate(platform.clock.now()) > 0 for line in lines] == [True, True, False]
 
 
@@ -342,16 +342,16 @@
     assert platform.finish(platform.call("/safe/x", "q")).status == 503
 
 
-def reload(daemon: Daemon, places: Places) -> None:
-    daemon.reload(replace(daemon.settings, places=places))
+def reload(daemon: Daemon, places: Topology) -> None:
+    daemon.reload(replace(daemon.settings, topology=places))
 
 
 def test_a_reload_places_halls_anew() -> None:
     platform = make_world(["south"])
     assert platform.finish(platform.call("/safe/x", "q1")).status == 503
-    reload(platform.vms["vm1"], Places({"hall-a": WEST, "hall-b": RegionName("south")}))
+    reload(platform.vms["vm1"], Topology({"hall-a": WEST, "hall-b": RegionName("south")}))
     assert platform.finish(platform.call("/safe/x", "q2")).status == 200
     assert list_asked(platform, "q2") == {"plain-east"}
     assert platform.vms["vm1"].core.chooser.distances.measure("hall-b") is Distance.OTHER_REGION
-    reload(platform.vms["vm1"], Places({"hall-a": WEST, "hall-b": WEST}))
+    reload(platform.vms["vm1"], Topology({"hall-a": WEST, "hall-b": WEST}))
     assert platform.vms["vm1"].core.chooser.distances.measure("hall-b") is Distance.SAME_REGION
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -44,7 +44,7 @@
     assert settings.vm == "frontend-a-1"
     assert settings.hall == "a"
     assert settings.grace == 8.0
-    assert settings.budget.slack == 56
+    assert settings.retry_budget.slack == 56
     assert str(settings.peer_address) == "10.1.0.38:8144"
 
 
--- a/tests/platform/test_shared_bounds.py
+++ b/tests/platform/test_shared_bounds.py
@@ -37,7 +37,7 @@
             platform.call("/safe/x", f"q{callers}", vm=vm)
             callers += 1
     platform.network.run(3.0)
-    budgets = [vm.core.find_budget(ServiceName(PLAIN)) for vm in platform.vms.values()]
+    budgets = [vm.core.get_retry_budget(ServiceName(PLAIN)) for vm in platform.vms.values()]
     sent = sum(len(budget._extra) for budget in budgets)
     assert sent <= 0.2 * callers + SLACK
     assert sent >= 12
--- a/tests/platform/test_spilling.py
+++ b/tests/platform/test_spilling.py
@@ -7,10 +7,10 @@
 from beamhatch.platform.standin.upstream import StandInEngine
 from beamhatch.relay.choosing.spill import SpillReason
 from beamhatch.relay.model import UpstreamId
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 from tests.support.platform import Platform
 
-PLACES = Places({"hall-a": RegionName("west"), "hall-b": RegionName("west"), "hall-c": RegionName("east")})
+PLACES = Topology({"hall-a": RegionName("west"), "hall-b": RegionName("west"), "hall-c": RegionName("east")})
 
 
 def make_world() -> Platform:
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -18,7 +18,7 @@
 from beamhatch.platform.epochs import find_revision
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.platform.store import PlatformStore
-from beamhatch.relay.api import Claimed, LeadershipNews, ListingNews, StoreLost
+from beamhatch.relay.api import LeadershipClaim, LeadershipState, ListingUpdate, StoreUnavailable
 from beamhatch.relay.model import ServiceName
 from beamhatch.relay.upstreams.http_client import HttpClient
 from tests.support.platform import OTHER_DOOR, PLAIN, STORE, MemoryJournal, Platform
@@ -257,15 +257,15 @@
     copy = platform.store.make_copy()
     platform.store.put("status/x", b"")
     seen = run(store.read_leadership())
-    assert isinstance(seen, LeadershipNews)
+    assert isinstance(seen, LeadershipState)
     claim = run(store.claim_leadership("one", 3.0, seen))
-    assert isinstance(claim, Claimed)
+    assert isinstance(claim, LeadershipClaim)
     platform.store.come_back_from(copy)
     while platform.store.revision < find_revision(claim.revision) - 1:
         platform.store.put("status/x", b"")
     platform.store.put("beamhatch/leader", b"another")
     assert platform.store.find_newest("beamhatch/leader") == find_revision(claim.revision)
-    assert isinstance(run(store.record_order(claim, "an order")), StoreLost)  # on the connection of before
+    assert isinstance(run(store.record_order(claim, "an order")), StoreUnavailable)  # on the connection of before
     assert run(store.record_order(claim, "an order")) is False
 
 
@@ -278,8 +278,8 @@
     defer.ensureDeferred(store.read_listing(0)).addBoth(found.append)
     platform.network.run(0.1)
     (news,) = found
-    assert isinstance(news, ListingNews)
+    assert isinstance(news, ListingUpdate)
     platform.door.shut = True
-    defer.ensureDeferred(store.watch_listing(news.at, 1.0)).addBoth(found.append)
+    defer.ensureDeferred(store.watch_listing(news.revision, 1.0)).addBoth(found.append)
     platform.network.run(0.1)
-    assert found[-1] == StoreLost("status 503")
+    assert found[-1] == StoreUnavailable("status 503")
--- a/tests/relay/choosing/spill_play.py
+++ b/tests/relay/choosing/spill_play.py
@@ -16,16 +16,16 @@
 from beamhatch.relay.choosing.chooser import LeastCost, Need
 from beamhatch.relay.choosing.spill import CountLoad, Spill
 from beamhatch.relay.choosing.standing import Load, Standings
-from beamhatch.relay.mechanism import ALL_IN, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, Places, RegionName
+from beamhatch.relay.places import Distance, RegionName, Topology
 from beamhatch.relay.requests.request import RESERVE_TRIES
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
 REGIONS = {f"{region}{hall}": RegionName(region) for region in "xyz" for hall in "12"}
-PLACES = Places(REGIONS)
+PLACES = Topology(REGIONS)
 SLOTS, ENGINES, VMS = 16, 8, 12
 """Places of an engine, decode engines of a hall, VMs of a hall."""
 
@@ -102,7 +102,11 @@
     """One run of some seconds."""
 
     def __init__(
-        self, make_spill: Callable[[], Spill], seed: int, without: Without = ALL_IN, places: Places = PLACES
+        self,
+        make_spill: Callable[[], Spill],
+        seed: int,
+        without: DisabledMechanisms = NONE_DISABLED,
+        places: Topology = PLACES,
     ) -> None:
         self._draw = random.Random(seed)
         random.seed(seed)
@@ -165,7 +169,7 @@
             self._wait(asking, now)
             return
         self.count.questions += 1
-        distance = PLACES.measure(self.halls[asking.vm], found.hall)
+        distance = PLACES.get_distance(self.halls[asking.vm], found.hall)
         self._later(now + ASK[distance], lambda at: self._answer(asking, found, at))
 
     def _answer(self, asking: _Asking, engine: Upstream, now: float) -> None:
@@ -185,7 +189,7 @@
             self._later(now + POLL * self._draw.uniform(0.6, 1.4), self._make_round(asking))
 
     def _take(self, asking: _Asking, engine: Upstream, now: float) -> None:
-        distance = PLACES.measure(self.halls[asking.vm], engine.hall)
+        distance = PLACES.get_distance(self.halls[asking.vm], engine.hall)
         self.count.places[distance] += 1
         if distance is Distance.OTHER_REGION:
             self.count.far_by_second[int(asking.came)] += 1
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -8,14 +8,14 @@
 from beamhatch.relay.choosing.distance import EVENT_BYTES, PLAIN_BYTES, UNTOLD_CACHE, Distances, find_cache
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.mechanism import Mechanism
-from beamhatch.relay.model import Address, Engine, Handle, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.model import Address, EngineSpec, Handle, Phase, ServiceName, Upstream, UpstreamId
+from beamhatch.relay.places import RegionName, Topology
 
 WEST, EAST = RegionName("west"), RegionName("east")
-PLACES = Places({"a": WEST, "b": WEST, "c": EAST})
+PLACES = Topology({"a": WEST, "b": WEST, "c": EAST})
 HALLS = ("a", "b", "c")
-LARGE = Engine(64, 44_907, 0.5, kv_token_bytes=163_840, link_rate=1300e9 / 8)
-SMALL = Engine(16, 45_026, 0.5, kv_token_bytes=18_432, link_rate=280e9 / 8)
+LARGE = EngineSpec(64, 44_907, 0.5, kv_bytes_per_token=163_840, link_bytes_per_s=1300e9 / 8)
+SMALL = EngineSpec(16, 45_026, 0.5, kv_bytes_per_token=18_432, link_bytes_per_s=280e9 / 8)
 NOW = 100.0
 KV = 60_000
 
@@ -24,12 +24,12 @@
     return Upstream(UpstreamId(name), ServiceName("s"), Address(name, 1), hall, False, phase, 16)
 
 
-def make_need(engine: Engine, decode_hall: str = "") -> Need:
+def make_need(engine: EngineSpec, decode_hall: str = "") -> Need:
     return Need("p", 5000, 5068, cache=find_cache(engine, 5000), answer_bytes=68 * EVENT_BYTES, decode_hall=decode_hall)
 
 
 @pytest.mark.parametrize(("engine", "costs"), [(LARGE, (5.0, 26.5, 99.6)), (SMALL, (2.6, 7.1, 31.9))])
-def test_one_formula_weighs_caches_of_all_sizes(engine: Engine, costs: tuple[float, ...]) -> None:
+def test_one_formula_weighs_caches_of_all_sizes(engine: EngineSpec, costs: tuple[float, ...]) -> None:
     cache = find_cache(engine, 5000)
     found = [1000 * Distances("a", PLACES).count_move("a", hall, cache) for hall in HALLS]
     assert found == pytest.approx(costs, abs=0.05)
@@ -41,15 +41,15 @@
     assert found == pytest.approx(costs, abs=0.05)
 
 
-@pytest.mark.parametrize("engine", [Engine(1, 1, 0.5), Engine(1, 1, 0.5, kv_token_bytes=9.0)])
-def test_what_is_not_told_has_a_prior(engine: Engine) -> None:
+@pytest.mark.parametrize("engine", [EngineSpec(1, 1, 0.5), EngineSpec(1, 1, 0.5, kv_bytes_per_token=9.0)])
+def test_what_is_not_told_has_a_prior(engine: EngineSpec) -> None:
     assert find_cache(engine, 5000) is UNTOLD_CACHE
 
 
-def count_prompts_until_far(engine: Engine, near: str, far: str) -> int:
+def count_prompts_until_far(engine: EngineSpec, near: str, far: str) -> int:
     """Return how many prompts have to wait at a near prefill engine until a far one is chosen."""
     standings = Standings()
-    chooser = LeastCost(standings, "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
+    chooser = LeastCost(standings, "a", without=frozenset({Mechanism.CACHE_AFFINITY}), places=PLACES)
     engines = [make("near", Phase.PREFILL, near), make("far", Phase.PREFILL, far)]
     for number in range(10):
         if chooser.choose_prefill(engines, make_need(engine, "a"), set(), NOW) is engines[1]:
@@ -64,7 +64,7 @@
 
 
 def test_a_prompt_is_read_in_the_region_whose_decode_engine_has_memory_for_it() -> None:
-    chooser = LeastCost(Standings(), "a", without=frozenset({Mechanism.SESSION_GAIN}), places=PLACES)
+    chooser = LeastCost(Standings(), "a", without=frozenset({Mechanism.CACHE_AFFINITY}), places=PLACES)
     engines = [make("west", Phase.PREFILL, "a"), make("east", Phase.PREFILL, "c")]
     assert chooser.choose_prefill(engines, make_need(LARGE), set(), NOW) is engines[0]
     assert chooser.choose_prefill(engines, make_need(LARGE, "c"), set(), NOW) is engines[1]
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -6,12 +6,12 @@
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, Places, RegionName
+from beamhatch.relay.places import Distance, RegionName, Topology
 from beamhatch.relay.upstreams.listing import Entry, Listing
 
 WEST = RegionName("west")
 EAST = RegionName("east")
-PLACES = Places({"a": WEST, "b": WEST, "c": EAST})
+PLACES = Topology({"a": WEST, "b": WEST, "c": EAST})
 COLD = ColdTerms(3.0, 8.0)
 
 
@@ -82,7 +82,7 @@
 
 
 def test_distances_follow_the_settings() -> None:
-    assert PLACES.measure("a", "a") is Distance.SAME_HALL
-    assert PLACES.measure("a", "b") is Distance.SAME_REGION
-    assert PLACES.measure("a", "c") is Distance.OTHER_REGION
-    assert Places().measure("a", "b") is Distance.SAME_REGION
+    assert PLACES.get_distance("a", "a") is Distance.SAME_HALL
+    assert PLACES.get_distance("a", "b") is Distance.SAME_REGION
+    assert PLACES.get_distance("a", "c") is Distance.OTHER_REGION
+    assert Topology().get_distance("a", "b") is Distance.SAME_REGION
--- a/tests/relay/choosing/test_lack.py
+++ b/tests/relay/choosing/test_lack.py
@@ -29,7 +29,7 @@
 def test_nothing_lacks_while_one_may_be_sent_to() -> None:
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.note_leaving(upstreams[0].life, NOW)
+    eligibility.listing.note_leaving(upstreams[0].incarnation, NOW)
     assert find_lack(eligibility, upstreams, None, None, NOW) is None
     assert find_lack(eligibility, [], None, None, NOW) is None
 
@@ -38,7 +38,7 @@
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     for one in upstreams:
-        eligibility.listing.note_leaving(one.life, NOW)
+        eligibility.listing.note_leaving(one.incarnation, NOW)
     lack = find_lack(eligibility, upstreams, None, None, NOW)
     assert lack is not None
     assert (lack.obstacle, lack.wait) == (Obstacle.LEAVING, LEAVING_WAIT)
@@ -52,9 +52,9 @@
 def test_where_any_rests_the_end_of_the_first_rest_is_told() -> None:
     upstreams = make_upstreams("abc")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.note_leaving(upstreams[0].life, NOW)
-    eligibility.rests.take(upstreams[1].life, 5.0, NOW)
-    eligibility.rests.take(upstreams[2].life, 3.0, NOW)
+    eligibility.listing.note_leaving(upstreams[0].incarnation, NOW)
+    eligibility.rests.take(upstreams[1].incarnation, 5.0, NOW)
+    eligibility.rests.take(upstreams[2].incarnation, 3.0, NOW)
     lack = find_lack(eligibility, upstreams, None, None, NOW + 1.0)
     assert lack is not None
     assert lack.obstacle is Obstacle.RESTING
@@ -64,8 +64,8 @@
 def test_while_a_first_request_tries_whether_one_is_back_others_may_come_soon() -> None:
     upstreams = make_upstreams("a")
     eligibility = make_eligibility(upstreams)
-    eligibility.rests.take(upstreams[0].life, 1.0, NOW)
-    eligibility.rests.begin(upstreams[0].life, NOW + 2.0)
+    eligibility.rests.take(upstreams[0].incarnation, 1.0, NOW)
+    eligibility.rests.begin(upstreams[0].incarnation, NOW + 2.0)
     lack = find_lack(eligibility, upstreams, None, None, NOW + 2.0)
     assert lack is not None
     assert (lack.obstacle, lack.wait) == (Obstacle.RESTING, TRIAL_WAIT)
--- a/tests/relay/choosing/test_read_times.py
+++ b/tests/relay/choosing/test_read_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beamhatch.relay.choosing.read_times import ReadTimes
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from tests.support.platform import Platform, make_platform
 
 CALM, BUSY = 10_000.0, 6_500.0
@@ -27,8 +27,8 @@
         platform.upstreams[name].read_rate = rate  # type: ignore[attr-defined]
 
 
-@pytest.mark.parametrize(("without", "most"), [(ALL_IN, 8), (frozenset({Mechanism.READ_TIMES}), 16)])
-def test_prompts_at_engines_that_turn_busy_are_read_once(without: Without, most: int) -> None:
+@pytest.mark.parametrize(("without", "most"), [(NONE_DISABLED, 8), (frozenset({Mechanism.PREFILL_TIMES}), 16)])
+def test_prompts_at_engines_that_turn_busy_are_read_once(without: DisabledMechanisms, most: int) -> None:
     """Eight callers while engines slow down: without the times of late, prompts are read twice."""
     platform = make_platform(without=without)
     make_slower(platform, CALM)
--- a/tests/relay/choosing/test_rests.py
+++ b/tests/relay/choosing/test_rests.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.choosing.rests import REST_SPREAD, TRIAL_TIME, TRUSTED_ANSWERS, Rests
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 
-ONE = Life(UpstreamId("one"), 1)
+ONE = Incarnation(UpstreamId("one"), 1)
 NOW = 100.0
 LONGEST = 3.0 * (1 + REST_SPREAD)
 
@@ -45,7 +45,7 @@
 def test_another_life_did_not_ask() -> None:
     rests = Rests()
     rests.take(ONE, 3.0, NOW)
-    assert rests.may_send(Life(ONE.id, 2), NOW)
+    assert rests.may_send(Incarnation(ONE.id, 2), NOW)
     assert not rests.may_send(ONE, NOW)
 
 
--- a/tests/relay/fleet/test_evacuations.py
+++ b/tests/relay/fleet/test_evacuations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuation, Evacuations
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 
 NEWS = [Evacuation("a", revision, revision % 2 == 1) for revision in range(1, 6)]
 
@@ -56,7 +56,7 @@
 
 
 def test_names_that_the_settings_do_not_place_are_bounded_and_placed_ones_always_taken() -> None:
-    evacuations = Evacuations(Places({"placed": RegionName("west")}))
+    evacuations = Evacuations(Topology({"placed": RegionName("west")}))
     for number in range(3 * MOST_UNPLACED):
         evacuations.take(Evacuation(f"odd-{number}", number + 1, True), 1.0)
     assert evacuations.take(Evacuation("placed", 1000, True), 1.0)
--- a/tests/relay/fleet/test_peer_traffic.py
+++ b/tests/relay/fleet/test_peer_traffic.py
@@ -5,10 +5,10 @@
 from beamhatch.observe.tally import Tally
 from beamhatch.relay.fleet.gossip_message import AskConfiguration, Work
 from beamhatch.relay.fleet.peer_traffic import LENGTH_BYTES, PeerTraffic
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.places import RegionName, Topology
 from tests.support.platform import Platform
 
-PLACES = Places({"a": RegionName("x"), "b": RegionName("x"), "c": RegionName("y")})
+PLACES = Topology({"a": RegionName("x"), "b": RegionName("x"), "c": RegionName("y")})
 
 
 def test_bytes_are_counted_by_kind_and_distance() -> None:
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -9,11 +9,11 @@
 from beamhatch.relay.limits.account import LEAST_PACE, MOST_DEBT_TIME, MOST_ORIGINS, SPARE_LIFE
 from beamhatch.relay.limits.limits import ENDED_LIFE, LARGEST_RATE, MOST_LIFE_ACCOUNTS, Limits
 from beamhatch.relay.limits.words import LimitWord, Origin, Spent, make_key
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 from tests.support.limit_fleet import WINDOW, LimitFleet
 
-LIFE = Life(UpstreamId("u"), 1)
-OTHER_LIFE = Life(UpstreamId("u"), 2)
+LIFE = Incarnation(UpstreamId("u"), 1)
+OTHER_LIFE = Incarnation(UpstreamId("u"), 2)
 KEY = make_key(LIFE)
 NOW = 100.0
 SETTLE = 2.0
@@ -39,8 +39,8 @@
 
 def test_nothing_is_kept_from_one_that_names_none() -> None:
     limits = make_limits()
-    assert limits.may_send(Life(UpstreamId("v"), 1), NOW)
-    assert limits.hold(Life(UpstreamId("v"), 1), NOW) is None
+    assert limits.may_send(Incarnation(UpstreamId("v"), 1), NOW)
+    assert limits.hold(Incarnation(UpstreamId("v"), 1), NOW) is None
 
 
 def test_what_was_not_used_before_the_word_counts_for_nothing() -> None:
@@ -136,11 +136,11 @@
 def test_accounts_are_bounded_and_forgotten() -> None:
     limits = Limits()
     for number in range(MOST_LIFE_ACCOUNTS + 5):
-        limits.take(Life(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
+        limits.take(Incarnation(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
     assert limits.count() == MOST_LIFE_ACCOUNTS
     limits.keep_only({UpstreamId("u100"), UpstreamId("u101")})
     assert limits.count() == 2
-    limits.take(Life(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
+    limits.take(Incarnation(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
     limits.forget_old(NOW + 2 + ENDED_LIFE)
     assert [word.life.id for word in limits.list_words(NOW)] == ["u101"]
 
--- a/tests/relay/requests/test_need.py
+++ b/tests/relay/requests/test_need.py
@@ -9,7 +9,7 @@
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.model import (
     Address,
-    Engine,
+    EngineSpec,
     Handle,
     Phase,
     RequestFacts,
@@ -18,9 +18,9 @@
     RouteKind,
     Service,
     ServiceName,
-    Share,
     Upstream,
     UpstreamId,
+    WeightedService,
 )
 from beamhatch.relay.requests.budget import Budget, BudgetTerms
 from beamhatch.relay.requests.request import RelayRequest, Reserve
@@ -29,12 +29,12 @@
     from collections.abc import Sequence
 
 SERVICE = ServiceName("s")
-ENGINE = Engine(16, 45_026, 0.5, 2.0, event_tokens=2, kv_token_bytes=18_432, link_rate=35e9)
+ENGINE = EngineSpec(16, 45_026, 0.5, 2.0, tokens_per_event=2, kv_bytes_per_token=18_432, link_bytes_per_s=35e9)
 NOW = 100.0
 
 
 def make_request() -> RelayRequest:
-    route = Route("r", "h", "/", RouteKind.STREAMING, (Share(SERVICE, 1),), 14.0, 0.9)
+    route = Route("r", "h", "/", RouteKind.STREAMING, (WeightedService(SERVICE, 1),), 14.0, 0.9)
     facts = RequestFacts("q", None, None, 5000, 100)
     return RelayRequest(facts, route, Service(SERVICE, ENGINE), answer_room=80, body_bytes=700)
 
--- a/tests/relay/requests/test_request.py
+++ b/tests/relay/requests/test_request.py
@@ -9,7 +9,7 @@
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.model import (
     Address,
-    Engine,
+    EngineSpec,
     Handle,
     Phase,
     RequestFacts,
@@ -18,10 +18,10 @@
     RouteKind,
     Service,
     ServiceName,
-    Share,
     Stage,
     Upstream,
     UpstreamId,
+    WeightedService,
 )
 from beamhatch.relay.requests.budget import Budget, BudgetTerms
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
@@ -52,8 +52,8 @@
         holds=st.booleans(),
     )
     def begin(self, kind: RouteKind, resumable: bool, attempts: int, engine: bool, holds: bool) -> None:
-        route = Route("r", "h", "/", kind, (Share(SERVICE, 1),), 14.0, 0.9, attempts, resumable)
-        traits = Engine(128, 60_000, 0.5, 2.0 if holds else 0.0) if engine else None
+        route = Route("r", "h", "/", kind, (WeightedService(SERVICE, 1),), 14.0, 0.9, attempts, resumable)
+        traits = EngineSpec(128, 60_000, 0.5, 2.0 if holds else 0.0) if engine else None
         self.request = RelayRequest(RequestFacts("q", None, None, 5000, 100), route, Service(SERVICE, traits))
         self.budget = Budget(BudgetTerms())
         self.chooser = LeastCost(Standings(), "h")
@@ -231,7 +231,7 @@
 
 
 def test_a_split_route_keeps_its_shares_and_its_callers() -> None:
-    shares = (Share(ServiceName("a"), 90), Share(ServiceName("b"), 10))
+    shares = (WeightedService(ServiceName("a"), 90), WeightedService(ServiceName("b"), 10))
     route = Route("r", "h", "/", RouteKind.SAFE, shares, 1, 1)
     chosen = [route.choose_service(f"q{number}") for number in range(2000)]
     assert 120 < chosen.count(ServiceName("b")) < 280
--- a/tests/relay/workspaces/test_usage_talk.py
+++ b/tests/relay/workspaces/test_usage_talk.py
@@ -9,7 +9,7 @@
 from twisted.internet import task
 
 from beamhatch.relay.fleet.gossip_message import Usage
-from beamhatch.relay.model import CallerLimits, make_table
+from beamhatch.relay.model import CallerLimits, make_routing_table
 from beamhatch.relay.workspaces.quota import FollowingShare, QuotaTerms
 from beamhatch.relay.workspaces.usage import HallUsage, Rates, UsageNews
 from beamhatch.relay.workspaces.usage_talk import DIRECT_LIFE, UsageTalk
@@ -46,7 +46,7 @@
         self.clock.advance(100.0)
         news = UsageNews("me", "a")
         share = FollowingShare(news, lambda: 12, QuotaTerms(), 0.0)
-        table = make_table(1, [], [], CallerLimits(), (make_workspace(1000, 1000),))
+        table = make_routing_table(1, [], [], CallerLimits(), (make_workspace(1000, 1000),))
         core: Any = SimpleNamespace(
             clock=SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater), table=table
         )
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -49,7 +49,7 @@
 
 def _ignores_cold() -> None:
     _passes_obstacle(Obstacle.COLD)()
-    Core.find_cold_cost = lambda self, upstream, now: 0.0  # type: ignore[method-assign]
+    Core.compute_cold_cost = lambda self, upstream, now: 0.0  # type: ignore[method-assign]
 
 
 def _uses_leaving() -> None:
@@ -64,12 +64,12 @@
 
 
 def _keeps_first_configuration() -> None:
-    take = Core.take_document
+    take = Core.apply_document
 
     def take_first(self: Core, document: Any, source: str) -> bool:
         return self.document is None and take(self, document, source)
 
-    Core.take_document = take_first  # type: ignore[method-assign]
+    Core.apply_document = take_first  # type: ignore[method-assign]
 
 
 def _forgets_words() -> None:
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -9,14 +9,14 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.limits.limits import Limits
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
     from beamhatch.relay.limits.words import LimitWord, Spent
 
-LIFE = Life(UpstreamId("u"), 1)
+LIFE = Incarnation(UpstreamId("u"), 1)
 
 STEP = 0.005
 """Seconds."""
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -17,9 +17,9 @@
 from beamhatch.platform.standin.upstream import Ledger, StandInEngine, StandInUpstream
 from beamhatch.platform.store import PlatformStore
 from beamhatch.relay.daemon import Daemon, RelaySettings
-from beamhatch.relay.mechanism import ALL_IN, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address
-from beamhatch.relay.places import Places
+from beamhatch.relay.places import Topology
 from beamhatch.relay.requests.budget import BudgetTerms
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.workspaces.quota import QuotaTerms
@@ -245,7 +245,7 @@
     """The hall of each upstream; it may be set before the upstream is added."""
     vms: dict[str, Daemon] = field(default_factory=dict)
     journals: dict[str, MemoryJournal] = field(default_factory=dict)
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     names_hosts: bool = False
     """Whether connections that a VM dials are known as its: needed for distances, and for cuts that hold both ways."""
 
@@ -325,9 +325,9 @@
         name: str = "vm1",
         seeds: list[str] | None = None,
         hall: str = "hall-a",
-        without: Without = ALL_IN,
+        without: DisabledMechanisms = NONE_DISABLED,
         quota: QuotaTerms | None = None,
-        places: Places | None = None,
+        places: Topology | None = None,
         store: Address = STORE,
         clock: PausedClock | None = None,
     ) -> Daemon:
@@ -343,12 +343,12 @@
             ready_path="/api/ready",
             store_address=store,
             grace=8.0,
-            budget=BudgetTerms(0.2, 56, 10),
+            retry_budget=BudgetTerms(0.2, 56, 10),
             quota=quota or QuotaTerms(),
             peer_address=Address(name, 8002),
             seeds=seeds or [],
-            places=places or self.places,
-            without=without,
+            topology=places or self.places,
+            disabled=without,
         )
         journal = self.journals[name] = MemoryJournal(self.clock)
         documents = PlatformDocuments(journal)
@@ -386,7 +386,9 @@
         return caller.status == 200
 
 
-def make_platform(*, plain: int = 2, prefill: int = 2, decode: int = 2, without: Without = ALL_IN) -> Platform:
+def make_platform(
+    *, plain: int = 2, prefill: int = 2, decode: int = 2, without: DisabledMechanisms = NONE_DISABLED
+) -> Platform:
     """Return a platform with one VM that is ready."""
     platform = Platform()
     platform.configure(1)
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -10,7 +10,7 @@
 
 from twisted.internet import task
 
-from beamhatch.relay.model import CallerLimits, hash_fraction, make_table
+from beamhatch.relay.model import CallerLimits, hash_to_fraction, make_routing_table
 from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
 from beamhatch.relay.workspaces.usage import UsageNews
 from beamhatch.relay.workspaces.usage_talk import UsageTalk
@@ -145,7 +145,7 @@
     def _connect(self) -> None:
         for vm in self.vms:
             elsewhere = [one for one in self.vms if one.hall != vm.hall]
-            far = sorted(elsewhere, key=lambda one: hash_fraction(f"{vm.name}/{one.name}"))[:2]
+            far = sorted(elsewhere, key=lambda one: hash_to_fraction(f"{vm.name}/{one.name}"))[:2]
             near = [one for one in self.vms if one.hall == vm.hall and one.name < vm.name]
             for peer in [*near, *far]:
                 here, there = _Link(self, vm, peer), _Link(self, peer, vm)
@@ -171,7 +171,7 @@
     def _start(self, vm: Vm) -> None:
         news = UsageNews(vm.name, vm.hall)
         vm.share = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
-        table = make_table(1, [], [], CallerLimits(), (self.workspace,))
+        table = make_routing_table(1, [], [], CallerLimits(), (self.workspace,))
         clock = SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater)
         core: Any = SimpleNamespace(clock=clock, table=table)
 
@@ -208,7 +208,7 @@
     def change_quota(self, rate: float, burst: float) -> None:
         """Have the operators write another quota."""
         self.workspace = make_workspace(rate, burst)
-        table = make_table(2, [], [], CallerLimits(), (self.workspace,))
+        table = make_routing_table(2, [], [], CallerLimits(), (self.workspace,))
         for vm in self.vms:
             assert vm.talk is not None
             core: Any = vm.talk.core
