--- a/src/beamhatch/relay/__init__.py
+++ b/src/beamhatch/relay/__init__.py
@@ -1,5 +1,5 @@
-"""The relay: passes HTTP requests on to upstreams by routes, in two stages where these prefill and decode apart.
+"""The relay: forwards HTTP requests to upstreams by routes, in two stages where prefill and decode run apart.
 
-``model`` to ``request`` decide and know neither clock nor socket; ``http_client`` to ``daemon`` own sockets and timers;
-``api`` has the abstract classes that an adapter of a platform fills in.
+The modules that decide use neither clock nor sockets; ``http_client``, ``http_server`` and ``daemon`` own sockets and
+timers. ``api`` defines the abstract classes that a platform adapter implements.
 """
--- a/src/beamhatch/relay/model.py
+++ b/src/beamhatch/relay/model.py
@@ -1,4 +1,4 @@
-"""What the relay routes by: routes, services, upstreams and the bounds on callers."""
+"""Data model of the relay: routes, services, upstreams, requests and limits on callers."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 from beamhatch.relay.workspaces.workspace import KeyDigest, Workspace, WorkspaceName
 
 UpstreamId = NewType("UpstreamId", str)
-"""Identity of one start of an upstream; a restarted upstream has another one."""
+"""Id of an upstream; an upstream may keep it over a restart, see ``Incarnation``."""
 
 ServiceName = NewType("ServiceName", str)
-"""Name of a service, a set of upstreams that can stand in for each other."""
+"""Name of a service, a set of interchangeable upstreams."""
 
 Fingerprint = NewType("Fingerprint", bytes)
-"""What is the same for a request that is sent again: a digest, from which neither body nor caller can be read."""
+"""Digest of a request that stays the same on retries; it reveals neither body nor caller."""
 
 Regions = frozenset[RegionName] | None
-"""The regions in which something may be served, cached and kept; None where it may be in any."""
+"""Regions in which requests may be served and their data cached and stored; None for any region."""
 
 
 def intersect_regions(first: Regions, second: Regions) -> Regions:
-    """Return the regions that two bounds both allow."""
+    """Return the regions that both arguments allow."""
     if first is None or second is None:
         return second if first is None else first
     return first & second
 
 
 class RouteKind(Enum):
-    """How often a request of a route may run."""
+    """How many times a request of a route may run."""
 
     SAFE = "safe"
     """Any number of times."""
     UNSAFE = "unsafe"
-    """Once at the most."""
+    """At most once."""
     STREAMING = "streaming"
-    """Answered by a stream of events; once at the most, unless the route is resumable."""
+    """Response is a stream of events; at most once, unless the route is resumable."""
 
 
 class Phase(Enum):
-    """The part that an upstream plays."""
+    """Phase of request processing that an upstream serves."""
 
     PLAIN = "plain"
-    """A plain service: it answers whole requests."""
+    """Upstream of a service without engines; it serves entire requests."""
     PREFILL = "prefill"
     DECODE = "decode"
 
 
 class Stage(Enum):
-    """The kind of work that an upstream is sent."""
+    """Stage of a request that is sent to an upstream."""
 
     WHOLE = "whole"
     PREFILL = "prefill"
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where an upstream listens."""
+    """Host and port of a listening socket."""
 
     host: str
     port: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """The weight of one service among those that a route is split over."""
+    """Service with its weight in the traffic split of a route."""
 
     service: ServiceName
     weight: float
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and what may be done with them. Times are in seconds."""
+    """Mapping of requests to services, with the terms of their handling. Times are in seconds."""
 
     name: str
     host: str
@@ -92,23 +92,23 @@
     max_attempts: int = 1
     resumable: bool = False
     target_event_interval: float = 0.3
-    """The longest pause between two events of a stream in time."""
+    """Longest interval between two events of a stream that counts as on time."""
     caller_event_timeout: float = 3.6
-    """Seconds without an event after which a caller leaves a stream."""
+    """Seconds without an event after which a caller closes a stream."""
     public: bool = False
-    """True where requests need no key."""
+    """Whether requests need no API key."""
     regions: Regions = None
-    """Where its requests may be served."""
+    """Regions in which its requests may be served."""
     priority: int = 0
-    """The rank of its requests, 0 for the highest, where their workspace has none."""
+    """Priority of its requests, 0 is highest; that of their workspace takes precedence."""
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is RouteKind.SAFE or (self.kind is RouteKind.STREAMING and self.resumable)
 
     def choose_service(self, identity: str) -> ServiceName:
-        """Return the service for a request; the same identity always gets the same one."""
+        """Return the service for a request, the same one for the same identity."""
         if len(self.weighted_services) == 1:
             return self.weighted_services[0].service
         total = sum(share.weight for share in self.weighted_services)
@@ -122,37 +122,37 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What is known of the engines of a service."""
+    """Parameters of the engines of a service."""
 
     slots: int
     kv_tokens: int
     handle_ttl: float
-    """Seconds for which a prefilled KV cache is kept for a decode engine."""
+    """Seconds for which a prefill engine keeps a KV cache for the decode engine."""
     reservation_ttl: float = 0.0
-    """Seconds for which an engine sets memory aside for a request to come; 0 where it does not."""
+    """Seconds for which an engine keeps a reservation; 0 if it takes none."""
     phase_change_time: float = 6.0
-    """Seconds that an idle engine needs to change its part."""
+    """Seconds that an idle engine needs to change its phase."""
     tokens_per_event: int = 1
-    """Tokens of one event of a stream; its last one may have fewer."""
+    """Tokens in one event of a stream; the last event may have fewer."""
     kv_bytes_per_token: float = 0.0
-    """Bytes of the KV cache of one token; 0 where it is not told."""
+    """Size of the KV cache of one token; 0 if unknown."""
     link_bytes_per_s: float = 0.0
-    """Bytes a second that an engine's link carries to another one of its hall; 0 where it is not told."""
+    """Bandwidth between two engines of the same hall; 0 if unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdTerms:
-    """What an upstream of a service bears while it is cold, as it is for some time behind its start."""
+    """Limit on requests to an upstream that is cold, which it is for some time after its start."""
 
     duration: float
-    """Seconds for which it stays cold behind a start."""
+    """Seconds for which it is cold after a start."""
     rate: float
-    """Requests a second that it bears, from all VMs together."""
+    """Requests per second that it can take from all VMs together."""
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service; ``engine`` is None for a plain one, ``cold`` where its upstreams bear as much when they are cold."""
+    """Service; ``engine`` is None for a plain one, ``cold`` is None if cold upstreams need no limit."""
 
     name: ServiceName
     engine: EngineSpec | None = None
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller sends (bytes), and on how long it takes or idles (seconds)."""
+    """Limits on the size of callers' requests (bytes) and on their connections' timing (seconds)."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the operators' configuration."""
+    """One version of the operators' configuration, with indexes for look-up."""
 
     version: int
     routes: tuple[Route, ...]
@@ -180,23 +180,23 @@
     by_host: dict[str, tuple[Route, ...]] = field(default_factory=dict, compare=False)
     """Routes of each host, longest prefix first."""
     workspaces: tuple[Workspace, ...] = ()
-    """Whose requests are taken; where there are none, requests need no key."""
+    """Workspaces whose requests are accepted; if there are none, requests need no API key."""
     by_key: dict[KeyDigest, Workspace] = field(default_factory=dict, compare=False, repr=False)
     by_name: dict[WorkspaceName, Workspace] = field(default_factory=dict, compare=False, repr=False)
 
     @property
     def has_quotas(self) -> bool:
-        """Tell whether the work of any workspace is limited."""
+        """Return whether any workspace has a quota."""
         return any(workspace.quota is not None for workspace in self.workspaces)
 
     def get_workspace(self, key: KeyDigest | None) -> Workspace | None:
-        """Return the workspace that has a key, or None."""
+        """Return the workspace of an API key, or None."""
         return None if key is None else self.by_key.get(key)
 
     def get_allowed_regions(self, route: Route, workspace: WorkspaceName | None, fallback: Regions = None) -> Regions:
-        """Return where a request may be served: in the regions that its route and its workspace both allow.
+        """Return the regions that both the route and the workspace of a request allow.
 
-        :param before: what holds for a workspace that is not in this table: its absence must not widen anything
+        :param fallback: allowed regions of a workspace that is not in this table, so that its removal allows no more
         """
         if workspace is None:
             return route.regions
@@ -204,12 +204,12 @@
         return intersect_regions(route.regions, fallback if found is None else found.regions)
 
     def list_named_regions(self) -> set[RegionName]:
-        """Return all regions that routes and workspaces name."""
+        """Return all regions that are named by routes and workspaces."""
         bounds = [*(route.regions for route in self.routes), *(one.regions for one in self.workspaces)]
         return {region for bound in bounds if bound is not None for region in bound}
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path (without query), or None."""
+        """Return the route of a host with the longest prefix of a path (without query), or None."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -223,7 +223,7 @@
     limits: CallerLimits,
     workspaces: tuple[Workspace, ...] = (),
 ) -> RoutingTable:
-    """Return a table with its routes in the order in which they are tried, and its workspaces by their keys."""
+    """Return a routing table with its indexes."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
@@ -237,19 +237,19 @@
 
 
 class Incarnation(NamedTuple):
-    """One start of an upstream."""
+    """One run of an upstream's process."""
 
     id: UpstreamId
     started_at_ms: int
-    """When it started, in Unix milliseconds by its own clock; 0 where it does not tell.
+    """Start in Unix milliseconds by the upstream's clock, 0 if unknown.
 
-    It names a life, and is no time: another number under the same id is another start, which holds nothing of before.
+    Used as an identifier only: another value under the same id is a restarted process, which has lost all its state.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """What an upstream's listing says of it."""
+    """Upstream as listed in the store."""
 
     id: UpstreamId
     service: ServiceName
@@ -259,23 +259,23 @@
     phase: Phase
     slots: int
     cold_left: float = 0.0
-    """Seconds for which it stays cold, counted from when this was told."""
+    """Seconds for which it stays cold, counted from when this was received."""
     started_at_ms: int = 0
     """See ``Incarnation``."""
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return which start of the upstream it is."""
+        """Return the incarnation of the upstream."""
         return Incarnation(self.id, self.started_at_ms)
 
     def is_same_incarnation(self, other: Upstream) -> bool:
-        """Tell whether two entries are of one start of an upstream."""
+        """Return whether another entry is of the same incarnation."""
         return self.incarnation == other.incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class Handle:
-    """A prefilled KV cache that an engine holds until a decode engine takes it."""
+    """Handle of a prefilled KV cache that an engine keeps until a decode engine fetches it."""
 
     id: str
     upstream: Upstream
@@ -285,10 +285,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """A slot and KV memory that a decode engine has set aside for one request."""
+    """Slot and KV memory of a decode engine that are reserved for one request."""
 
     id: str | None
-    """None where it was not asked, and only room by the limit that it names is kept."""
+    """None if the engine was not asked, and only its announced rate limit is accounted for."""
     upstream: Upstream
     expires_at: float
     """Monotonic seconds."""
@@ -296,7 +296,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt; the same id means the same tokens."""
+    """Part of a prompt; the same id means the same tokens."""
 
     id: str
     tokens: int
@@ -304,29 +304,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a request says of itself."""
+    """Properties that a caller states of a request."""
 
     id: str
     time_left: float | None
-    """Seconds that the caller will wait."""
+    """Seconds until the caller's deadline."""
     last_event: int | None = None
-    """The last event that the caller already has of a stream."""
+    """Number of the last event of a stream that the caller has received."""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    """The most tokens that will be made."""
+    """Maximum number of tokens to generate."""
     parts: tuple[PromptPart, ...] = ()
     output_estimate: int = 0
-    """The tokens that the caller expects of the answer; 0 where it does not say."""
+    """Number of output tokens that the caller expects; 0 if unknown."""
     key: KeyDigest | None = field(default=None, repr=False)
-    """Of the key that the caller showed; None where it showed none that can be read."""
+    """Digest of the caller's API key; None if it sent no readable one."""
 
     @property
     def identity(self) -> str:
-        """Return what stays the same when the caller asks again: the last part of the prompt, else the id."""
+        """Return a text that stays the same on retries: the id of the prompt's last part, else the request's id."""
         return self.parts[-1].id if self.parts else self.id
 
 
 def hash_to_fraction(text: str) -> float:
-    """Return a number from 0 up to 1 that is the same for the same text on every VM."""
+    """Return a number in [0, 1) that is the same for a text on every VM."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2**64
--- a/src/beamhatch/relay/places.py
+++ b/src/beamhatch/relay/places.py
@@ -1,4 +1,4 @@
-"""Where halls lie: which region each is in, and how far they are from each other."""
+"""Topology of a deployment: the region of each hall, and the distance between halls."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     from collections.abc import Collection, Mapping
 
 RegionName = NewType("RegionName", str)
-"""Name of a region, a set of halls near each other."""
+"""Name of a region, a set of nearby halls."""
 
 DEFAULT_REGION = RegionName("")
-"""The region of halls that the settings don't place: where they place none, all are in one."""
+"""Region of halls that the settings assign to none."""
 
 
 class Distance(IntEnum):
-    """How far two halls are from each other; a larger one is dearer and slower."""
+    """Distance between two halls, in ascending order of cost and latency."""
 
     SAME_HALL = 0
     SAME_REGION = 1
@@ -26,31 +26,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """The halls of a deployment, as the settings place them."""
+    """Halls of a deployment, by the regions that the settings assign."""
 
     regions: Mapping[str, RegionName] = field(default_factory=dict)
     """The region of each hall."""
     _distances: dict[tuple[str, str], Distance] = field(default_factory=dict, compare=False, repr=False)
-    """What was measured before: choices ask for dozens of halls each, and there are few."""
+    """Distances by pair of halls, cached since each choice of an upstream looks up many."""
 
     def get_region(self, hall: str) -> RegionName:
-        """Return the region of a hall."""
+        """Return the region of a hall, ``DEFAULT_REGION`` where the settings assign none."""
         return self.regions.get(hall, DEFAULT_REGION)
 
     def is_in_regions(self, hall: str, regions: Collection[RegionName]) -> bool:
-        """Tell whether a hall is known to be in one of some regions; of one that the settings don't place, none is."""
+        """Return whether the settings assign a hall to one of the given regions."""
         return self.regions.get(hall) in regions
 
     def has_hall_in(self, regions: Collection[RegionName]) -> bool:
-        """Tell whether the settings place any hall in one of some regions."""
+        """Return whether the settings assign any hall to one of the given regions."""
         return any(region in regions for region in self.regions.values())
 
     def is_known(self, hall: str) -> bool:
-        """Tell whether the settings place a hall; where they place none, all are known."""
+        """Return whether the settings assign a region to a hall; if they assign none at all, every hall is known."""
         return not self.regions or hall in self.regions
 
     def get_distance(self, hall: str, other: str) -> Distance:
-        """Return how far two halls are from each other."""
+        """Return the distance between two halls."""
         found = self._distances.get((hall, other))
         if found is None:
             found = self._distances[hall, other] = self._compute_distance(hall, other)
