--- a/src/beamhatch/relay/api.py
+++ b/src/beamhatch/relay/api.py
@@ -1,4 +1,4 @@
-"""What the relay needs of a platform: its headers, its store and its documents. An adapter fills these classes in."""
+"""Interfaces between the relay and a platform: headers, store and documents. A platform adapter implements them."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     from beamhatch.relay.workspaces.workspace import WorkspaceName
 
 Headers = list[tuple[str, str]]
-"""Names and values in the order in which they are sent."""
+"""Names and values of HTTP headers, in the order of sending."""
 
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """A request that no upstream would take, with the status to answer it by."""
+    """Rejection of a request with invalid headers, with the status of the response."""
 
     status: int
     detail: str
@@ -39,28 +39,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOptions:
-    """What the relay tells an upstream beside the caller's own headers."""
+    """Values that the relay sends to an upstream in addition to the caller's headers."""
 
     stage: Stage
     expected_upstream: str
-    """Id of the upstream that is meant."""
+    """Id of the upstream that the request is intended for."""
     time_left: float
-    """Seconds."""
+    """Seconds until the deadline."""
     handle: Handle | None = None
     reservation: Reservation | None = None
     last_event: int | None = None
     strips_credentials: bool = False
-    """True where the caller's key and workspace are told by the relay and not by the caller's own headers."""
+    """Whether the caller's headers for API key and workspace are dropped, since the relay sets the workspace."""
     workspace: WorkspaceName | None = None
-    """Whose request it is."""
+    """Workspace of the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnouncedLimit:
-    """The limit that an upstream names in an answer."""
+    """Rate limit that an upstream announces in a response."""
 
     rate: float | None
-    """Requests a second that it takes from all VMs together; None where what it says can't be read."""
+    """Requests per second that it accepts from all VMs together; None if the announcement is unreadable."""
 
 
 UNREADABLE_LIMIT = AnnouncedLimit(None)
@@ -68,43 +68,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseFacts:
-    """What the head of an upstream's answer says."""
+    """Properties of a response, from the headers that the upstream sent."""
 
     request_id: str | None
-    """Id of the request that is answered."""
+    """Id of the request that the response belongs to."""
     from_upstream: bool = False
-    """True where an upstream vouches that the answer is its own."""
+    """Whether the response comes from the upstream itself, and not from something in front of it."""
     not_run: bool = False
-    """True where the upstream proves that it has not run the request."""
+    """Whether the upstream states that it has not run the request."""
     encoded: bool = False
-    """True where the body is not as the upstream made it."""
+    """Whether the body has a content encoding."""
     load: Load | None = None
     leaving: bool = False
-    """True where the upstream says that it leaves."""
+    """Whether the upstream announces its departure."""
     backoff: float | None = None
-    """Seconds for which the upstream wants nothing from this VM; None where it asks for no rest."""
+    """Seconds for which the upstream asks this VM to send no requests; None if it does not ask."""
     limit: AnnouncedLimit | None = None
-    """None where the upstream names no limit."""
+    """None if the upstream announces no limit."""
 
 
 class Dialect(ABC):
-    """How requests and answers are written on the wire."""
+    """Encoding of requests and responses on the wire."""
 
     @abstractmethod
     def read_request(self, headers: Headers) -> RequestFacts | BadRequest:
-        """Return what a caller's headers say."""
+        """Parse a caller's headers."""
 
     @abstractmethod
     def write_request(self, headers: Headers, terms: SendOptions) -> Headers:
-        """Return the headers for an upstream, from those of the caller that concern no single connection."""
+        """Return the headers for an upstream, given the end-to-end headers of the caller."""
 
     @abstractmethod
     def read_response(self, status: int, headers: Headers) -> ResponseFacts:
-        """Return what an upstream's headers say."""
+        """Parse an upstream's response headers."""
 
     @abstractmethod
     def read_handle(self, body: bytes) -> str | None:
-        """Return the id of the KV cache that the answer to a prefill names, or None where it names none."""
+        """Return the id of the KV cache in the response to a prefill, or None if it has none."""
 
     @abstractmethod
     def make_release_call(self, handle: Handle) -> Call:
@@ -112,39 +112,42 @@
 
     @abstractmethod
     def make_reserve_call(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
-        """Return the call that sets KV memory aside for some seconds."""
+        """Return the call that reserves KV memory.
+
+        :param lifetime: seconds for which the reservation is kept
+        """
 
     @abstractmethod
     def read_reservation(self, body: bytes) -> str | None:
-        """Return the id of what was set aside, or None where the answer names none."""
+        """Return the id of a reservation, or None if the response has none."""
 
     @abstractmethod
     def make_phase_change_call(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
-        """Return the call that has an engine play another part.
+        """Return the call that orders an engine to change its phase.
 
-        :param token: rises from holder to holder
+        :param token: fencing token, which increases with each holder of the leadership
         """
 
     @abstractmethod
     def make_unreserve_call(self, reservation: Reservation) -> Call:
-        """Return the call that gives back what was set aside."""
+        """Return the call that cancels a reservation."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The store gave no answer, or refused to serve this VM."""
+    """Failure of a call to the store: no response, an error or an invalid response."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionExpired:
-    """The store no longer knows what happened since the revision."""
+    """Answer to a watch whose start revision the store no longer has; everything must be read again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """The operators' configuration, as written and as read, with the revision of its change."""
+    """Operators' configuration, as raw bytes and parsed."""
 
     raw: bytes
     table: RoutingTable
@@ -152,47 +155,47 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectiveUpdate:
-    """What the operators wrote, as of a revision; ``document`` is None where it did not change or can't be read."""
+    """Operators' directives as of a revision; ``document`` is None if it did not change or is unreadable."""
 
     document: Document | None
     evacuations: Sequence[Evacuation]
-    """Halls that are emptied, or no longer are."""
+    """Halls whose evacuation has begun or ended."""
     revision: int
     authoritative: bool = True
-    """False where the store was just restored, or may have been: what a list lacks may be written again."""
+    """False if the store was or may have been restored recently: entries that are missing may be written again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListingUpdate:
-    """News of upstreams up to a revision."""
+    """Entries of upstreams as of a revision."""
 
     entries: Sequence[Entry]
     revision: int
     authoritative: bool = True
-    """False where the store was just restored, or may have been: what a list lacks may be written again."""
+    """False if the store was or may have been restored recently: entries that are missing may be written again."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipState:
-    """Whether a VM leads, and what the last order was, as of a revision."""
+    """State of the leadership and the last order, as of a revision."""
 
     has_leader: bool
     last_order: int
-    """The revision at which the last order was written down; 0 where none ever was."""
+    """Revision at which the last order was recorded; 0 if there was none."""
     revision: int
     order: str = ""
-    """The last order, as it was written down."""
+    """Text of the last order, as recorded."""
     quarantined: Sequence[Fingerprint] = ()
-    """Requests whose quarantine is kept: they are read with what a few VMs watch anyway, and cost no call."""
+    """Requests whose quarantine is stored; they are part of this state to save a separate call."""
     restored: bool = False
-    """True where the store was restored since it was read last, or within seconds before."""
+    """Whether the store was restored since the last read, or shortly before it."""
     order_may_be_lost: bool = False
-    """True where the store has no order, and may have lost one in a restore."""
+    """Whether the store has no order but may have lost one in a restore."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipClaim:
-    """The leadership is this VM's, by a claim at a revision, as long as it keeps the lease."""
+    """Claim of this VM to the leadership, valid while its lease is renewed."""
 
     lease: int
     revision: int
@@ -200,68 +203,71 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipTaken:
-    """Another VM leads."""
+    """Result of a claim to the leadership while another VM holds it."""
 
 
 class Store(ABC):
-    """The platform's store, read linearizably. Each call is paid for; a waiting watch is one call."""
+    """The platform's store, with linearizable reads. Each call is billed; a watch counts as one call."""
 
     @abstractmethod
     async def read_directives(self, known: int) -> DirectiveUpdate | StoreUnavailable:
-        """Return the configuration in force, and all halls that are emptied.
+        """Return the current configuration, and all evacuated halls.
 
-        :param known: the revision up to which all evacuations are known by now, 0 where nobody has told
+        :param known: revision up to which all evacuations are known to this VM, 0 if none are
         """
 
     @abstractmethod
     async def watch_directives(self, after: int, wait: float) -> DirectiveUpdate | StoreUnavailable | RevisionExpired:
-        """Return what the operators changed behind a revision as soon as they do, or nothing after some seconds."""
+        """Return the operators' changes after a revision as soon as there are any, or none after ``wait`` seconds."""
 
     @abstractmethod
     async def read_listing(self, known: int) -> ListingUpdate | StoreUnavailable:
         """Return all upstreams.
 
-        :param known: the lowest revision among the entries that are known by now, 0 where there are none
+        :param known: lowest revision among the entries that this VM knows, 0 if it knows none
         """
 
     @abstractmethod
     async def watch_listing(self, after: int, wait: float) -> ListingUpdate | StoreUnavailable | RevisionExpired:
-        """Return changes of upstreams behind a revision as soon as there are any, or after some seconds."""
+        """Return changes of upstreams after a revision as soon as there are any, or none after ``wait`` seconds."""
 
     @abstractmethod
     async def store_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreUnavailable | None:
-        """Keep the quarantine of a request for some seconds, whatever becomes of the VMs."""
+        """Store the quarantine of a request for some seconds, so that it outlives the VMs."""
 
     @abstractmethod
     async def delete_quarantine(self, fingerprint: Fingerprint) -> StoreUnavailable | None:
-        """Keep the quarantine of a request no longer."""
+        """Delete the stored quarantine of a request."""
 
     @abstractmethod
     async def read_leadership(self) -> LeadershipState | StoreUnavailable:
-        """Return who leads, what the last order was, and which requests are held."""
+        """Return whether a VM leads, the last order, and the requests whose quarantine is stored."""
 
     @abstractmethod
     async def watch_leadership(self, after: int, wait: float) -> bool | StoreUnavailable:
-        """Return True as soon as something changed behind a revision, or is not known any more; False after a time."""
+        """Return True once the state changes after a revision or the revision expired; False after ``wait`` seconds."""
 
     @abstractmethod
     async def claim_leadership(
         self, holder: str, lifetime: float, seen: LeadershipState
     ) -> LeadershipClaim | LeadershipTaken | StoreUnavailable:
-        """Claim the leadership on the condition that nobody has it, and that no order was given since it was seen."""
+        """Claim the leadership on condition that no VM holds it, and no order was recorded after ``seen`` was read.
+
+        :param lifetime: seconds until the lease expires unless it is renewed
+        """
 
     @abstractmethod
     async def renew_leadership(self, claim: LeadershipClaim, timeout: float) -> bool | StoreUnavailable:
-        """Renew the lease of a claim; False where it is over."""
+        """Renew the lease of a claim; return False if it has expired."""
 
     @abstractmethod
     async def record_order(self, claim: LeadershipClaim, order: str) -> bool | StoreUnavailable:
-        """Write an order down on the condition that the claim stands; False where it does not."""
+        """Record an order on condition that the claim is valid; return False if it is not."""
 
 
 class Documents(ABC):
-    """How the platform writes what peers hand on to each other."""
+    """Encoding of the documents that peers forward to each other."""
 
     @abstractmethod
     def read_configuration(self, raw: bytes) -> RoutingTable | None:
-        """Return the configuration in a document, or None where it can't be read."""
+        """Parse a configuration document; return None if it is invalid."""
