--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -1,4 +1,4 @@
-"""What all requests of one VM share: the configuration, the upstreams, and how callers are served."""
+"""State shared by all requests of one VM: configuration, upstreams and open exchanges."""
 
 from __future__ import annotations
 
@@ -62,44 +62,40 @@
     from beamhatch.relay.workspaces.admission import Decision
 
 COLD_PENALTY_REQUESTS = 1.0
-"""Requests whose time, at the rate that a cold upstream bears, it costs more than a warm one.
+"""Extra cost of a cold upstream, as the time that it needs for this many requests at its cold rate.
 
-All VMs like the emptiest upstream best, and one that has just started is empty, and slow. A quarter of it served less
-on a day with 11 engines that came back cold: 0.668 in place of 0.754 (one run each).
+Without it, all VMs would prefer an upstream that has just started, since it is empty, although it is slow.
 """
 
 COLD_CHECK_INTERVAL_S = 1.0
-"""Seconds between two looks for upstreams that have become warm, for the log; there are none while all are warm."""
+"""Interval of checks for upstreams that are no longer cold, for the log; runs only while some are cold."""
 
 MAX_LOGGED_UPSTREAMS = 8
-"""Upstreams that one line on cold ones names; of more, it tells how many."""
+"""Maximum number of upstreams listed in one log line; the line has the total count too."""
 
 RETRY_TIME_LEFT_SHARE = 0.9
-"""Share of the longest time that callers of a route begin with, below which one is taken to ask again."""
+"""A caller with less than this share of the route's longest time left is taken for one that retries."""
 
 STOPPING_RETRY_S = 0.15
-"""Seconds after which a caller may come back to another VM."""
+"""Retry-After of a VM that is shutting down; the caller reaches another one."""
 
 UNREADY_RETRY_S = 1.0
-"""Seconds after which a caller may come back to a VM that knows no configuration yet."""
+"""Retry-After of a VM that has no usable configuration yet."""
 
 OUTDATED_RETRY_S = 0.3
-"""Seconds after which a caller may come back whose key a VM doesn't know that lacks the newest configuration.
-
-Peers tell each other of a configuration within three round trips; 0.2 s were enough for 24 VMs on a paused clock.
-"""
+"""Retry-After of a VM that may lack the newest configuration; peers send it within three round trips."""
 
 
 @dataclass(slots=True)
 class ReloadableSettings:
-    """Bounds that the platform sets; a reload may change them."""
+    """Settings of the platform that a reload may change."""
 
     retry_budget: BudgetTerms = field(default_factory=BudgetTerms)
 
 
 @dataclass(frozen=True, slots=True)
 class _Destination:
-    """Where a request is served."""
+    """Route, service and constraints of an accepted request."""
 
     route: Route
     service: Service
@@ -110,17 +106,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """A request that is not served here, with the status to answer it by."""
+    """Reason why a request is refused, with the status of the response."""
 
     status: int
     detail: str
     retry_after: float | None = None
-    """Seconds after which the caller may come back."""
+    """Seconds after which the caller may retry."""
 
 
 @dataclass(slots=True)
 class Core:
-    """The state of one VM's relay."""
+    """State of the relay on one VM."""
 
     clock: Clock
     journal: Journal
@@ -142,22 +138,22 @@
     peer_backlog: PeerWork = field(default_factory=PeerWork)
     document: Document | None = None
     started_at: float = 0.0
-    """When the VM started, in monotonic seconds."""
+    """Start of the VM's relay, in monotonic seconds."""
     vm_count: int = 1
-    """VMs that are known to be alive, this one among them."""
+    """Number of VMs known to be alive, including this one."""
     recent_vm_count: int = 1
-    """VMs that there were of late: a bound that all share is divided by them, as those out of touch use their part."""
+    """Number of VMs seen recently; shared limits are divided by it, since unreachable VMs still use their share."""
     stopping: bool = False
-    """True once a planned stop leaves no time for new requests."""
+    """Whether new requests are refused because of a planned stop."""
     exchanges: set[RelayExchange] = field(default_factory=set)
     on_change: Callable[[], None] = lambda: None
     """Called when the configuration or the listing has changed."""
     on_evacuation: Callable[[], None] = lambda: None
-    """Called when a hall was emptied or taken back."""
+    """Called when the evacuation of a hall has begun or ended."""
     on_failure: Callable[[], None] = lambda: None
-    """Called when an upstream failed a request."""
+    """Called when a request to an upstream has failed."""
     on_backlog_change: Callable[[], None] = lambda: None
-    """Called when this VM's part of what an engine has to read has changed."""
+    """Called when this VM's share of the prefill backlog of an engine has changed."""
     topology: Topology = field(default_factory=Topology)
     _retry_budgets: dict[ServiceName, Budget] = field(default_factory=dict)
     memory_queues: MemoryLines = field(init=False)
@@ -167,14 +163,14 @@
     _retry_schedules: defaultdict[ServiceName, PacedReturns] = field(default_factory=lambda: defaultdict(PacedReturns))
     cold_transitions: ColdWatch = field(default_factory=ColdWatch)
     _cold_check: Any = None
-    """The next look for upstreams that are warm again."""
+    """Timer of the next check for upstreams that are no longer cold."""
     _longest_time_left: dict[str, float] = field(default_factory=dict)
-    """The longest that a caller of each route would wait, in seconds."""
+    """Longest time until a caller's deadline on each route, in seconds."""
     _unknown_halls: set[str] = field(default_factory=set)
-    """Emptied halls that the settings don't place, as far as they were told of in the log."""
+    """Evacuated halls that the settings do not assign to a region and that have been logged."""
 
     def __post_init__(self) -> None:
-        """Put together what stands between requests and upstreams."""
+        """Create and connect the parts that depend on other fields."""
         self.announcements = Announcements(self.clock, self.journal, self.tally, self.dialect, self.listing)
         self.announcements.on_news = self._schedule_withdrawal
         self.eligibility = Eligibility(
@@ -200,25 +196,25 @@
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force, 0 where none is."""
+        """Return the version of the configuration in force, 0 if there is none."""
         return 0 if self.table is None else self.table.version
 
     @property
     def revision(self) -> int:
-        """Return the revision of the newest entry of the listing, 0 where there is no whole listing."""
+        """Return the revision of the newest entry of the listing, 0 if the listing is incomplete."""
         return self.listing.newest if self.listing.complete else 0
 
     @property
     def ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Return whether requests can be served."""
         return self.document is not None and self.listing.complete and self.eligibility.evacuations.complete
 
     def get_caller_limits(self) -> CallerLimits:
-        """Return the bounds on callers."""
+        """Return the limits on callers."""
         return CallerLimits() if self.table is None else self.table.limits
 
     def apply_document(self, document: Document, source: str) -> bool:
-        """Put a configuration in force unless a newer one is; return whether it was."""
+        """Put a configuration in force and return True, unless its version is not newer than the current one."""
         version = document.table.version
         if self.table is not None and self.table.version >= version:
             return False
@@ -234,22 +230,22 @@
         return True
 
     def _log_unknown_regions(self, table: RoutingTable) -> None:
-        """Write a line on regions that the configuration names and the settings place no hall in."""
+        """Log the regions that the configuration names but the settings assign no hall to."""
         unknown = sorted(region for region in table.list_named_regions() if not self.topology.has_hall_in({region}))
         if unknown:
             self.journal.write("CONFIG", "regions without halls", regions=unknown, version=table.version)
 
     def apply_topology(self, topology: Topology) -> None:
-        """Take changed settings of where halls lie."""
+        """Apply changed settings of halls and regions."""
         if topology != self.topology:
             self.topology = self.eligibility.places = self.eligibility.evacuations.places = topology
             self.chooser.distances.places = topology
             self.journal.write("MAIN", "halls placed anew", halls=len(topology.regions))
 
     def apply_listing(self, update: ListingUpdate, source: str, *, is_snapshot: bool) -> None:
-        """Take in news of upstreams.
+        """Apply an update of the listing.
 
-        :param whole: whether what the news lack is gone
+        :param is_snapshot: whether the update is complete, so that upstreams missing from it are gone
         """
         now = self.clock.now()
         listing = self.listing
@@ -275,7 +271,7 @@
             self.on_change()
 
     def _handle_restart(self, upstream: Upstream, before: Upstream) -> None:
-        """Forget what was believed of an upstream that has started again under its id."""
+        """Reset the state of an upstream that has restarted under the same id."""
         self.journal.write(
             "LISTING", "started again", upstream=upstream.id, born=upstream.started_at_ms, before=before.started_at_ms
         )
@@ -283,15 +279,15 @@
         self.phase_changes.end(upstream.id, None)
 
     def has_restarted(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
+        """Return whether an upstream has restarted since and so has lost its caches and reservations."""
         newest = self.listing.find_last(upstream.id)
         return newest is not None and not newest.is_same_incarnation(upstream)
 
     def list_usable(self, service: ServiceName, regions: Regions = None, *, is_retry: bool = False) -> list[Upstream]:
-        """Return the upstreams of a service that may get new work.
+        """Return the upstreams of a service that may be sent a request.
 
-        :param regions: the regions that a request may be served in; None where it may be in any
-        :param owed: whether its caller was refused before
+        :param regions: regions that the request may be served in; None for any
+        :param is_retry: whether its caller was refused before
         """
         now = self.clock.now()
         return self.eligibility.list_eligible(
@@ -299,15 +295,15 @@
         )
 
     def _list_not_changing(self, service: ServiceName, now: float) -> list[Upstream]:
-        """Return the upstreams of a service that are listed and not away for a change of their part."""
+        """Return the listed upstreams of a service that are not changing their phase."""
         return self.phase_changes.pass_over(self.listing.list_usable(service, now), now)
 
     def _record_cold(self, entries: Sequence[Entry], source: str) -> None:
-        """Write one line on the upstreams that turned cold, and look in a while which of them are warm."""
-        turned = self.cold_transitions.take([entry.id for entry in entries])
-        if turned:
+        """Log the upstreams that became cold, and schedule the check for those that no longer are."""
+        became_cold = self.cold_transitions.take([entry.id for entry in entries])
+        if became_cold:
             self.journal.write(
-                "COLD", "cold", count=len(turned), upstreams=turned[:MAX_LOGGED_UPSTREAMS], source=source
+                "COLD", "cold", count=len(became_cold), upstreams=became_cold[:MAX_LOGGED_UPSTREAMS], source=source
             )
             self._schedule_cold_check()
 
@@ -325,46 +321,46 @@
     def compute_cold_wait(
         self, service: ServiceName, regions: Regions = None, tried: Collection[UpstreamId] = ()
     ) -> float | None:
-        """Return the seconds until one of a service's cold upstreams has room for this VM, None where none lacks it.
+        """Return the seconds until this VM may send to a cold upstream again, None if no cold upstream is exhausted.
 
-        :param tried: those that a request won't go to any more
+        :param tried: upstreams that are excluded
         """
         terms = self.get_cold_terms(service)
         if terms is None:
             return None
         now = self.clock.now()
         find_obstacle = self.eligibility.find_obstacle
-        left = (one for one in self._list_not_changing(service, now) if one.id not in tried)
-        shut = (one for one in left if find_obstacle(one, regions, terms, now) is Obstacle.COLD)
-        return min((self.eligibility.find_wait(one, terms, now) for one in shut), default=None)
+        candidates = (one for one in self._list_not_changing(service, now) if one.id not in tried)
+        exhausted = (one for one in candidates if find_obstacle(one, regions, terms, now) is Obstacle.COLD)
+        return min((self.eligibility.find_wait(one, terms, now) for one in exhausted), default=None)
 
     def compute_cold_cost(self, upstream: Upstream, now: float) -> float:
-        """Return the seconds that a cold upstream costs more: the time in which it bears one more request."""
+        """Return the extra cost of an upstream in seconds, 0 if it is not cold."""
         terms = self.get_cold_terms(upstream.service)
         if terms is None or not self.eligibility.is_cold(upstream, terms, now):
             return 0.0
         return COLD_PENALTY_REQUESTS / terms.rate
 
     def count_obstacles(self, service: ServiceName, regions: Regions) -> Counter[Obstacle]:
-        """Return how many upstreams of a service each obstacle keeps a request from."""
+        """Return the number of a service's upstreams that each obstacle excludes."""
         now = self.clock.now()
         listed = self.listing.list_usable(service, now)
         return self.eligibility.count_obstacles(listed, regions, self.get_cold_terms(service), now)
 
     def get_cold_terms(self, service: ServiceName) -> ColdTerms | None:
-        """Return what upstreams of a service bear while they are cold; None where that is as much as ever."""
+        """Return the limit on cold upstreams of a service; None if there is none."""
         found = None if self.table is None else self.table.services.get(service)
         return None if found is None else found.cold
 
     def get_obstacle(self, upstream: Upstream, service: ServiceName, regions: Regions = None) -> Obstacle | None:
-        """Return why an upstream may not be sent a request of a service, or None where it may."""
+        """Return why an upstream may not be sent a request of a service, or None if it may."""
         return self.eligibility.find_obstacle(upstream, regions, self.get_cold_terms(service), self.clock.now())
 
     def detect_shortage(self, service: ServiceName, regions: Regions = None) -> Lack | None:
-        """Return what keeps a request from all upstreams that could answer it, None where nothing does.
+        """Return why no upstream of a service can respond to a request, or None if one can.
 
-        Prefill engines don't count: without a decode engine nothing is answered, and it can do without them. Upstreams
-        in other regions don't either, nor engines that are changing their part.
+        Prefill engines are ignored, since a decode engine can process prompts itself but not the reverse. Upstreams
+        in other regions and engines that are changing their phase are ignored too.
         """
         now = self.clock.now()
         listed = [*self._list_not_changing(service, now), *self.listing.list_leaving(service)]
@@ -372,15 +368,15 @@
         return find_lack(self.eligibility, answering, regions, self.get_cold_terms(service), now)
 
     def reserve_retry_slot(self, service: ServiceName, shortage: Lack) -> float:
-        """Return the seconds after which a caller is to come back that limits of all upstreams keep from a service."""
+        """Return the seconds after which a caller may retry while all upstreams of a service are at their limit."""
         now = self.clock.now()
-        back = self._retry_schedules[service].promise(shortage.wait, shortage.pace / self.vm_count, now)
-        lives = [one.incarnation for one in self.listing.list_usable(service, now)]
-        self.announcements.limits.note_refused(lives, now + back)
-        return back
+        delay = self._retry_schedules[service].promise(shortage.wait, shortage.pace / self.vm_count, now)
+        incarnations = [one.incarnation for one in self.listing.list_usable(service, now)]
+        self.announcements.limits.note_refused(incarnations, now + delay)
+        return delay
 
     def _schedule_withdrawal(self, life: Incarnation) -> None:
-        """Take back what was to go to an upstream that wants no more, once what is being read is read."""
+        """Withdraw requests from an upstream that accepts no more, after the data being parsed has been handled."""
         self.clock.call_later(0.0, self._withdraw_from, life)
 
     def _withdraw_from(self, incarnation: Incarnation) -> None:
@@ -389,10 +385,10 @@
         self._advance_queued()
 
     def apply_evacuations(self, updates: Sequence[Evacuation], source: str, *, as_of: int, is_snapshot: bool) -> None:
-        """Take in which halls are emptied.
+        """Apply updates of evacuations.
 
-        :param as_of: the revision up to which the news tell everything
-        :param whole: whether they are of all halls, and not just what changed behind the last revision
+        :param as_of: revision up to which the updates are complete
+        :param is_snapshot: whether they cover all halls, and not only changes after the last revision
         """
         evacuations = self.eligibility.evacuations
         now = self.clock.now()
@@ -419,32 +415,32 @@
             under_way=self.count_requests_in(evacuation.hall),
             emptied=len(self.eligibility.evacuations.list_emptied()),
         )
-        strange = self._unknown_halls
+        logged = self._unknown_halls
         if (
             not self.topology.is_known(evacuation.hall)
-            and evacuation.hall not in strange
-            and len(strange) < MOST_UNPLACED
+            and evacuation.hall not in logged
+            and len(logged) < MOST_UNPLACED
         ):
-            strange.add(evacuation.hall)
+            logged.add(evacuation.hall)
             self.journal.write("EVACUATION", "unknown hall", hall=evacuation.hall, source=source)
 
     def _advance_queued(self) -> None:
-        """Have all who wait for decode memory plan anew: where nothing is left they are answered now."""
-        for key, line in self.memory_queues.list_all():
+        """Advance the requests that queue for decode memory of a service with a shortage, to respond to them now."""
+        for key, queue in self.memory_queues.list_all():
             if self.detect_shortage(key.service, key.regions) is not None:
-                for waiter in line.list_all():
+                for waiter in queue.list_all():
                     waiter.advance()
 
     def count_requests_in(self, hall: str) -> int:
-        """Return how many requests are under way at upstreams of a hall."""
+        """Return the number of requests in progress at upstreams of a hall."""
         return sum(exchange.hall == hall for exchange in self.exchanges)
 
     def count_requests_in_evacuated(self) -> int:
-        """Return how many requests are still under way at upstreams of emptied halls."""
+        """Return the number of requests in progress at upstreams of evacuated halls."""
         return sum(self.count_requests_in(hall) for hall in self.eligibility.evacuations.list_emptied())
 
     def apply_phase_change(self, upstream: UpstreamId, update: ChangeNews, source: str) -> None:
-        """Take in that an engine was ordered to play another part."""
+        """Record that an engine was ordered to change its phase."""
         found = self.listing.find(upstream)
         if found is None or found.phase is update.phase:
             return
@@ -460,13 +456,13 @@
             self.on_change()
 
     def record_rejection(self, upstream: UpstreamId) -> None:
-        """Take in that an engine turned a request away that it should have had room for."""
+        """Record that an engine rejected a request although it should have capacity, which may confirm its change."""
         if self.phase_changes.confirm(upstream, self.clock.now()):
             self.journal.write("LISTING", "changing", upstream=upstream, certain=True, source="turned away")
             self.on_change()
 
     def get_retry_budget(self, service: ServiceName) -> Budget:
-        """Return the budget of repeated sends to a service."""
+        """Return the retry budget of a service."""
         budget = self._retry_budgets.get(service)
         if budget is None:
             budget = self._retry_budgets[service] = Budget(self.settings.retry_budget, self.started_at)
@@ -474,93 +470,93 @@
         return budget
 
     def get_demand(self, service: ServiceName) -> Demand:
-        """Return what this VM's streams ask of a service."""
+        """Return the estimator of this VM's demand on a service."""
         return self._demands[service]
 
     def get_prefill_times(self, service: ServiceName) -> ReadTimes:
-        """Return how long the prompts of a service took of late."""
+        """Return the recent prefill times of a service."""
         return self._prefill_times[service]
 
     def get_output_lengths(self, service: ServiceName) -> AnswerLengths:
-        """Return how long the answers of a service become."""
+        """Return the output lengths of a service."""
         return self._output_lengths[service]
 
     def record_output_length(self, service: ServiceName, facts: RequestFacts, tokens: int) -> None:
-        """Learn how long an answer became."""
+        """Record the length of an output."""
         if Mechanism.LEARNED_OUTPUT_LENGTHS not in self.disabled:
             self._output_lengths[service].note(facts, tokens)
 
     def make_demand_report(self, service: ServiceName) -> DemandReport:
-        """Return what this VM's streams ask of a service, as other VMs are told."""
+        """Return this VM's demand on a service, as sent to other VMs."""
         now = self.clock.now()
         demand = self.get_demand(service)
-        reading = self.prefill_models.get_reading(service)
-        whole = self.prefill_models.get_whole(service)
+        prefill = self.prefill_models.get_reading(service)
+        decode = self.prefill_models.get_whole(service)
         return DemandReport(
             prompt_rate=round(demand.count_prompt_rate(now)),
             wait_rate=round(demand.count_wait_rate(now), 2),
             prompt=round(demand.prompt),
             answer=round(demand.answer),
             residence=round(demand.find_residence(now), 2),
-            read_rate=round(reading.pace.rate) if reading.learned else 0.0,
-            read_overhead=round(reading.pace.overhead, 3),
-            whole_rate=round(whole.pace.rate) if whole.learned else 0.0,
+            read_rate=round(prefill.pace.rate) if prefill.learned else 0.0,
+            read_overhead=round(prefill.pace.overhead, 3),
+            whole_rate=round(decode.pace.rate) if decode.learned else 0.0,
         )
 
     def apply_prefill_models(self, reports: Mapping[str, DemandReport]) -> None:
-        """Take over what another VM has found of the engines, where this one knows nothing yet."""
+        """Adopt another VM's prefill models for services for which this VM has none yet."""
         for service, report in reports.items():
             if report.read_rate:
                 self.prefill_models.get_reading(ServiceName(service)).take(Pace(report.read_overhead, report.read_rate))
 
     def make_demand_reports(self) -> dict[str, DemandReport]:
-        """Return what this VM's streams ask of each service with engines."""
+        """Return this VM's demand on each service with engines, as sent to other VMs."""
         return {name: self.make_demand_report(name) for name in self._demands}
 
     # --- callers -----------------------------------------------------------------------------------------------------
 
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
-        """Serve one caller's request."""
+        """Start the exchange of a caller's request, or refuse it and return None."""
         facts = self.dialect.read_request(incoming.headers)
         if isinstance(facts, BadRequest):
             self._refuse(responder, _Refusal(facts.status, facts.detail), "")
             return None
-        place = self._find_destination(incoming, facts)
-        if isinstance(place, _Refusal):
-            self._refuse(responder, place, facts.id)
+        destination = self._find_destination(incoming, facts)
+        if isinstance(destination, _Refusal):
+            self._refuse(responder, destination, facts.id)
             return None
-        self.get_retry_budget(place.service.name).note_request(self.clock.now())
-        if place.service.engine is not None:
-            answer = self.get_output_lengths(place.service.name).find_mean(facts)
-            self.get_demand(place.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
+        self.get_retry_budget(destination.service.name).note_request(self.clock.now())
+        if destination.service.engine is not None:
+            answer = self.get_output_lengths(destination.service.name).find_mean(facts)
+            self.get_demand(destination.service.name).note_prompt(facts.prompt_tokens, answer, self.clock.now())
         exchange = RelayExchange(
             self,
             incoming,
             responder,
             facts,
-            place.route,
-            place.service,
-            place.admitted,
-            place.fingerprint,
-            place.regions,
+            destination.route,
+            destination.service,
+            destination.admitted,
+            destination.fingerprint,
+            destination.regions,
         )
         self.exchanges.add(exchange)
         exchange.start()
         return exchange
 
     def _find_destination(self, incoming: IncomingRequest, facts: RequestFacts) -> _Destination | _Refusal:
-        """Return where a request is to be served, or why it is not."""
+        """Return the destination of a request, or why it is refused."""
         if self.stopping:
-            return _Refusal(503, "this VM stops", STOPPING_RETRY_S)
+            return _Refusal(503, "this VM is shutting down", STOPPING_RETRY_S)
         table = self.table
         if table is None or not self.ready:
-            return _Refusal(503, "no configuration is known yet", UNREADY_RETRY_S)
+            return _Refusal(503, "no configuration or listing of upstreams loaded yet", UNREADY_RETRY_S)
         route = table.find_route(incoming.host, incoming.path)
         if route is None:
-            return _Refusal(404, f"no route, by version {table.version}")
+            return _Refusal(404, f"no route matches in configuration version {table.version}")
         service = table.services.get(route.choose_service(facts.identity))
         if service is None:
-            return _Refusal(503, "the route's service is not configured", UNREADY_RETRY_S)
+            return _Refusal(503, "the service of the route is not configured", UNREADY_RETRY_S)
         decision = self.admission.decide(facts, route, table, self.clock.now())
         if not isinstance(decision, Admitted):
             return _make_refusal(decision, table.version)
@@ -573,7 +569,7 @@
         return refusal or _Destination(route, service, decision, regions, fingerprint)
 
     def _refuse_quarantined(self, fingerprint: Fingerprint) -> _Refusal | None:
-        """Return how a request is refused that ends what runs it, None where it does not."""
+        """Return the refusal of a request in quarantine, or None if it is not in quarantine."""
         hold = self.quarantine.find_hold(fingerprint, self.clock.now())
         if hold is None:
             return None
@@ -581,39 +577,39 @@
         return _Refusal(503, f"{HELD}, fingerprint {fingerprint.hex()}", math.ceil(hold.until - self.clock.now()))
 
     def _refuse_by_regions(self, regions: frozenset[RegionName], version: int) -> _Refusal | None:
-        """Return how a request is refused that no hall may serve, or None where one may.
+        """Return the refusal of a request that no hall may serve, or None if one may.
 
-        403 is told only where nothing but another configuration can mend it and this VM is sure to have the newest:
-        a 4xx to a request that another version allows is worse than a repeat.
+        Responds with 403 only if this VM certainly has the newest configuration and only a change of it would help;
+        otherwise with 503, so that a caller retries a request that a newer version allows.
         """
         if regions and self.topology.has_hall_in(regions):
             return None
         if regions:
             self.tally.count("residency_refusals_total", "no_hall")
             named = ", ".join(sorted(regions))
-            return _Refusal(503, f"the settings place no hall in an allowed region ({named})", REGION_RETRY)
-        detail = f"route and workspace allow no region in common, by version {version}"
+            return _Refusal(503, f"no hall in an allowed region ({named})", REGION_RETRY)
+        detail = f"route and workspace have no allowed region in common in configuration version {version}"
         if self.admission.may_be_behind():
             self.tally.count("residency_refusals_total", "maybe_never")
-            return _Refusal(503, f"{detail}, and there may be a newer one", OUTDATED_RETRY_S)
+            return _Refusal(503, f"{detail}; there may be a newer version", OUTDATED_RETRY_S)
         self.tally.count("residency_refusals_total", "never")
         return _Refusal(403, detail)
 
     def advance_waiting(self, fingerprint: Fingerprint) -> None:
-        """Have all who wait with a request that is held now be told so."""
+        """Advance the exchanges of a request that has been put in quarantine, to respond to them now."""
         for exchange in list(self.exchanges):
             if exchange.fingerprint == fingerprint:
                 exchange.advance()
 
     def is_caller_retry(self, route: Route, time_left: float | None) -> bool:
-        """Tell whether a caller seems to have asked before: others of its route began with clearly more time."""
+        """Return whether a request is probably a retry: its deadline is clearly shorter than others on its route."""
         if time_left is None or Mechanism.CALLER_RETRIES in self.disabled:
             return False
         longest = self._longest_time_left[route.name] = max(time_left, self._longest_time_left.get(route.name, 0.0))
         return time_left < RETRY_TIME_LEFT_SHARE * longest
 
     def record_bad_request(self, status: int, detail: str) -> None:
-        """Note a request that could not be read."""
+        """Count and log a malformed request."""
         self.tally.count("requests_total", f"bad_{status}")
         self.journal.write("CALLER", "bad request", status=status, detail=detail)
 
@@ -629,13 +625,15 @@
 def _make_refusal(decision: Decision, version: int) -> _Refusal:
     match decision:
         case OverQuota():
-            return _Refusal(429, f"the quota of workspace {decision.workspace} is spent", decision.retry_after)
+            return _Refusal(429, f"quota of workspace {decision.workspace} exceeded", decision.retry_after)
         case Undecided():
             return _Refusal(
-                503, f"the API key is not in version {version}, and there may be a newer one", OUTDATED_RETRY_S
+                503,
+                f"API key unknown in configuration version {version}; there may be a newer version",
+                OUTDATED_RETRY_S,
             )
         case _:
-            return _Refusal(401, f"the API key is missing or unknown, by version {version}")
+            return _Refusal(401, f"API key missing or unknown in configuration version {version}")
 
 
 def _describe(entry: Entry) -> str:
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -1,4 +1,4 @@
-"""Put one VM's relay together, and take it through start, reload and planned stop."""
+"""Assembly of one VM's relay, with its start, reload and planned stop."""
 
 from __future__ import annotations
 
@@ -43,33 +43,30 @@
     from beamhatch.relay.workspaces.quota import LimitChange, QuotaShare
 
 LISTEN_BACKLOG = 1024
-"""Connections that the kernel keeps until they are accepted: a second of the largest bursts."""
+"""Maximum number of connections that the kernel queues until they are accepted."""
 
 IDLE_CLOSE_DELAY_S = 2.6
-"""Seconds behind the begin of a planned stop after which idle connections are closed: by then no new ones come."""
+"""Time after the start of a planned stop at which idle connections are closed, when no new ones are expected."""
 
 STARTUP_PEER_TIMEOUT_S = 0.5
-"""Seconds for which a new VM waits for its peers to tell it what they have, before it asks the store.
-
-VMs that are seeds of the others ask the store at once.
-"""
+"""Time for which a new VM waits for data from its peers before it reads the store; seeds read it at once."""
 
 STOP_CHECK_INTERVAL_S = 0.05
-"""Seconds between two looks during a planned stop."""
+"""Interval of checks during a planned stop."""
 
 STOP_MARGIN_S = 0.6
-"""Seconds before the end of the time for a planned stop at which what is left is cut."""
+"""Time before the end of the grace period at which open requests are cut."""
 
 MAX_ACCEPT_REQUESTS_S = 2.85
-"""Seconds for which a stopping VM takes requests; the platform lets long ones be cut only if sent within 3 s."""
+"""Time for which a stopping VM accepts requests; the platform allows to cut long ones only if sent within 3 s."""
 
 MAX_LISTEN_S = 3.2
-"""Seconds for which a stopping VM goes on to accept connections."""
+"""Time for which a stopping VM accepts connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """What one VM's relay needs to know."""
+    """Settings of the relay on one VM."""
 
     vm: str
     hall: str
@@ -78,30 +75,30 @@
     ready_path: str
     store_address: Address
     grace: float
-    """Seconds that a planned stop may take."""
+    """Grace period: seconds that a planned stop may take."""
     retry_budget: BudgetTerms
     quota: QuotaTerms = field(default_factory=QuotaTerms)
     peer_address: Address | None = None
     seeds: list[str] = field(default_factory=list)
     handover_time: float = 3.0
-    """Seconds that have to pass between the orders of two VMs."""
+    """Minimum seconds between orders of two different VMs."""
     topology: Topology = field(default_factory=Topology)
     cold_overage: float = 1.0
-    """Times the rate that a cold upstream bears which may reach it in one second."""
+    """Factor on the rate limit of a cold upstream that gives the requests it may receive in one second."""
     cold_slack: float = 0.0
-    """Requests on top of that."""
+    """Requests per second in addition to that."""
     drain_time: float = DRAIN_TIME
-    """Seconds behind the end of its entry in which an upstream may still be sent requests."""
+    """Seconds after the end of its entry for which an upstream may still be sent requests."""
     link_mbit_per_s: float = 0.0
-    """Mbit/s of the VM's link: of the VMs of a hall, the stronger ones watch the store for the others."""
+    """Bandwidth of the VM's link; the VMs of a hall with the highest one watch the store for the others."""
     disabled: DisabledMechanisms = NONE_DISABLED
-    """Mechanisms that are left out, to measure what they are worth."""
+    """Mechanisms that are disabled, to measure their effect."""
     metrics_address: Address | None = None
     metrics_path: str = "/metrics"
 
 
 class Daemon:
-    """One VM's relay."""
+    """Relay process of one VM."""
 
     def __init__(
         self,
@@ -118,20 +115,20 @@
         self.journal = journal
         self.tally = tally
         client = HttpClient(clock)
-        standings = Standings()
-        paces = EnginePaces(learns=Mechanism.LEARNED_PREFILL_RATES not in settings.disabled)
-        work = PeerWork()
+        stats = Standings()
+        prefill_models = EnginePaces(learns=Mechanism.LEARNED_PREFILL_RATES not in settings.disabled)
+        peer_backlog = PeerWork()
         self.core = Core(
             clock=clock,
             journal=journal,
             tally=tally,
             dialect=dialect,
             client=client,
-            chooser=LeastCost(standings, settings.hall, paces, work, settings.disabled, settings.topology),
-            stats=standings,
-            prefill_models=paces,
+            chooser=LeastCost(stats, settings.hall, prefill_models, peer_backlog, settings.disabled, settings.topology),
+            stats=stats,
+            prefill_models=prefill_models,
             disabled=settings.disabled,
-            peer_backlog=work,
+            peer_backlog=peer_backlog,
             settings=ReloadableSettings(settings.retry_budget),
             listing=Listing(gone_grace=GONE_GRACE_SHARE * settings.drain_time),
             started_at=clock.now(),
@@ -142,9 +139,9 @@
         self._watchers = self._make_watchers(store)
         if self._gossip is not None:
             self._gossip.is_turned_away = self._is_store_unreachable
-        keeping = QuarantineKeeping(self.core, store)
-        self.core.quarantine_gossip.on_hold = keeping.keep
-        self.core.quarantine_gossip.on_clear = keeping.end
+        persistence = QuarantineKeeping(self.core, store)
+        self.core.quarantine_gossip.on_hold = persistence.keep
+        self.core.quarantine_gossip.on_clear = persistence.end
         self._usage_gossip = self._make_usage_gossip()
         if self._gossip is not None and Mechanism.SHARED_DEPARTURES not in settings.disabled:
             departures = DepartureTalk(clock, self.core.announcements)
@@ -188,7 +185,7 @@
         tally.gauges["log_lines_left_out"] = lambda: float(journal.left_out)
 
     def start(self) -> None:
-        """Listen, and begin to learn what there is."""
+        """Open the listening ports and start the background tasks."""
         settings = self.settings
         self._caller_port = self._listen(settings.caller_address, self.callers)
         self._ports.append(self._listen(settings.ready_address, self._make_status_server(settings.ready_path)))
@@ -208,7 +205,7 @@
             if Mechanism.PHASE_CHANGES not in settings.disabled:
                 self._phase_controller.start()
         gc.collect()
-        gc.freeze()  # what was loaded stays: later collections need not look through it
+        gc.freeze()  # objects that live as long as the process are exempt from later collections
         self.journal.write("MAIN", "started", store=str(settings.store_address), seeds=settings.seeds)
 
     def _restart_watches(self) -> None:
@@ -221,7 +218,7 @@
         return int(self._caller_port.getHost().port)
 
     def reload(self, settings: RelaySettings) -> None:
-        """Take changed settings as far as a running process can: bounds, seeds and where halls lie."""
+        """Apply the settings that can change at runtime: limits, quota terms, topology, seeds and grace period."""
         self.core.settings.retry_budget = settings.retry_budget
         self.core.apply_topology(settings.topology)
         if self.core.admission.share is not None:
@@ -236,7 +233,7 @@
     # --- planned stop ------------------------------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Begin a planned stop: no longer ready, but everything that arrives is served."""
+        """Begin a planned stop: report not ready, but serve requests for a while longer."""
         if self._stopping_since is not None:
             return
         self._stopping_since = self.clock.now()
@@ -252,7 +249,7 @@
         elapsed = self.clock.now() - self._stopping_since
         if elapsed > self.settings.grace - STOP_MARGIN_S:
             for exchange in list(self.core.exchanges):
-                exchange.cut("this VM stops")
+                exchange.cut("this VM is shutting down")
             self.clock.call_later(STOP_CHECK_INTERVAL_S, self._finish_stop, elapsed)
             return
         self.core.stopping = elapsed > MAX_ACCEPT_REQUESTS_S
@@ -286,35 +283,35 @@
         return Gossip(self.core, documents, settings.vm, Membership(own, settings.seeds))
 
     def _make_usage_gossip(self) -> UsageTalk:
-        """Return what keeps the quotas of workspaces over all VMs."""
+        """Return the exchange of workspaces' usage between VMs, and set the allocator of their quotas."""
         settings = self.settings
         gossip = self._gossip
-        news = UsageNews(settings.vm, settings.hall)
-        share: QuotaShare
+        tracker = UsageNews(settings.vm, settings.hall)
+        allocator: QuotaShare
         if Mechanism.SHARED_QUOTAS in settings.disabled:
-            share = EqualShare(news, self._count_vms, settings.quota, self.core.started_at)
+            allocator = EqualShare(tracker, self._count_vms, settings.quota, self.core.started_at)
         else:
-            share = FollowingShare(
-                news, self._count_vms, settings.quota, self.core.started_at, on_limit=self._log_quota_limit
+            allocator = FollowingShare(
+                tracker, self._count_vms, settings.quota, self.core.started_at, on_limit=self._log_quota_limit
             )
-        self.core.admission.share = share
+        self.core.admission.share = allocator
         connections = gossip.list_connections if gossip is not None else list
-        adds_up = gossip.membership.is_watcher if gossip is not None else _always
-        usage = UsageTalk(self.core, share, connections, adds_up)
+        is_aggregator = gossip.membership.is_watcher if gossip is not None else _always
+        usage = UsageTalk(self.core, allocator, connections, is_aggregator)
         if gossip is not None:
             gossip.usage = usage
         return usage
 
     def _make_cold_gate(self) -> CountingGate:
-        """Return what keeps the bound of cold upstreams over all VMs."""
+        """Return the gate that enforces the limit on cold upstreams across all VMs."""
         settings = self.settings
-        kind = TurnGate if Mechanism.SPONSORS in settings.disabled else SponsorGate
+        gate_type = TurnGate if Mechanism.SPONSORS in settings.disabled else SponsorGate
         if self._gossip is None:
             vms = KnownVms(settings.vm, lambda now: [], lambda: False)
         else:
             membership = self._gossip.membership
             vms = KnownVms(membership.own.address, membership.list_remembered, lambda: membership.has_others)
-        return kind(vms, _make_cold_bound(settings), self.core.started_at, self.core.listing.find_cold_until)
+        return gate_type(vms, _make_cold_bound(settings), self.core.started_at, self.core.listing.find_cold_until)
 
     def _count_vms(self) -> int:
         return 1 if self._gossip is None else self._gossip.membership.size
@@ -332,22 +329,22 @@
         )
 
     def _may_be_outdated(self) -> bool:
-        """Tell whether there may be a newer configuration: peers told of one, or nobody can tell."""
-        hears_peers = False
+        """Return whether there may be a newer configuration: announced by a peer, or peers and store are unreachable."""
+        has_peers = False
         if self._gossip is not None:
             if self._gossip.newest_version > self.core.version:
                 return True
-            hears_peers = self._gossip.hears_peers()
-        return not hears_peers and not all(watcher.connected for watcher in self._watchers)
+            has_peers = self._gossip.hears_peers()
+        return not has_peers and not all(watcher.connected for watcher in self._watchers)
 
     def _make_watchers(self, store: Store) -> list[Watcher]:
         alone = self._gossip is None or Mechanism.FEW_WATCHERS in self.settings.disabled
-        is_due = _always if alone or self._gossip is None else self._gossip.watches
-        hears_peers = _has_no_peers if self._gossip is None else self._gossip.hears_peers
-        first = self.settings.peer_address is None or str(self.settings.peer_address) in self.settings.seeds
-        patience = 0.0 if first or not self.settings.seeds else STARTUP_PEER_TIMEOUT_S
-        kinds = (DirectivesWatcher, ListingWatcher)
-        return [watcher(self.core, store, is_due, hears_peers, patience) for watcher in kinds]
+        should_watch = _always if alone or self._gossip is None else self._gossip.watches
+        has_peers = _has_no_peers if self._gossip is None else self._gossip.hears_peers
+        is_seed = self.settings.peer_address is None or str(self.settings.peer_address) in self.settings.seeds
+        peer_timeout = 0.0 if is_seed or not self.settings.seeds else STARTUP_PEER_TIMEOUT_S
+        watcher_types = (DirectivesWatcher, ListingWatcher)
+        return [watcher(self.core, store, should_watch, has_peers, peer_timeout) for watcher in watcher_types]
 
     def _is_store_unreachable(self) -> bool:
         return any(watcher.is_turned_away() for watcher in self._watchers)
@@ -362,7 +359,7 @@
             elif incoming.path == self.settings.metrics_path:
                 responder.send_whole(200, [("Content-Type", "text/plain; version=0.0.4")], self.tally.render())
             else:
-                send_error(responder, 404, "there is nothing here")
+                send_error(responder, 404, "not found")
 
         return CallerServer(self.clock, serve, CallerLimits, lambda status, detail: None)
 
@@ -370,7 +367,7 @@
         if self._stopping_since is not None:
             send_error(responder, 503, "stopping")
         elif not self.core.ready:
-            send_error(responder, 503, "no configuration or no list of upstreams is known yet")
+            send_error(responder, 503, "no configuration or listing of upstreams loaded yet")
         else:
             responder.send_whole(200, [("Content-Type", "application/json")], b'{"status":"ready"}')
 
