--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -329,7 +329,7 @@
         )
 
     def _may_be_outdated(self) -> bool:
-        """Return whether there may be a newer configuration: announced by a peer, or peers and store are unreachable."""
+        """Return whether a peer announced a newer configuration, or one may exist as no peer or store is connected."""
         has_peers = False
         if self._gossip is not None:
             if self._gossip.newest_version > self.core.version:
