--- a/benchmarks/peer_bytes.py
+++ b/benchmarks/peer_bytes.py
@@ -16,7 +16,7 @@
 from tests.support.network import DELAY
 from tests.support.platform import PLAIN, ROUTES, Platform, make_request, make_route, make_workspace
 
-from beamhatch.relay.places import Distance, RegionName, Topology
+from beamhatch.relay.topology import Distance, RegionName, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -12,7 +12,7 @@
 
 from tests.support.platform import Platform
 
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 
 TARGET = "/resumable/x"
 STREAMS = 64
--- a/src/beamhatch/platform/documents.py
+++ b/src/beamhatch/platform/documents.py
@@ -27,7 +27,7 @@
     WeightedService,
     make_routing_table,
 )
-from beamhatch.relay.places import RegionName
+from beamhatch.relay.topology import RegionName
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.workspace import Quota, QuotaUnit, Workspace, WorkspaceName, digest_key
 
--- a/src/beamhatch/platform/settings.py
+++ b/src/beamhatch/platform/settings.py
@@ -10,8 +10,8 @@
 from beamhatch.relay.daemon import RelaySettings
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address
-from beamhatch.relay.places import RegionName, Topology
 from beamhatch.relay.requests.budget import BudgetTerms
+from beamhatch.relay.topology import RegionName, Topology
 from beamhatch.relay.workspaces.quota import QuotaTerms
 
 READY_PATH = "/api/ready"
--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -14,7 +14,7 @@
 from beamhatch.relay.choosing.spill import PredictedSpill, Spill
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Handle, Phase, Upstream, UpstreamId, hash_to_fraction
-from beamhatch.relay.places import Distance, Topology
+from beamhatch.relay.topology import Distance, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.places import Distance, Topology
+from beamhatch.relay.topology import Distance, Topology
 
 if TYPE_CHECKING:
     from beamhatch.relay.model import EngineSpec
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.choosing.rests import Rests
 from beamhatch.relay.fleet.evacuations import Evacuations
 from beamhatch.relay.limits.limits import LimitPermit, Limits
-from beamhatch.relay.places import Topology
+from beamhatch.relay.topology import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from beamhatch.relay.model import Phase, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, RegionName
+from beamhatch.relay.topology import Distance, RegionName
 
 VAIN_COST = 0.1
 """Seconds that it costs to find that no engine asked has memory: some polls of the line."""
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -23,7 +23,6 @@
 from beamhatch.relay.limits.returns import PacedReturns
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
-from beamhatch.relay.places import Topology
 from beamhatch.relay.quarantine.quarantine import Quarantine
 from beamhatch.relay.quarantine.talk import QuarantineTalk, TalkNeeds
 from beamhatch.relay.requests.budget import Budget, BudgetTerms
@@ -31,6 +30,7 @@
 from beamhatch.relay.requests.fingerprint import find_fingerprint
 from beamhatch.relay.requests.lengths import AnswerLengths
 from beamhatch.relay.requests.memory_lines import MemoryLines
+from beamhatch.relay.topology import Topology
 from beamhatch.relay.upstreams.announcements import Announcements
 from beamhatch.relay.upstreams.listing import Listing
 from beamhatch.relay.workspaces.admission import Admission, Admitted, OverQuota, Undecided
@@ -56,7 +56,7 @@
         Upstream,
         UpstreamId,
     )
-    from beamhatch.relay.places import RegionName
+    from beamhatch.relay.topology import RegionName
     from beamhatch.relay.upstreams.http_client import HttpClient
     from beamhatch.relay.upstreams.listing import Entry
     from beamhatch.relay.workspaces.admission import Decision
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -25,8 +25,8 @@
 from beamhatch.relay.limits.talk import LimitTalk
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Address, CallerLimits
-from beamhatch.relay.places import Topology
 from beamhatch.relay.quarantine.keeping import QuarantineKeeping
+from beamhatch.relay.topology import Topology
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.upstreams.listing import DRAIN_TIME, GONE_GRACE_SHARE, Listing
 from beamhatch.relay.workspaces.quota import EqualShare, FollowingShare, QuotaTerms
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from beamhatch.relay.places import Topology
+from beamhatch.relay.topology import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/src/beamhatch/relay/fleet/peer_traffic.py
+++ b/src/beamhatch/relay/fleet/peer_traffic.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.fleet.gossip_message import Message
-    from beamhatch.relay.places import Topology
+    from beamhatch.relay.topology import Topology
 
 LENGTH_BYTES = 4
 """Bytes of the length ahead of each message."""
--- a/src/beamhatch/relay/model.py
+++ b/src/beamhatch/relay/model.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import NamedTuple, NewType
 
-from beamhatch.relay.places import RegionName
+from beamhatch.relay.topology import RegionName
 from beamhatch.relay.workspaces.workspace import KeyDigest, Workspace, WorkspaceName
 
 UpstreamId = NewType("UpstreamId", str)
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -16,11 +16,11 @@
 from beamhatch.relay.choosing.spill import SpillReason, find_reason
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
-from beamhatch.relay.places import Distance
 from beamhatch.relay.requests.answer import PROMISES, WholeAnswer
 from beamhatch.relay.requests.line import Claim
 from beamhatch.relay.requests.memory_lines import LineKey, PlaceTerms, Waiter
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
+from beamhatch.relay.topology import Distance
 from beamhatch.relay.upstreams.announcements import AnnouncementSink
 from beamhatch.relay.upstreams.attempt import Attempt
 from beamhatch.relay.upstreams.http_client import Call
--- a/src/beamhatch/relay/workspaces/workspace.py
+++ b/src/beamhatch/relay/workspaces/workspace.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, NewType
 
 if TYPE_CHECKING:
-    from beamhatch.relay.places import RegionName
+    from beamhatch.relay.topology import RegionName
 
 WorkspaceName = NewType("WorkspaceName", str)
 """Name of a workspace."""
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.engines.throughput import EngineFigures
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 from tests.support.platform import MODEL, OTHER_DOOR, STORE, Caller, Platform, make_platform
 
 if TYPE_CHECKING:
--- a/tests/platform/test_fair_line.py
+++ b/tests/platform/test_fair_line.py
@@ -6,7 +6,7 @@
 
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import ServiceName
-from beamhatch.relay.places import RegionName
+from beamhatch.relay.topology import RegionName
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 from tests.support.platform import MODEL, ROUTES, Caller, Platform, make_platform, make_workspace
 
--- a/tests/platform/test_far_peers.py
+++ b/tests/platform/test_far_peers.py
@@ -8,7 +8,7 @@
 
 from beamhatch.relay.engines.changing import ChangeNews
 from beamhatch.relay.model import Phase, ServiceName, UpstreamId
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 from tests.support.platform import MODEL, PLAIN, ROUTES, Platform, make_route, make_workspace
 
--- a/tests/platform/test_residency.py
+++ b/tests/platform/test_residency.py
@@ -9,7 +9,7 @@
 
 from beamhatch.platform.standin.upstream import StandInEngine
 from beamhatch.relay.model import ServiceName
-from beamhatch.relay.places import Distance, RegionName, Topology
+from beamhatch.relay.topology import Distance, RegionName, Topology
 from beamhatch.relay.workspaces.admission import Admission, Admitted
 from tests.support.platform import MODEL, PLAIN, Platform, make_request, make_route, make_workspace
 
--- a/tests/platform/test_spilling.py
+++ b/tests/platform/test_spilling.py
@@ -7,7 +7,7 @@
 from beamhatch.platform.standin.upstream import StandInEngine
 from beamhatch.relay.choosing.spill import SpillReason
 from beamhatch.relay.model import UpstreamId
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 from tests.support.platform import Platform
 
 PLACES = Topology({"hall-a": RegionName("west"), "hall-b": RegionName("west"), "hall-c": RegionName("east")})
--- a/tests/relay/choosing/spill_play.py
+++ b/tests/relay/choosing/spill_play.py
@@ -18,8 +18,8 @@
 from beamhatch.relay.choosing.standing import Load, Standings
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, RegionName, Topology
 from beamhatch.relay.requests.request import RESERVE_TRIES
+from beamhatch.relay.topology import Distance, RegionName, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
--- a/tests/relay/choosing/test_distance.py
+++ b/tests/relay/choosing/test_distance.py
@@ -9,7 +9,7 @@
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Address, EngineSpec, Handle, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 
 WEST, EAST = RegionName("west"), RegionName("east")
 PLACES = Topology({"a": WEST, "b": WEST, "c": EAST})
--- a/tests/relay/choosing/test_eligibility.py
+++ b/tests/relay/choosing/test_eligibility.py
@@ -6,7 +6,7 @@
 from beamhatch.relay.choosing.eligibility import Eligibility, Obstacle
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, RegionName, Topology
+from beamhatch.relay.topology import Distance, RegionName, Topology
 from beamhatch.relay.upstreams.listing import Entry, Listing
 
 WEST = RegionName("west")
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -11,7 +11,7 @@
 from beamhatch.relay.choosing.standing import Standings
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance
+from beamhatch.relay.topology import Distance
 from tests.relay.choosing.spill_play import PLACES, REGIONS, Play, RingSpill
 
 LENGTH, BEGIN, END = 12.0, 3.0, 9.0
--- a/tests/relay/fleet/test_evacuations.py
+++ b/tests/relay/fleet/test_evacuations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.fleet.evacuations import MOST_UNPLACED, Evacuation, Evacuations
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 
 NEWS = [Evacuation("a", revision, revision % 2 == 1) for revision in range(1, 6)]
 
--- a/tests/relay/fleet/test_peer_traffic.py
+++ b/tests/relay/fleet/test_peer_traffic.py
@@ -5,7 +5,7 @@
 from beamhatch.observe.tally import Tally
 from beamhatch.relay.fleet.gossip_message import AskConfiguration, Work
 from beamhatch.relay.fleet.peer_traffic import LENGTH_BYTES, PeerTraffic
-from beamhatch.relay.places import RegionName, Topology
+from beamhatch.relay.topology import RegionName, Topology
 from tests.support.platform import Platform
 
 PLACES = Topology({"a": RegionName("x"), "b": RegionName("x"), "c": RegionName("y")})
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -19,8 +19,8 @@
 from beamhatch.relay.daemon import Daemon, RelaySettings
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address
-from beamhatch.relay.places import Topology
 from beamhatch.relay.requests.budget import BudgetTerms
+from beamhatch.relay.topology import Topology
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.workspaces.quota import QuotaTerms
 from tests.support.network import Network, PausedClock
