--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -7,7 +7,15 @@
 
 import msgspec
 
-from beamhatch.relay.api import UNCLEAR_LIMIT, AnswerFacts, BadRequest, Dialect, Headers, NamedLimit, SendTerms
+from beamhatch.relay.api import (
+    UNREADABLE_LIMIT,
+    AnnouncedLimit,
+    BadRequest,
+    Dialect,
+    Headers,
+    ResponseFacts,
+    SendOptions,
+)
 from beamhatch.relay.choosing.standing import Load
 from beamhatch.relay.model import Handle, Phase, PromptPart, RequestFacts, Reservation, Stage, Upstream
 from beamhatch.relay.upstreams.http_client import Call
@@ -102,18 +110,18 @@
             prompt_tokens=prompt,
             output_tokens=output,
             parts=_parse_prompt_parts(values.get(PROMPT_PREFIX_HEADER)),
-            output_guess=_parse_number(values.get(LENGTH_HINT_HEADER)) or 0,
+            output_estimate=_parse_number(values.get(LENGTH_HINT_HEADER)) or 0,
             key=_parse_key(keys),
         )
 
-    def write_request(self, headers: Headers, terms: SendTerms) -> Headers:
+    def write_request(self, headers: Headers, terms: SendOptions) -> Headers:
         """Return the headers to send to an upstream."""
         dropped = INTERNAL_HEADERS | {LAST_EVENT_HEADER} if terms.last_event is not None else INTERNAL_HEADERS
-        if terms.keyed:
+        if terms.strips_credentials:
             dropped |= WORKSPACE_HEADERS
         written = [(name, value) for name, value in headers if name.lower() not in dropped]
         written.append(("Deadline-Ms", str(max(1, int(terms.time_left * 1000)))))
-        written.append(("Expect-Instance", terms.expect))
+        written.append(("Expect-Instance", terms.expected_upstream))
         if terms.stage is Stage.PREFILL:
             written.append(("Stage", "prefill"))
         if terms.handle is not None:
@@ -126,17 +134,17 @@
             written.append(("Tenant", terms.workspace))
         return written
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Return the facts in the headers of an upstream's response."""
         values = {name.lower(): value for name, value in headers}
-        return AnswerFacts(
-            request=values.get(REQUEST_ID_HEADER),
-            signed="response-signature" in values,
+        return ResponseFacts(
+            request_id=values.get(REQUEST_ID_HEADER),
+            from_upstream="response-signature" in values,
             not_run="not-executed" in values,
             encoded=values.get("content-encoding", "identity").lower() != "identity",
             load=_parse_load(values.get("server-load")),
             leaving=values.get(LEAVING_HEADER, "").strip() == LEAVING_VALUE,
-            rest=parse_retry_after(values.get("retry-after"), values.get("date"))
+            backoff=parse_retry_after(values.get("retry-after"), values.get("date"))
             if status in BACKOFF_STATUSES
             else None,
             limit=_parse_limit(values.get(LIMIT_HEADER)),
@@ -149,11 +157,11 @@
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
-    def make_release(self, handle: Handle) -> Call:
+    def make_release_call(self, handle: Handle) -> Call:
         """Return the call that frees a KV cache."""
         return _make_call("DELETE", f"/api/kv-handle/{handle.id}", handle.upstream)
 
-    def make_reserve(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
+    def make_reserve_call(self, upstream: Upstream, tokens: int, lifetime: float) -> Call:
         """Return the call that reserves KV memory for ``lifetime`` seconds."""
         body = msgspec.json.encode({"tokens": tokens, "ttl_ms": int(lifetime * 1000)})
         return _make_call("POST", "/api/hold-take", upstream, body)
@@ -165,12 +173,12 @@
         except (msgspec.DecodeError, msgspec.ValidationError):
             return None
 
-    def make_order(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
+    def make_phase_change_call(self, upstream: Upstream, phase: Phase, holder: str, token: int) -> Call:
         """Return the call that orders an engine to change its phase."""
         order = {"operation": "phase", "phase": phase.value, "holder": holder, "fencing_token": token}
         return _make_call("POST", "/api/order", upstream, msgspec.json.encode(order))
 
-    def make_unreserve(self, reservation: Reservation) -> Call:
+    def make_unreserve_call(self, reservation: Reservation) -> Call:
         """Return the call that cancels a reservation."""
         return _make_call("DELETE", f"/api/hold-drop/{reservation.id}", reservation.upstream)
 
@@ -209,13 +217,13 @@
     return tuple(parts)
 
 
-def _parse_limit(text: str | None) -> NamedLimit | None:
+def _parse_limit(text: str | None) -> AnnouncedLimit | None:
     """Return the announced limit; ``UNCLEAR_LIMIT`` if it is not a finite non-negative decimal number."""
     if text is None:
         return None
     number = text.strip()
     rate = float(number) if _DECIMAL.fullmatch(number) else math.inf
-    return NamedLimit(rate) if math.isfinite(rate) else UNCLEAR_LIMIT
+    return AnnouncedLimit(rate) if math.isfinite(rate) else UNREADABLE_LIMIT
 
 
 def _parse_load(text: str | None) -> Load | None:
--- a/src/beamhatch/platform/documents.py
+++ b/src/beamhatch/platform/documents.py
@@ -14,20 +14,20 @@
     Address,
     CallerLimits,
     ColdTerms,
-    Engine,
+    EngineSpec,
     Phase,
     Regions,
     Route,
     RouteKind,
+    RoutingTable,
     Service,
     ServiceName,
-    Share,
-    Table,
     Upstream,
     UpstreamId,
-    make_table,
+    WeightedService,
+    make_routing_table,
 )
-from beamhatch.relay.places import RegionName
+from beamhatch.relay.topology import RegionName
 from beamhatch.relay.upstreams.listing import Entry
 from beamhatch.relay.workspaces.workspace import Quota, QuotaUnit, Workspace, WorkspaceName, digest_key
 
@@ -166,7 +166,7 @@
     def __init__(self, journal: Journal) -> None:
         self.journal = journal
 
-    def read_configuration(self, raw: bytes) -> Table | None:
+    def read_configuration(self, raw: bytes) -> RoutingTable | None:
         """Return the operators' configuration, or None if it is invalid."""
         try:
             configuration = _decode_configuration(raw)
@@ -182,7 +182,9 @@
             )
         services = [_make_service(service) for service in configuration.services]
         workspaces = tuple(_make_workspace(tenant) for tenant in configuration.tenants)
-        return make_table(configuration.version, routes, services, _make_limits(configuration.limits), workspaces)
+        return make_routing_table(
+            configuration.version, routes, services, _make_limits(configuration.limits), workspaces
+        )
 
     def read_entry(self, upstream: UpstreamId, revision: int, raw: bytes | None) -> Entry:
         """Return an upstream's entry, without an upstream if the entry was removed or is invalid.
@@ -242,20 +244,20 @@
 
 def _make_route(config: _Route) -> Route:
     shares = tuple(
-        Share(ServiceName(split.service), split.weight) for split in config.traffic_split if split.weight > 0
+        WeightedService(ServiceName(split.service), split.weight) for split in config.traffic_split if split.weight > 0
     )
     return Route(
         name=config.name,
         host=config.host.lower(),
         prefix=config.path_prefix,
         kind=RouteKind(config.route_type),
-        shares=shares or (Share(ServiceName(config.service), 1.0),),
+        weighted_services=shares or (WeightedService(ServiceName(config.service), 1.0),),
         timeout=config.timeout_ms / 1000,
         target_latency=config.target_latency_ms / 1000,
         max_attempts=config.max_attempts,
         resumable=config.resumable,
-        target_gap=config.target_gap_ms / 1000,
-        caller_patience=max(2.0, 4 * config.target_latency_ms / 1000, 8 * config.target_gap_ms / 1000),
+        target_event_interval=config.target_gap_ms / 1000,
+        caller_event_timeout=max(2.0, 4 * config.target_latency_ms / 1000, 8 * config.target_gap_ms / 1000),
         public=config.public,
         regions=_make_regions(config.allowed_regions),
         priority=config.priority,
@@ -279,15 +281,15 @@
 def _make_service(config: _Service) -> Service:
     engine = None
     if config.engine is not None:
-        engine = Engine(
+        engine = EngineSpec(
             slots=config.engine.capacity,
             kv_tokens=config.engine.kv_capacity,
-            handle_lifetime=config.engine.kv_ttl_s,
-            hold_lifetime=config.engine.hold_ms / 1000,
-            switch_time=config.engine.reconfig_s,
-            event_tokens=config.engine.stride,
-            kv_token_bytes=config.engine.token_kv_bytes,
-            link_rate=config.engine.link_mbps * BYTES_PER_MBIT,
+            handle_ttl=config.engine.kv_ttl_s,
+            reservation_ttl=config.engine.hold_ms / 1000,
+            phase_change_time=config.engine.reconfig_s,
+            tokens_per_event=config.engine.stride,
+            kv_bytes_per_token=config.engine.token_kv_bytes,
+            link_bytes_per_s=config.engine.link_mbps * BYTES_PER_MBIT,
         )
     cold = ColdTerms(config.cold_start_s, config.cold_per_s) if config.cold_per_s > 0 else None
     return Service(ServiceName(config.name), engine, cold)
--- a/src/beamhatch/platform/run.py
+++ b/src/beamhatch/platform/run.py
@@ -43,7 +43,7 @@
             missed
         """
         self._path = path
-        self._without = settings.without
+        self._without = settings.disabled
         self._file_stamp = file_stamp
         self._clock = Clock(reactor)
         self._journal = Journal(self._clock, vm=settings.vm)
--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -14,15 +14,15 @@
 
 from beamhatch.platform.epochs import EpochTracker, get_epoch, get_revision, make_position, read_epoch
 from beamhatch.relay.api import (
-    Claimed,
-    DirectiveNews,
+    DirectiveUpdate,
     Document,
-    HistoryGone,
-    LeadershipNews,
-    ListingNews,
+    LeadershipClaim,
+    LeadershipState,
+    LeadershipTaken,
+    ListingUpdate,
+    RevisionExpired,
     Store,
-    StoreLost,
-    Taken,
+    StoreUnavailable,
 )
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.model import Fingerprint, UpstreamId
@@ -116,14 +116,14 @@
         self._read_prefixes: set[str] = set()
         """Prefixes whose lists were read at least once."""
 
-    async def read_directives(self, known: int) -> DirectiveNews | StoreLost:
+    async def read_directives(self, known: int) -> DirectiveUpdate | StoreUnavailable:
         """Return the current configuration and all evacuated halls."""
         items = await self._read_all(OPERATOR_PREFIX)
-        if isinstance(items, StoreLost):
+        if isinstance(items, StoreUnavailable):
             return items
-        return replace(self._make_directives(items), settled=self._record_list_read(OPERATOR_PREFIX, known))
+        return replace(self._make_directives(items), authoritative=self._record_list_read(OPERATOR_PREFIX, known))
 
-    async def watch_directives(self, after: int, wait: float) -> DirectiveNews | StoreLost | HistoryGone:
+    async def watch_directives(self, after: int, wait: float) -> DirectiveUpdate | StoreUnavailable | RevisionExpired:
         """Return the operators' changes after a position."""
         events = await self._watch_prefix(OPERATOR_PREFIX, after, wait)
         if not isinstance(events, _EventsResponse):
@@ -131,9 +131,9 @@
         settled = OPERATOR_PREFIX not in self._unsettled_prefixes and not self._epochs.may_have_been_restored(
             self._clock.now()
         )
-        return replace(self._make_directives(events), settled=settled)
+        return replace(self._make_directives(events), authoritative=settled)
 
-    def _make_directives(self, events: _EventsResponse) -> DirectiveNews:
+    def _make_directives(self, events: _EventsResponse) -> DirectiveUpdate:
         documents = [item for item in events.events if item.tls_key == CONFIGURATION_KEY and not item.gone]
         evacuations = [
             Evacuation(item.tls_key.removeprefix(EVACUATION_PREFIX), item.revision, not item.gone)
@@ -141,15 +141,15 @@
             if item.tls_key.startswith(EVACUATION_PREFIX)
             and 0 < len(item.tls_key) - len(EVACUATION_PREFIX) <= MAX_HALL_NAME_LENGTH
         ]
-        return DirectiveNews(self._make_document(documents[-1]) if documents else None, evacuations, events.at)
+        return DirectiveUpdate(self._make_document(documents[-1]) if documents else None, evacuations, events.at)
 
-    async def read_listing(self, known: int) -> ListingNews | StoreLost:
+    async def read_listing(self, known: int) -> ListingUpdate | StoreUnavailable:
         """Return the entries of all upstreams."""
         items = await self._read_all(UPSTREAM_PREFIX)
-        if isinstance(items, StoreLost):
+        if isinstance(items, StoreUnavailable):
             return items
         entries = [self._make_entry(item) for item in items.events]
-        return ListingNews(entries, items.at, settled=self._record_list_read(UPSTREAM_PREFIX, known))
+        return ListingUpdate(entries, items.at, authoritative=self._record_list_read(UPSTREAM_PREFIX, known))
 
     def _record_list_read(self, prefix: str, known: int) -> bool:
         """Record that a list was read; return whether it is complete, so that missing keys were removed.
@@ -170,34 +170,34 @@
         self._read_prefixes.add(prefix)
         return settled and is_complete
 
-    async def watch_listing(self, after: int, wait: float) -> ListingNews | StoreLost | HistoryGone:
+    async def watch_listing(self, after: int, wait: float) -> ListingUpdate | StoreUnavailable | RevisionExpired:
         """Return changes of upstreams' entries after a position."""
         events = await self._watch_prefix(UPSTREAM_PREFIX, after, wait)
         if not isinstance(events, _EventsResponse):
             return events
-        return ListingNews([self._make_entry(item) for item in events.events], events.at)
+        return ListingUpdate([self._make_entry(item) for item in events.events], events.at)
 
-    async def _read_all(self, prefix: str) -> _EventsResponse | StoreLost:
+    async def _read_all(self, prefix: str) -> _EventsResponse | StoreUnavailable:
         """Return all items with a prefix, as of the first page; a watch from there returns later changes."""
         items: list[_Item] = []
         at = None
         query = {"path_prefix": prefix}
         while True:
             page = self._decode_items(await self._get("kv-range", query), _RangeResponse)
-            if isinstance(page, StoreLost):
+            if isinstance(page, StoreUnavailable):
                 return page
             at = page.at if at is None else at
             if get_epoch(page.at) != get_epoch(at):
-                return StoreLost("the store was restored between two pages of a list")
+                return StoreUnavailable("the store was restored between two pages of a list")
             items += page.items
             if not page.more or not page.items:
                 return _EventsResponse(items, at)
             query["after"] = page.items[-1].tls_key
 
-    async def keep_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreLost | None:
+    async def store_quarantine(self, fingerprint: Fingerprint, seconds: float) -> StoreUnavailable | None:
         """Write the key of a quarantined fingerprint with its own lease, unless it exists."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(seconds * 1000)}), _LeaseResponse)
-        if isinstance(lease, StoreLost):
+        if isinstance(lease, StoreUnavailable):
             return lease
         key = f"{QUARANTINE_PREFIX}{fingerprint.hex()}"
         change = {
@@ -207,41 +207,43 @@
         }
         return _get_write_failure(await self._post("kv-txn", change))
 
-    async def end_quarantine(self, fingerprint: Fingerprint) -> StoreLost | None:
+    async def delete_quarantine(self, fingerprint: Fingerprint) -> StoreUnavailable | None:
         """Remove the key of a quarantined fingerprint."""
         change = {"if_revision": [], "put": [], "remove": [f"{QUARANTINE_PREFIX}{fingerprint.hex()}"]}
         return _get_write_failure(await self._post("kv-txn", change))
 
-    async def read_leadership(self) -> LeadershipNews | StoreLost:
+    async def read_leadership(self) -> LeadershipState | StoreUnavailable:
         """Return whether there is a leader, the last order and the quarantined fingerprints."""
         page = self._decode_items(await self._get("kv-range", {"path_prefix": ROUTER_PREFIX}), _RangeResponse)
-        if isinstance(page, StoreLost):
+        if isinstance(page, StoreUnavailable):
             return page
         before, self._leadership_at = self._leadership_at, page.at
         items = {item.tls_key: item for item in page.items}
         order = items.get(LAST_ORDER_KEY)
         restored = 0 < get_epoch(before) < get_epoch(page.at) or not self._epochs.is_settled(self._clock.now())
-        return LeadershipNews(
-            taken=LEADER_KEY in items,
+        return LeadershipState(
+            has_leader=LEADER_KEY in items,
             last_order=0 if order is None else order.revision,
-            at=page.at,
+            revision=page.at,
             order="" if order is None else (order.raw or b"").decode(),
-            held=[found for found in map(_parse_quarantine_key, items) if found is not None],
+            quarantined=[found for found in map(_parse_quarantine_key, items) if found is not None],
             restored=restored,
             order_may_be_lost=order is None and (restored or (not before and self._epochs.was_restored)),
         )
 
-    async def watch_leadership(self, after: int, wait: float) -> bool | StoreLost:
+    async def watch_leadership(self, after: int, wait: float) -> bool | StoreUnavailable:
         """Wait for a change after a position; return False if there was none within ``wait`` seconds."""
         events = await self._watch_prefix(ROUTER_PREFIX, after, wait)
-        if isinstance(events, StoreLost):
+        if isinstance(events, StoreUnavailable):
             return events
-        return isinstance(events, HistoryGone) or bool(events.events)
+        return isinstance(events, RevisionExpired) or bool(events.events)
 
-    async def claim_leadership(self, holder: str, lifetime: float, seen: LeadershipNews) -> Claimed | Taken | StoreLost:
+    async def claim_leadership(
+        self, holder: str, lifetime: float, seen: LeadershipState
+    ) -> LeadershipClaim | LeadershipTaken | StoreUnavailable:
         """Claim the leadership, provided that nobody holds it and the last order and epoch are those in ``seen``."""
         lease = _decode(await self._post("kv-lease", {"ttl_ms": int(lifetime * 1000)}), _LeaseResponse)
-        if isinstance(lease, StoreLost):
+        if isinstance(lease, StoreUnavailable):
             return lease
         value = base64.b64encode(holder.encode()).decode()
         change = {
@@ -254,25 +256,29 @@
         }
         response = await self._post("kv-txn", change)
         if isinstance(response, str):
-            return StoreLost(response)
+            return StoreUnavailable(response)
         if response.head.status == 412:
-            return Taken()
+            return LeadershipTaken()
         changed = _decode(response, _ChangeResponse)
-        if isinstance(changed, StoreLost):
+        if isinstance(changed, StoreUnavailable):
             return changed
         epoch = self._record_epoch(response)
-        return Claimed(lease.lease, make_position(epoch, changed.revision)) if epoch == get_epoch(seen.at) else Taken()
+        return (
+            LeadershipClaim(lease.lease, make_position(epoch, changed.revision))
+            if epoch == get_epoch(seen.revision)
+            else LeadershipTaken()
+        )
 
-    async def keep_leadership(self, claim: Claimed, timeout: float) -> bool | StoreLost:
+    async def renew_leadership(self, claim: LeadershipClaim, timeout: float) -> bool | StoreUnavailable:
         """Renew the lease of a claim; return whether the claim is still valid."""
         response = await self._post(f"kv-keep/{claim.lease}", {}, timeout)
         if isinstance(response, str):
-            return StoreLost(response)
+            return StoreUnavailable(response)
         if response.head.status in (200, 404):
             return response.head.status == 200 and self._record_epoch(response) == get_epoch(claim.revision)
-        return StoreLost(f"status {response.head.status}")
+        return StoreUnavailable(f"status {response.head.status}")
 
-    async def record_order(self, claim: Claimed, order: str) -> bool | StoreLost:
+    async def record_order(self, claim: LeadershipClaim, order: str) -> bool | StoreUnavailable:
         """Store an order, provided that the claim is still valid; return whether it was stored."""
         change = {
             "if_revision": [{"tls_key": LEADER_KEY, "revision": get_revision(claim.revision)}],
@@ -281,13 +287,15 @@
         }
         response = await self._post("kv-txn", change)
         if isinstance(response, str):
-            return StoreLost(response)
+            return StoreUnavailable(response)
         if response.head.status in (200, 412):
             # after a restore, another VM's claim may have the same revision
             return response.head.status == 200 and self._record_epoch(response) == get_epoch(claim.revision)
-        return StoreLost(f"status {response.head.status}")
+        return StoreUnavailable(f"status {response.head.status}")
 
-    async def _watch_prefix(self, prefix: str, after: int, wait: float) -> _EventsResponse | StoreLost | HistoryGone:
+    async def _watch_prefix(
+        self, prefix: str, after: int, wait: float
+    ) -> _EventsResponse | StoreUnavailable | RevisionExpired:
         """Wait for changes after a position.
 
         ``HistoryGone`` means that the list must be read again: the store no longer has the history, the position is of
@@ -296,17 +304,17 @@
         now = self._clock.now()
         if prefix in self._unsettled_prefixes:
             if self._epochs.is_settled(now):
-                return HistoryGone()
+                return RevisionExpired()
             wait = min(wait, self._epochs.settled_at - now)
         if get_epoch(after) != (self._epochs.epoch or 0):
-            return HistoryGone()
+            return RevisionExpired()
         query = {"path_prefix": prefix, "after": str(get_revision(after)), "wait_ms": str(int(wait * 1000))}
         response = await self._get("kv-watch", query, wait + WATCH_MARGIN_S)
         if not isinstance(response, str) and response.head.status == 410:
-            return HistoryGone()
+            return RevisionExpired()
         events = self._decode_items(response, _EventsResponse)
         return (
-            HistoryGone()
+            RevisionExpired()
             if isinstance(events, _EventsResponse) and get_epoch(events.at) != get_epoch(after)
             else events
         )
@@ -319,12 +327,14 @@
             self._documents.journal.write("STORE", "restored from a backup", epoch=epoch, before=before)
         return epoch
 
-    def _decode_items(self, response: BufferedResponse | str, wanted: type[ItemsResponse]) -> ItemsResponse | StoreLost:
+    def _decode_items(
+        self, response: BufferedResponse | str, wanted: type[ItemsResponse]
+    ) -> ItemsResponse | StoreUnavailable:
         """Decode a response with items, and replace its revisions by positions."""
         if isinstance(response, str):
-            return StoreLost(response)
+            return StoreUnavailable(response)
         found = _decode(response, wanted)
-        if isinstance(found, StoreLost):
+        if isinstance(found, StoreUnavailable):
             return found
         epoch = self._record_epoch(response)
         found.at = make_position(epoch, found.at)
@@ -360,19 +370,19 @@
     return Fingerprint(bytes.fromhex(name))
 
 
-def _get_write_failure(response: BufferedResponse | str) -> StoreLost | None:
+def _get_write_failure(response: BufferedResponse | str) -> StoreUnavailable | None:
     """Return the error if a change may have failed; status 412 means that another VM has already made it."""
     if isinstance(response, str):
-        return StoreLost(response)
-    return None if response.head.status in (200, 412) else StoreLost(f"status {response.head.status}")
+        return StoreUnavailable(response)
+    return None if response.head.status in (200, 412) else StoreUnavailable(f"status {response.head.status}")
 
 
-def _decode(response: BufferedResponse | str, wanted: type[Decoded]) -> Decoded | StoreLost:
+def _decode(response: BufferedResponse | str, wanted: type[Decoded]) -> Decoded | StoreUnavailable:
     if isinstance(response, str):
-        return StoreLost(response)
+        return StoreUnavailable(response)
     if response.head.status != 200:
-        return StoreLost(f"status {response.head.status}")
+        return StoreUnavailable(f"status {response.head.status}")
     try:
         return msgspec.json.decode(response.body, type=wanted)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return StoreLost(f"invalid response: {problem}")
+        return StoreUnavailable(f"invalid response: {problem}")
--- a/src/beamhatch/relay/choosing/chooser.py
+++ b/src/beamhatch/relay/choosing/chooser.py
@@ -12,9 +12,9 @@
 from beamhatch.relay.choosing.pace import PrefillEstimators
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
 from beamhatch.relay.choosing.spill import CostSpillPolicy, SpillPolicy
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
-from beamhatch.relay.model import Handle, Phase, Upstream, UpstreamId, hash_fraction
-from beamhatch.relay.places import Distance, Places
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
+from beamhatch.relay.model import Handle, Phase, Upstream, UpstreamId, hash_to_fraction
+from beamhatch.relay.topology import Distance, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -88,21 +88,21 @@
         hall: str,
         prefill_models: PrefillEstimators | None = None,
         peer_backlog: PeerBacklog | None = None,
-        without: Without = ALL_IN,
-        places: Places | None = None,
+        without: DisabledMechanisms = NONE_DISABLED,
+        places: Topology | None = None,
         spill: SpillPolicy | None = None,
     ) -> None:
         self.stats = stats
-        self.distances = DistanceCosts(hall, places or Places(), Mechanism.HALL_COST not in without)
+        self.distances = DistanceCosts(hall, places or Topology(), Mechanism.DISTANCE_COST not in without)
         self._spill = spill or CostSpillPolicy()
         self._spill_enabled = Mechanism.SPILL not in without
-        self._prefers_near = Mechanism.NEAR_DRAW not in without
+        self._prefers_near = Mechanism.NEAR_CANDIDATES not in without
         self.prefill_models = PrefillEstimators() if prefill_models is None else prefill_models
         self.peer_backlog = PeerBacklog() if peer_backlog is None else peer_backlog
         self.compute_cold_cost: Callable[[Upstream, float], float] = _no_cold_cost
         """Returns the seconds added to the cost of an upstream if it is cold."""
-        self._affinity_bonus = 0.0 if Mechanism.SESSION_GAIN in without else AFFINITY_BONUS_S
-        self._failure_cost = 0.0 if Mechanism.FAULT_COST in without else FAILURE_COST_S
+        self._affinity_bonus = 0.0 if Mechanism.CACHE_AFFINITY in without else AFFINITY_BONUS_S
+        self._failure_cost = 0.0 if Mechanism.FAILURE_COST in without else FAILURE_COST_S
 
     @property
     def hall(self) -> str:
@@ -160,7 +160,7 @@
         candidates = self._sample(usable, Phase.PREFILL, tried, now, decode_hall)
         if not candidates:
             return None
-        preferred = max(candidates, key=lambda one: hash_fraction(f"{requirements.affinity_key}/{one.id}"))
+        preferred = max(candidates, key=lambda one: hash_to_fraction(f"{requirements.affinity_key}/{one.id}"))
 
         def compute_hall_cost(hall: str) -> float:
             request_cost = self.distances.compute_request_cost(hall, requirements.body_bytes)
@@ -222,7 +222,7 @@
     ) -> Upstream | None:
         """Return the decode engine with the least cost of load, distance and failures, or None without candidates."""
         candidates: Sequence[Upstream] = self._sample(usable, Phase.DECODE, tried, now, self.hall)
-        find_region = self.distances.places.find_region
+        find_region = self.distances.places.get_region
         refusals = Counter(find_region(hall) for hall in requirements.refused_halls)
         if self._spill_enabled:
             refused = set(requirements.refused_halls)
@@ -295,7 +295,7 @@
 
     def _sample_near(self, eligible: list[Upstream], hall: str) -> list[Upstream]:
         """Return a sample that prefers upstreams near a hall, and has some others in case the near ones are full."""
-        get_distance = self.distances.places.measure
+        get_distance = self.distances.places.get_distance
         distances = {found: get_distance(hall, found) for found in {one.hall for one in eligible}}
         by_distance: dict[Distance, list[Upstream]] = {distance: [] for distance in Distance}
         for one in eligible:
--- a/src/beamhatch/relay/choosing/distance.py
+++ b/src/beamhatch/relay/choosing/distance.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from beamhatch.relay.places import Distance, Places
+from beamhatch.relay.topology import Distance, Topology
 
 if TYPE_CHECKING:
-    from beamhatch.relay.model import Engine
+    from beamhatch.relay.model import EngineSpec
 
 ROUND_TRIP_S = {Distance.SAME_HALL: 0.0005, Distance.SAME_REGION: 0.001, Distance.OTHER_REGION: 0.025}
 """Seconds of a network round trip."""
@@ -46,13 +46,13 @@
     """Costs of distance, as seen from one hall."""
 
     hall: str
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     enabled: bool = True
     """False if all costs are 0."""
 
     def get_distance(self, hall: str) -> Distance:
         """Return the distance between ``self.hall`` and another hall."""
-        return self.places.measure(self.hall, hall)
+        return self.places.get_distance(self.hall, hall)
 
     def compute_request_cost(self, hall: str, caller_bytes: float) -> float:
         """Return the cost of a request to a hall: the round trip, and the request and response bytes sent there."""
@@ -65,7 +65,7 @@
         """Return the cost of a KV cache transfer from an engine of one hall to an engine of another."""
         if not self.enabled:
             return 0.0
-        distance = self.places.measure(source, target)
+        distance = self.places.get_distance(source, target)
         return cache.seconds * TRANSFER_FACTORS[distance] + cache.size * KV_BYTE_COST_S * BYTE_COST_FACTORS[distance]
 
 
@@ -83,9 +83,9 @@
 """Transfer of a KV cache whose size or link rate is unknown."""
 
 
-def compute_cache_transfer(engine: Engine, tokens: int) -> CacheTransfer:
+def compute_cache_transfer(engine: EngineSpec, tokens: int) -> CacheTransfer:
     """Return the size of the KV cache of some tokens, and the time to transfer it."""
-    size = tokens * engine.kv_token_bytes
-    if not size or not engine.link_rate:
+    size = tokens * engine.kv_bytes_per_token
+    if not size or not engine.link_bytes_per_s:
         return UNKNOWN_CACHE_TRANSFER
-    return CacheTransfer(size, size / engine.link_rate)
+    return CacheTransfer(size, size / engine.link_bytes_per_s)
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -15,7 +15,7 @@
 from beamhatch.relay.choosing.rests import Backoffs
 from beamhatch.relay.fleet.evacuations import Evacuations
 from beamhatch.relay.limits.limits import LimitPermit, Limits
-from beamhatch.relay.places import Places
+from beamhatch.relay.topology import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -62,7 +62,7 @@
     """Conditions under which upstreams may be sent requests."""
 
     listing: Listing
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     evacuations: Evacuations = field(default_factory=Evacuations)
     gate: ColdGate = field(default_factory=UnlimitedGate)
     backoffs: Backoffs = field(default_factory=Backoffs)
@@ -91,19 +91,19 @@
 
     def is_in_regions(self, upstream: Upstream, regions: Regions) -> bool:
         """Return whether an upstream is in one of the regions that a request may be served in."""
-        return regions is None or self.places.lies_in(upstream.hall, regions)
+        return regions is None or self.places.is_in_regions(upstream.hall, regions)
 
     def is_cold(self, upstream: Upstream, cold: ColdTerms, now: float) -> bool:
         """Return whether an upstream counts as cold, as it also does for some time after its hall's evacuation ends."""
         return now < self.get_cold_until(upstream, cold)
 
     def _may_any_be_cold(self, cold: ColdTerms, now: float) -> bool:
-        return now < max(self.listing.latest_cold_until, self.evacuations.latest_end_at + cold.start_time)
+        return now < max(self.listing.latest_cold_until, self.evacuations.latest_end_at + cold.duration)
 
     def get_cold_until(self, upstream: Upstream, cold: ColdTerms) -> float:
         """Return until when an upstream counts as cold, in monotonic seconds."""
         evacuation_end = self.evacuations.get_end_time(upstream.hall)
-        return max(self.listing.get_cold_until(upstream.id), evacuation_end + cold.start_time)
+        return max(self.listing.get_cold_until(upstream.id), evacuation_end + cold.duration)
 
     def get_cold_wait(self, upstream: Upstream, cold: ColdTerms, now: float) -> float:
         """Return the seconds until this VM may send to a cold upstream, at most until it is warm."""
@@ -112,7 +112,7 @@
 
     def acquire_permit(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> SendPermit | None:
         """Reserve one request to an upstream; return None if it is warm and has no limit, so that none is needed."""
-        limited = self.limits.acquire_permit(upstream.life, now)
+        limited = self.limits.acquire_permit(upstream.incarnation, now)
         if cold is None or not self.is_cold(upstream, cold, now):
             return None if limited is None else SendPermit(None, limited)
         self.gate.reserve(upstream.id, now)
@@ -124,7 +124,7 @@
 
     def record_send(self, upstream: Upstream, cold: ColdTerms | None, now: float) -> None:
         """Count a request that is sent without reserving a permit first."""
-        self.limits.record_request(upstream.life, now)
+        self.limits.record_request(upstream.incarnation, now)
         if cold is not None and self.is_cold(upstream, cold, now):
             self.gate.record_sent(upstream.id, now)
 
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -64,7 +64,7 @@
 
 def _detect_backoff(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
     """Return the shortage until the first back-off ends, or None if no upstream has asked for one."""
-    backing_off = [one.life for one in answering if not eligibility.backoffs.may_send_to(one, now)]
+    backing_off = [one.incarnation for one in answering if not eligibility.backoffs.may_send_to(one, now)]
     if not backing_off:
         return None
     waits = [
@@ -79,7 +79,9 @@
 def _detect_limit(eligibility: Eligibility, answering: Sequence[Upstream], now: float) -> Shortage | None:
     """Return the shortage until the first limit allows a request, or None if no upstream is excluded by its limit."""
     limits = eligibility.limits
-    limited = [one.life for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED]
+    limited = [
+        one.incarnation for one in answering if eligibility.get_obstacle(one, None, None, now) is Obstacle.LIMITED
+    ]
     if not limited:
         return None
     return Shortage(
--- a/src/beamhatch/relay/choosing/rests.py
+++ b/src/beamhatch/relay/choosing/rests.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from beamhatch.relay.model import Life, Upstream, UpstreamId
+    from beamhatch.relay.model import Incarnation, Upstream, UpstreamId
 
 MAX_JITTER = 0.25
 """Maximum random extension of a back-off, as a share of it, so that VMs do not all resume at the same time."""
@@ -50,7 +50,7 @@
     """Request to an upstream that is recovering from a back-off; its result is recorded once."""
 
     backoffs: Backoffs
-    incarnation: Life
+    incarnation: Incarnation
     _ended: bool = False
 
     def end(self, now: float, *, answered: bool) -> None:
@@ -64,15 +64,15 @@
 class Backoffs:
     """Back-offs that upstreams have asked this VM for, by the incarnation that asked."""
 
-    _backoffs: dict[Life, _Backoff] = field(default_factory=dict)
+    _backoffs: dict[Incarnation, _Backoff] = field(default_factory=dict)
     _ids: set[UpstreamId] = field(default_factory=set)
     """Upstreams that may have a back-off; all others skip the lookup by incarnation."""
 
     def may_send_to(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream may be sent one more request; see ``may_send_to_incarnation``."""
-        return upstream.id not in self._ids or self.may_send_to_incarnation(upstream.life, now)
+        return upstream.id not in self._ids or self.may_send_to_incarnation(upstream.incarnation, now)
 
-    def record(self, incarnation: Life, seconds: float, now: float) -> bool:
+    def record(self, incarnation: Incarnation, seconds: float, now: float) -> bool:
         """Record a requested back-off, or extend an active one; return True if none was active."""
         until = now + seconds * random.uniform(1.0, 1.0 + MAX_JITTER)
         known = self._backoffs.get(incarnation)
@@ -83,21 +83,21 @@
         self._ids.add(incarnation.id)
         return True
 
-    def get_end(self, incarnation: Life, now: float) -> float | None:
+    def get_end(self, incarnation: Incarnation, now: float) -> float | None:
         """Return when an upstream's back-off ends, or None if none is active."""
         backoff = self._backoffs.get(incarnation)
         return backoff.until if backoff is not None and now < backoff.until else None
 
-    def may_send_to_incarnation(self, life: Life, now: float) -> bool:
+    def may_send_to_incarnation(self, life: Incarnation, now: float) -> bool:
         """Return whether one more request may be sent to an incarnation, without counting it."""
         backoff = self._backoffs.get(life)
         return backoff is None or (now >= backoff.until and backoff.has_room(now))
 
-    def is_active(self, incarnation: Life, now: float) -> bool:
+    def is_active(self, incarnation: Incarnation, now: float) -> bool:
         """Return whether an upstream's back-off is active."""
         return self.get_end(incarnation, now) is not None
 
-    def begin_request(self, incarnation: Life, now: float) -> BackoffProbe | None:
+    def begin_request(self, incarnation: Incarnation, now: float) -> BackoffProbe | None:
         """Count a request that is sent; return its probe, or None if the upstream has no back-off or has recovered."""
         backoff = self._backoffs.get(incarnation)
         if backoff is None:
@@ -105,7 +105,7 @@
         backoff.probes.append(now)
         return BackoffProbe(self, incarnation)
 
-    def end_request(self, incarnation: Life, now: float, *, answered: bool) -> None:
+    def end_request(self, incarnation: Incarnation, now: float, *, answered: bool) -> None:
         """Record the result of a probe.
 
         :param answered: whether the upstream answered and did not reject the request
--- a/src/beamhatch/relay/choosing/spill.py
+++ b/src/beamhatch/relay/choosing/spill.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from beamhatch.relay.model import Phase, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, RegionName
+from beamhatch.relay.topology import Distance, RegionName
 
 FAILED_ROUND_COST_S = 0.1
 """Cost of a round of reservation attempts in which no engine had memory."""
--- a/src/beamhatch/relay/choosing/sponsor_gate.py
+++ b/src/beamhatch/relay/choosing/sponsor_gate.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.cold_gate import CountingGate
-from beamhatch.relay.model import hash_fraction
+from beamhatch.relay.model import hash_to_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -37,7 +37,7 @@
     ) -> None:
         super().__init__(vms, bound, started)
         self._find_cold_until = find_cold_until
-        self._own = hash_fraction(vms.own_name)
+        self._own = hash_to_fraction(vms.own_name)
         self._ring = [self._own]
         """Sorted hashes of all known VMs."""
         self._not_sponsored: set[UpstreamId] = set()
@@ -45,7 +45,7 @@
 
     def on_view_changed(self) -> None:
         """Rebuild the hash ring."""
-        self._ring = sorted([self._own, *map(hash_fraction, self.list_others())])
+        self._ring = sorted([self._own, *map(hash_to_fraction, self.list_others())])
 
     def may_send(self, upstream: Upstream, terms: ColdTerms, now: float) -> bool:
         """Return whether one more request may be sent now."""
@@ -81,11 +81,11 @@
         left = max(0.0, self._find_cold_until(upstream.id) - now)
         term = int(left // SPONSOR_TERM_S)
         end = (term + 1) * SPONSOR_TERM_S
-        has_previous_term = max(terms.start_time, upstream.cold_left) > end
+        has_previous_term = max(terms.duration, upstream.cold_left) > end
         return None if has_previous_term and left > end - SPONSOR_TERM_GAP_S else term
 
     def _is_sponsor(self, upstream: UpstreamId, term: int, sponsors: int) -> bool:
         """Return whether this VM is among the first VMs that follow the upstream on the hash ring."""
-        first = bisect_left(self._ring, hash_fraction(f"{upstream}/{term}"))
+        first = bisect_left(self._ring, hash_to_fraction(f"{upstream}/{term}"))
         own = bisect_left(self._ring, self._own)
         return (own - first) % len(self._ring) < sponsors
--- a/src/beamhatch/relay/core.py
+++ b/src/beamhatch/relay/core.py
@@ -1,4 +1,4 @@
-"""What all requests of one VM share: the configuration, the upstreams, and how callers are served."""
+"""State shared by all requests of one VM: configuration, upstreams and open exchanges."""
 
 from __future__ import annotations
 
@@ -21,9 +21,8 @@
 from beamhatch.relay.fleet.evacuations import MAX_UNCONFIGURED_HALLS, Evacuations
 from beamhatch.relay.fleet.gossip_message import DemandReport
 from beamhatch.relay.limits.returns import RetrySchedule
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import CallerLimits, Phase, Regions, ServiceName
-from beamhatch.relay.places import Places
 from beamhatch.relay.quarantine.quarantine import Quarantine
 from beamhatch.relay.quarantine.talk import QuarantineGossip, QuarantineGossipDependencies
 from beamhatch.relay.requests.budget import RetryBudget, RetryBudgetLimits
@@ -31,6 +30,7 @@
 from beamhatch.relay.requests.fingerprint import compute_fingerprint
 from beamhatch.relay.requests.lengths import OutputLengths
 from beamhatch.relay.requests.memory_lines import MemoryQueues
+from beamhatch.relay.topology import Topology
 from beamhatch.relay.upstreams.announcements import Announcements
 from beamhatch.relay.upstreams.listing import Listing
 from beamhatch.relay.workspaces.admission import Admission, Admitted, OverQuota, Undecided
@@ -41,65 +41,61 @@
     from beamhatch.clock import Clock
     from beamhatch.observe.journal import Journal
     from beamhatch.observe.tally import Tally
-    from beamhatch.relay.api import Dialect, Document, ListingNews
+    from beamhatch.relay.api import Dialect, Document, ListingUpdate
     from beamhatch.relay.callers.http_server import IncomingRequest, RequestHandler, Responder
     from beamhatch.relay.choosing.chooser import Chooser
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.model import (
         ColdTerms,
         Fingerprint,
-        Life,
+        Incarnation,
         RequestFacts,
         Route,
+        RoutingTable,
         Service,
-        Table,
         Upstream,
         UpstreamId,
     )
-    from beamhatch.relay.places import RegionName
+    from beamhatch.relay.topology import RegionName
     from beamhatch.relay.upstreams.http_client import HttpClient
     from beamhatch.relay.upstreams.listing import Entry
     from beamhatch.relay.workspaces.admission import Decision
 
-COLD_COST = 1.0
-"""Requests whose time, at the rate that a cold upstream bears, it costs more than a warm one.
+COLD_PENALTY_REQUESTS = 1.0
+"""Extra cost of a cold upstream, as the time that it needs for this many requests at its cold rate.
 
-All VMs like the emptiest upstream best, and one that has just started is empty, and slow. A quarter of it served less
-on a day with 11 engines that came back cold: 0.668 in place of 0.754 (one run each).
+Without it, all VMs would prefer an upstream that has just started, since it is empty, although it is slow.
 """
 
-COLD_LOOK = 1.0
-"""Seconds between two looks for upstreams that have become warm, for the log; there are none while all are warm."""
+COLD_CHECK_INTERVAL_S = 1.0
+"""Interval of checks for upstreams that are no longer cold, for the log; runs only while some are cold."""
 
-MOST_NAMED = 8
-"""Upstreams that one line on cold ones names; of more, it tells how many."""
+MAX_LOGGED_UPSTREAMS = 8
+"""Maximum number of upstreams listed in one log line; the line has the total count too."""
 
-RETURN_SHARE = 0.9
-"""Share of the longest time that callers of a route begin with, below which one is taken to ask again."""
+RETRY_TIME_LEFT_SHARE = 0.9
+"""A caller with less than this share of the route's longest time left is taken for one that retries."""
 
-STOPPING_RETRY = 0.15
-"""Seconds after which a caller may come back to another VM."""
+STOPPING_RETRY_S = 0.15
+"""Retry-After of a VM that is shutting down; the caller reaches another one."""
 
-UNREADY_RETRY = 1.0
-"""Seconds after which a caller may come back to a VM that knows no configuration yet."""
+UNREADY_RETRY_S = 1.0
+"""Retry-After of a VM that has no usable configuration yet."""
 
-BEHIND_RETRY = 0.3
-"""Seconds after which a caller may come back whose key a VM doesn't know that lacks the newest configuration.
-
-Peers tell each other of a configuration within three round trips; 0.2 s were enough for 24 VMs on a paused clock.
-"""
+OUTDATED_RETRY_S = 0.3
+"""Retry-After of a VM that may lack the newest configuration; peers send it within three round trips."""
 
 
 @dataclass(slots=True)
-class Terms:
-    """Bounds that the platform sets; a reload may change them."""
+class ReloadableSettings:
+    """Settings of the platform that a reload may change."""
 
-    budget: RetryBudgetLimits = field(default_factory=RetryBudgetLimits)
+    retry_budget: RetryBudgetLimits = field(default_factory=RetryBudgetLimits)
 
 
 @dataclass(frozen=True, slots=True)
-class _Place:
-    """Where a request is served."""
+class _Destination:
+    """Route, service and constraints of an accepted request."""
 
     route: Route
     service: Service
@@ -110,17 +106,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """A request that is not served here, with the status to answer it by."""
+    """Reason why a request is refused, with the status of the response."""
 
     status: int
     detail: str
     retry_after: float | None = None
-    """Seconds after which the caller may come back."""
+    """Seconds after which the caller may retry."""
 
 
 @dataclass(slots=True)
 class Core:
-    """The state of one VM's relay."""
+    """State of the relay on one VM."""
 
     clock: Clock
     journal: Journal
@@ -128,97 +124,99 @@
     dialect: Dialect
     client: HttpClient
     chooser: Chooser
-    standings: UpstreamStatsRegistry
-    terms: Terms
+    stats: UpstreamStatsRegistry
+    settings: ReloadableSettings
     admission: Admission = field(default_factory=Admission)
-    without: Without = ALL_IN
+    disabled: DisabledMechanisms = NONE_DISABLED
     listing: Listing = field(default_factory=Listing)
     announcements: Announcements = field(init=False)
     eligibility: Eligibility = field(init=False)
-    changes: PendingPhaseChanges = field(default_factory=PendingPhaseChanges)
+    phase_changes: PendingPhaseChanges = field(default_factory=PendingPhaseChanges)
     quarantine: Quarantine = field(default_factory=Quarantine)
-    quarantine_talk: QuarantineGossip = field(init=False)
-    paces: PrefillEstimators = field(default_factory=PrefillEstimators)
-    work: PeerBacklog = field(default_factory=PeerBacklog)
+    quarantine_gossip: QuarantineGossip = field(init=False)
+    prefill_models: PrefillEstimators = field(default_factory=PrefillEstimators)
+    peer_backlog: PeerBacklog = field(default_factory=PeerBacklog)
     document: Document | None = None
-    started: float = 0.0
-    """When the VM started, in monotonic seconds."""
-    vms: int = 1
-    """VMs that are known to be alive, this one among them."""
-    vms_lately: int = 1
-    """VMs that there were of late: a bound that all share is divided by them, as those out of touch use their part."""
+    started_at: float = 0.0
+    """Start of the VM's relay, in monotonic seconds."""
+    vm_count: int = 1
+    """Number of VMs known to be alive, including this one."""
+    recent_vm_count: int = 1
+    """Number of VMs seen recently; shared limits are divided by it, since unreachable VMs still use their share."""
     stopping: bool = False
-    """True once a planned stop leaves no time for new requests."""
+    """Whether new requests are refused because of a planned stop."""
     exchanges: set[RelayExchange] = field(default_factory=set)
     on_change: Callable[[], None] = lambda: None
     """Called when the configuration or the listing has changed."""
     on_evacuation: Callable[[], None] = lambda: None
-    """Called when a hall was emptied or taken back."""
-    on_fault: Callable[[], None] = lambda: None
-    """Called when an upstream failed a request."""
-    on_work: Callable[[], None] = lambda: None
-    """Called when this VM's part of what an engine has to read has changed."""
-    places: Places = field(default_factory=Places)
-    _budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
-    lines: MemoryQueues = field(init=False)
+    """Called when the evacuation of a hall has begun or ended."""
+    on_failure: Callable[[], None] = lambda: None
+    """Called when a request to an upstream has failed."""
+    on_backlog_change: Callable[[], None] = lambda: None
+    """Called when this VM's share of the prefill backlog of an engine has changed."""
+    topology: Topology = field(default_factory=Topology)
+    _retry_budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
+    memory_queues: MemoryQueues = field(init=False)
     _demands: defaultdict[ServiceName, DemandEstimator] = field(default_factory=lambda: defaultdict(DemandEstimator))
-    _lengths: defaultdict[ServiceName, OutputLengths] = field(default_factory=lambda: defaultdict(OutputLengths))
-    _read_times: defaultdict[ServiceName, PrefillTimes] = field(default_factory=lambda: defaultdict(PrefillTimes))
-    _returns: defaultdict[ServiceName, RetrySchedule] = field(default_factory=lambda: defaultdict(RetrySchedule))
-    cold_watch: ColdTransitions = field(default_factory=ColdTransitions)
-    _cold_look: Any = None
-    """The next look for upstreams that are warm again."""
-    _patience: dict[str, float] = field(default_factory=dict)
-    """The longest that a caller of each route would wait, in seconds."""
-    _strange_halls: set[str] = field(default_factory=set)
-    """Emptied halls that the settings don't place, as far as they were told of in the log."""
+    _output_lengths: defaultdict[ServiceName, OutputLengths] = field(default_factory=lambda: defaultdict(OutputLengths))
+    _prefill_times: defaultdict[ServiceName, PrefillTimes] = field(default_factory=lambda: defaultdict(PrefillTimes))
+    _retry_schedules: defaultdict[ServiceName, RetrySchedule] = field(
+        default_factory=lambda: defaultdict(RetrySchedule)
+    )
+    cold_transitions: ColdTransitions = field(default_factory=ColdTransitions)
+    _cold_check: Any = None
+    """Timer of the next check for upstreams that are no longer cold."""
+    _longest_time_left: dict[str, float] = field(default_factory=dict)
+    """Longest time until a caller's deadline on each route, in seconds."""
+    _unknown_halls: set[str] = field(default_factory=set)
+    """Evacuated halls that the settings do not assign to a region and that have been logged."""
 
     def __post_init__(self) -> None:
-        """Put together what stands between requests and upstreams."""
+        """Create and connect the parts that depend on other fields."""
         self.announcements = Announcements(self.clock, self.journal, self.tally, self.dialect, self.listing)
-        self.announcements.on_restriction = self._note_announcement
+        self.announcements.on_restriction = self._schedule_withdrawal
         self.eligibility = Eligibility(
             self.listing,
-            self.places,
-            Evacuations(self.places),
+            self.topology,
+            Evacuations(self.topology),
             backoffs=self.announcements.backoffs,
             limits=self.announcements.limits,
         )
-        self.announcements.limits.count_vms = lambda: self.vms
-        self.chooser.compute_cold_cost = self.find_cold_cost
-        self.lines = MemoryQueues(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.without)
-        self.quarantine_talk = QuarantineGossip(
+        self.announcements.limits.count_vms = lambda: self.vm_count
+        self.chooser.compute_cold_cost = self.compute_cold_cost
+        self.memory_queues = MemoryQueues(self.clock, self.eligibility, fair=Mechanism.FAIRNESS not in self.disabled)
+        self.quarantine_gossip = QuarantineGossip(
             QuarantineGossipDependencies(
-                self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.end_waits
+                self.clock, self.journal, self.tally, self.quarantine, self.client.list_open, self.advance_waiting
             )
         )
 
     @property
-    def table(self) -> Table | None:
+    def table(self) -> RoutingTable | None:
         """Return the configuration in force."""
         return None if self.document is None else self.document.table
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force, 0 where none is."""
+        """Return the version of the configuration in force, 0 if there is none."""
         return 0 if self.table is None else self.table.version
 
     @property
     def revision(self) -> int:
-        """Return the revision of the newest entry of the listing, 0 where there is no whole listing."""
+        """Return the revision of the newest entry of the listing, 0 if the listing is incomplete."""
         return self.listing.newest_revision if self.listing.complete else 0
 
     @property
     def ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Return whether requests can be served."""
         return self.document is not None and self.listing.complete and self.eligibility.evacuations.complete
 
-    def find_limits(self) -> CallerLimits:
-        """Return the bounds on callers."""
+    def get_caller_limits(self) -> CallerLimits:
+        """Return the limits on callers."""
         return CallerLimits() if self.table is None else self.table.limits
 
-    def take_document(self, document: Document, source: str) -> bool:
-        """Put a configuration in force unless a newer one is; return whether it was."""
+    def apply_document(self, document: Document, source: str) -> bool:
+        """Put a configuration in force and return True, unless its version is not newer than the current one."""
         version = document.table.version
         if self.table is not None and self.table.version >= version:
             return False
@@ -227,342 +225,355 @@
         self.journal.write(
             "CONFIG", "in force", version=version, before=before, source=source, routes=len(document.table.routes)
         )
-        self._report_unknown_regions(document.table)
+        self._log_unknown_regions(document.table)
         for exchange in list(self.exchanges):
             exchange.apply_table(document.table)
         self.on_change()
         return True
 
-    def _report_unknown_regions(self, table: Table) -> None:
-        """Write a line on regions that the configuration names and the settings place no hall in."""
-        unknown = sorted(region for region in table.list_regions() if not self.places.has_any({region}))
+    def _log_unknown_regions(self, table: RoutingTable) -> None:
+        """Log the regions that the configuration names but the settings assign no hall to."""
+        unknown = sorted(region for region in table.list_named_regions() if not self.topology.has_hall_in({region}))
         if unknown:
             self.journal.write("CONFIG", "regions without halls", regions=unknown, version=table.version)
 
-    def take_places(self, places: Places) -> None:
-        """Take changed settings of where halls lie."""
-        if places != self.places:
-            self.places = self.eligibility.places = self.eligibility.evacuations.places = places
-            self.chooser.distances.places = places
-            self.journal.write("MAIN", "halls placed anew", halls=len(places.regions))
+    def apply_topology(self, topology: Topology) -> None:
+        """Apply changed settings of halls and regions."""
+        if topology != self.topology:
+            self.topology = self.eligibility.places = self.eligibility.evacuations.places = topology
+            self.chooser.distances.places = topology
+            self.journal.write("MAIN", "halls placed anew", halls=len(topology.regions))
 
-    def take_listing(self, news: ListingNews, source: str, *, whole: bool) -> None:
-        """Take in news of upstreams.
+    def apply_listing(self, update: ListingUpdate, source: str, *, is_snapshot: bool) -> None:
+        """Apply an update of the listing.
 
-        :param whole: whether what the news lack is gone
+        :param is_snapshot: whether the update is complete, so that upstreams missing from it are gone
         """
         now = self.clock.now()
         listing = self.listing
-        entries = news.entries if news.settled else listing.exclude_gone(news.entries)
+        entries = update.entries if update.authoritative else listing.exclude_gone(update.entries)
         before = {entry.id: listing.get_last_listed(entry.id) for entry in entries}
-        if whole:
-            changed = listing.apply_snapshot(entries, news.at, now)
+        if is_snapshot:
+            changed = listing.apply_snapshot(entries, update.revision, now)
         else:
             changed = [entry for entry in entries if listing.apply(entry, now)]
         for entry in changed:
             self.journal.write("LISTING", _describe(entry), upstream=entry.id, revision=entry.revision, source=source)
-            self.changes.record_listed_phase(entry.id, None if entry.upstream is None else entry.upstream.phase)
+            self.phase_changes.record_listed_phase(entry.id, None if entry.upstream is None else entry.upstream.phase)
             last = before.get(entry.id)
-            if entry.upstream is not None and last is not None and not entry.upstream.is_same_life(last):
-                self._note_restart(entry.upstream, last)
-        self._note_cold([entry for entry in changed if entry.upstream is not None and entry.upstream.cold_left], source)
+            if entry.upstream is not None and last is not None and not entry.upstream.is_same_incarnation(last):
+                self._handle_restart(entry.upstream, last)
+        self._record_cold(
+            [entry for entry in changed if entry.upstream is not None and entry.upstream.cold_left], source
+        )
         if changed:
             listing.drop_expired(now)
-            self.standings.keep_only(listing.list_ids())
+            self.stats.keep_only(listing.list_ids())
             self.announcements.drop_unlisted(listing.list_ids())
             self.on_change()
 
-    def _note_restart(self, upstream: Upstream, before: Upstream) -> None:
-        """Forget what was believed of an upstream that has started again under its id."""
+    def _handle_restart(self, upstream: Upstream, before: Upstream) -> None:
+        """Reset the state of an upstream that has restarted under the same id."""
         self.journal.write("LISTING", "started again", upstream=upstream.id, born=upstream.born, before=before.born)
-        self.standings.get(upstream.id).reset()
-        self.changes.record_listed_phase(upstream.id, None)
+        self.stats.get(upstream.id).reset()
+        self.phase_changes.record_listed_phase(upstream.id, None)
 
-    def is_over(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream has started again since, so that it holds nothing of what was held there."""
+    def has_restarted(self, upstream: Upstream) -> bool:
+        """Return whether an upstream has restarted since and so has lost its caches and reservations."""
         newest = self.listing.get_last_listed(upstream.id)
-        return newest is not None and not newest.is_same_life(upstream)
+        return newest is not None and not newest.is_same_incarnation(upstream)
 
-    def list_usable(self, service: ServiceName, regions: Regions = None, *, owed: bool = False) -> list[Upstream]:
-        """Return the upstreams of a service that may get new work.
+    def list_usable(self, service: ServiceName, regions: Regions = None, *, is_retry: bool = False) -> list[Upstream]:
+        """Return the upstreams of a service that may be sent a request.
 
-        :param regions: the regions that a request may be served in; None where it may be in any
-        :param owed: whether its caller was refused before
+        :param regions: regions that the request may be served in; None for any
+        :param is_retry: whether its caller was refused before
         """
         now = self.clock.now()
         return self.eligibility.list_eligible(
-            self._list_staying(service, now), regions, self.find_cold_terms(service), now, is_retry=owed
+            self._list_not_changing(service, now), regions, self.get_cold_terms(service), now, is_retry=is_retry
         )
 
-    def _list_staying(self, service: ServiceName, now: float) -> list[Upstream]:
-        """Return the upstreams of a service that are listed and not away for a change of their part."""
-        return self.changes.exclude_changing(self.listing.list_usable(service, now), now)
+    def _list_not_changing(self, service: ServiceName, now: float) -> list[Upstream]:
+        """Return the listed upstreams of a service that are not changing their phase."""
+        return self.phase_changes.exclude_changing(self.listing.list_usable(service, now), now)
 
-    def _note_cold(self, entries: Sequence[Entry], source: str) -> None:
-        """Write one line on the upstreams that turned cold, and look in a while which of them are warm."""
-        turned = self.cold_watch.record_cold([entry.id for entry in entries])
-        if turned:
-            self.journal.write("COLD", "cold", count=len(turned), upstreams=turned[:MOST_NAMED], source=source)
-            self._look_soon()
+    def _record_cold(self, entries: Sequence[Entry], source: str) -> None:
+        """Log the upstreams that became cold, and schedule the check for those that no longer are."""
+        became_cold = self.cold_transitions.record_cold([entry.id for entry in entries])
+        if became_cold:
+            self.journal.write(
+                "COLD", "cold", count=len(became_cold), upstreams=became_cold[:MAX_LOGGED_UPSTREAMS], source=source
+            )
+            self._schedule_cold_check()
 
-    def _look_soon(self) -> None:
-        if self._cold_look is None and self.cold_watch.cold:
-            self._cold_look = self.clock.call_later(COLD_LOOK, self._look_for_warm)
+    def _schedule_cold_check(self) -> None:
+        if self._cold_check is None and self.cold_transitions.cold:
+            self._cold_check = self.clock.call_later(COLD_CHECK_INTERVAL_S, self._check_cold)
 
-    def _look_for_warm(self) -> None:
-        self._cold_look = None
-        warm = self.cold_watch.pop_warm(self.listing.get_cold_until, self.clock.now())
+    def _check_cold(self) -> None:
+        self._cold_check = None
+        warm = self.cold_transitions.pop_warm(self.listing.get_cold_until, self.clock.now())
         if warm:
-            self.journal.write("COLD", "warm", count=len(warm), upstreams=warm[:MOST_NAMED])
-        self._look_soon()
+            self.journal.write("COLD", "warm", count=len(warm), upstreams=warm[:MAX_LOGGED_UPSTREAMS])
+        self._schedule_cold_check()
 
-    def find_cold_wait(
+    def compute_cold_wait(
         self, service: ServiceName, regions: Regions = None, tried: Collection[UpstreamId] = ()
     ) -> float | None:
-        """Return the seconds until one of a service's cold upstreams has room for this VM, None where none lacks it.
+        """Return the seconds until this VM may send to a cold upstream again, None if no cold upstream is exhausted.
 
-        :param tried: those that a request won't go to any more
+        :param tried: upstreams that are excluded
         """
-        terms = self.find_cold_terms(service)
+        terms = self.get_cold_terms(service)
         if terms is None:
             return None
         now = self.clock.now()
         find_obstacle = self.eligibility.get_obstacle
-        left = (one for one in self._list_staying(service, now) if one.id not in tried)
-        shut = (one for one in left if find_obstacle(one, regions, terms, now) is Obstacle.COLD)
-        return min((self.eligibility.get_cold_wait(one, terms, now) for one in shut), default=None)
+        candidates = (one for one in self._list_not_changing(service, now) if one.id not in tried)
+        exhausted = (one for one in candidates if find_obstacle(one, regions, terms, now) is Obstacle.COLD)
+        return min((self.eligibility.get_cold_wait(one, terms, now) for one in exhausted), default=None)
 
-    def find_cold_cost(self, upstream: Upstream, now: float) -> float:
-        """Return the seconds that a cold upstream costs more: the time in which it bears one more request."""
-        terms = self.find_cold_terms(upstream.service)
+    def compute_cold_cost(self, upstream: Upstream, now: float) -> float:
+        """Return the extra cost of an upstream in seconds, 0 if it is not cold."""
+        terms = self.get_cold_terms(upstream.service)
         if terms is None or not self.eligibility.is_cold(upstream, terms, now):
             return 0.0
-        return COLD_COST / terms.rate
+        return COLD_PENALTY_REQUESTS / terms.rate
 
     def count_obstacles(self, service: ServiceName, regions: Regions) -> Counter[Obstacle]:
-        """Return how many upstreams of a service each obstacle keeps a request from."""
+        """Return the number of a service's upstreams that each obstacle excludes."""
         now = self.clock.now()
         listed = self.listing.list_usable(service, now)
-        return self.eligibility.count_obstacles(listed, regions, self.find_cold_terms(service), now)
+        return self.eligibility.count_obstacles(listed, regions, self.get_cold_terms(service), now)
 
-    def find_cold_terms(self, service: ServiceName) -> ColdTerms | None:
-        """Return what upstreams of a service bear while they are cold; None where that is as much as ever."""
+    def get_cold_terms(self, service: ServiceName) -> ColdTerms | None:
+        """Return the limit on cold upstreams of a service; None if there is none."""
         found = None if self.table is None else self.table.services.get(service)
         return None if found is None else found.cold
 
-    def find_obstacle(self, upstream: Upstream, service: ServiceName, regions: Regions = None) -> Obstacle | None:
-        """Return why an upstream may not be sent a request of a service, or None where it may."""
-        return self.eligibility.get_obstacle(upstream, regions, self.find_cold_terms(service), self.clock.now())
+    def get_obstacle(self, upstream: Upstream, service: ServiceName, regions: Regions = None) -> Obstacle | None:
+        """Return why an upstream may not be sent a request of a service, or None if it may."""
+        return self.eligibility.get_obstacle(upstream, regions, self.get_cold_terms(service), self.clock.now())
 
-    def find_lack(self, service: ServiceName, regions: Regions = None) -> Shortage | None:
-        """Return what keeps a request from all upstreams that could answer it, None where nothing does.
+    def detect_shortage(self, service: ServiceName, regions: Regions = None) -> Shortage | None:
+        """Return why no upstream of a service can respond to a request, or None if one can.
 
-        Prefill engines don't count: without a decode engine nothing is answered, and it can do without them. Upstreams
-        in other regions don't either, nor engines that are changing their part.
+        Prefill engines are ignored, since a decode engine can process prompts itself but not the reverse. Upstreams
+        in other regions and engines that are changing their phase are ignored too.
         """
         now = self.clock.now()
-        listed = [*self._list_staying(service, now), *self.listing.list_leaving(service)]
+        listed = [*self._list_not_changing(service, now), *self.listing.list_leaving(service)]
         answering = [
             one for one in listed if one.phase is not Phase.PREFILL and self.eligibility.is_in_regions(one, regions)
         ]
-        return detect_shortage(self.eligibility, answering, regions, self.find_cold_terms(service), now)
+        return detect_shortage(self.eligibility, answering, regions, self.get_cold_terms(service), now)
 
-    def promise_turn(self, service: ServiceName, lack: Shortage) -> float:
-        """Return the seconds after which a caller is to come back that limits of all upstreams keep from a service."""
+    def reserve_retry_slot(self, service: ServiceName, shortage: Shortage) -> float:
+        """Return the seconds after which a caller may retry while all upstreams of a service are at their limit."""
         now = self.clock.now()
-        back = self._returns[service].reserve(lack.wait, lack.rate / self.vms, now)
-        lives = [one.life for one in self.listing.list_usable(service, now)]
-        self.announcements.limits.record_refusal(lives, now + back)
-        return back
+        delay = self._retry_schedules[service].reserve(shortage.wait, shortage.rate / self.vm_count, now)
+        incarnations = [one.incarnation for one in self.listing.list_usable(service, now)]
+        self.announcements.limits.record_refusal(incarnations, now + delay)
+        return delay
 
-    def _note_announcement(self, life: Life) -> None:
-        """Take back what was to go to an upstream that wants no more, once what is being read is read."""
+    def _schedule_withdrawal(self, life: Incarnation) -> None:
+        """Withdraw requests from an upstream that accepts no more, after the data being parsed has been handled."""
         self.clock.call_later(0.0, self._withdraw_from, life)
 
-    def _withdraw_from(self, life: Life) -> None:
+    def _withdraw_from(self, incarnation: Incarnation) -> None:
         for exchange in list(self.exchanges):
-            exchange.withdraw_from(life)
-        self._ask_waiting()
+            exchange.withdraw_from(incarnation)
+        self._advance_queued()
 
-    def take_evacuations(self, news: Sequence[Evacuation], source: str, *, as_of: int, whole: bool) -> None:
-        """Take in which halls are emptied.
+    def apply_evacuations(self, updates: Sequence[Evacuation], source: str, *, as_of: int, is_snapshot: bool) -> None:
+        """Apply updates of evacuations.
 
-        :param as_of: the revision up to which the news tell everything
-        :param whole: whether they are of all halls, and not just what changed behind the last revision
+        :param as_of: revision up to which the updates are complete
+        :param is_snapshot: whether they cover all halls, and not only changes after the last revision
         """
         evacuations = self.eligibility.evacuations
         now = self.clock.now()
-        if whole:
-            changed = evacuations.apply_snapshot(news, as_of, now)
+        if is_snapshot:
+            changed = evacuations.apply_snapshot(updates, as_of, now)
         else:
-            changed = [one for one in news if evacuations.apply(one, now)]
+            changed = [one for one in updates if evacuations.apply(one, now)]
             evacuations.record_known_up_to(as_of)
         for one in changed:
-            self._note_evacuation(one, source)
+            self._log_evacuation(one, source)
         if changed:
             self.on_change()
             self.on_evacuation()
-            self._ask_waiting()
+            self._advance_queued()
 
-    def _note_evacuation(self, news: Evacuation, source: str) -> None:
-        event = "emptied" if news.active else "taken back"
+    def _log_evacuation(self, evacuation: Evacuation, source: str) -> None:
+        event = "emptied" if evacuation.active else "taken back"
         self.journal.write(
             "EVACUATION",
             event,
-            hall=news.hall,
-            revision=news.revision,
+            hall=evacuation.hall,
+            revision=evacuation.revision,
             source=source,
-            under_way=self.count_in(news.hall),
+            under_way=self.count_requests_in(evacuation.hall),
             emptied=len(self.eligibility.evacuations.list_evacuated()),
         )
-        strange = self._strange_halls
-        if not self.places.knows(news.hall) and news.hall not in strange and len(strange) < MAX_UNCONFIGURED_HALLS:
-            strange.add(news.hall)
-            self.journal.write("EVACUATION", "unknown hall", hall=news.hall, source=source)
-
-    def _ask_waiting(self) -> None:
-        """Have all who wait for decode memory plan anew: where nothing is left they are answered now."""
-        for key, line in self.lines.list_all():
-            if self.find_lack(key.service, key.regions) is not None:
-                for waiter in line.list_all():
+        logged = self._unknown_halls
+        if (
+            not self.topology.is_known(evacuation.hall)
+            and evacuation.hall not in logged
+            and len(logged) < MAX_UNCONFIGURED_HALLS
+        ):
+            logged.add(evacuation.hall)
+            self.journal.write("EVACUATION", "unknown hall", hall=evacuation.hall, source=source)
+
+    def _advance_queued(self) -> None:
+        """Advance the requests that queue for decode memory of a service with a shortage, to respond to them now."""
+        for key, queue in self.memory_queues.list_all():
+            if self.detect_shortage(key.service, key.regions) is not None:
+                for waiter in queue.list_all():
                     waiter.advance()
 
-    def count_in(self, hall: str) -> int:
-        """Return how many requests are under way at upstreams of a hall."""
+    def count_requests_in(self, hall: str) -> int:
+        """Return the number of requests in progress at upstreams of a hall."""
         return sum(exchange.hall == hall for exchange in self.exchanges)
 
-    def count_in_emptied(self) -> int:
-        """Return how many requests are still under way at upstreams of emptied halls."""
-        return sum(self.count_in(hall) for hall in self.eligibility.evacuations.list_evacuated())
+    def count_requests_in_evacuated(self) -> int:
+        """Return the number of requests in progress at upstreams of evacuated halls."""
+        return sum(self.count_requests_in(hall) for hall in self.eligibility.evacuations.list_evacuated())
 
-    def take_change(self, upstream: UpstreamId, news: PhaseChangeUpdate, source: str) -> None:
-        """Take in that an engine was ordered to play another part."""
+    def apply_phase_change(self, upstream: UpstreamId, update: PhaseChangeUpdate, source: str) -> None:
+        """Record that an engine was ordered to change its phase."""
         found = self.listing.get(upstream)
-        if found is None or found.phase is news.phase:
+        if found is None or found.phase is update.phase:
             return
-        if self.changes.apply_update(upstream, news, self.clock.now()):
+        if self.phase_changes.apply_update(upstream, update, self.clock.now()):
             self.journal.write(
-                "LISTING", "changing", upstream=upstream, phase=news.phase.value, certain=news.confirmed, source=source
+                "LISTING",
+                "changing",
+                upstream=upstream,
+                phase=update.phase.value,
+                certain=update.confirmed,
+                source=source,
             )
             self.on_change()
 
-    def note_turned_away(self, upstream: UpstreamId) -> None:
-        """Take in that an engine turned a request away that it should have had room for."""
-        if self.changes.confirm(upstream, self.clock.now()):
+    def record_rejection(self, upstream: UpstreamId) -> None:
+        """Record that an engine rejected a request although it should have capacity, which may confirm its change."""
+        if self.phase_changes.confirm(upstream, self.clock.now()):
             self.journal.write("LISTING", "changing", upstream=upstream, certain=True, source="turned away")
             self.on_change()
 
-    def find_budget(self, service: ServiceName) -> RetryBudget:
-        """Return the budget of repeated sends to a service."""
-        budget = self._budgets.get(service)
+    def get_retry_budget(self, service: ServiceName) -> RetryBudget:
+        """Return the retry budget of a service."""
+        budget = self._retry_budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(self.terms.budget, self.started)
-        budget.limits = self.terms.budget
+            budget = self._retry_budgets[service] = RetryBudget(self.settings.retry_budget, self.started_at)
+        budget.limits = self.settings.retry_budget
         return budget
 
-    def find_demand(self, service: ServiceName) -> DemandEstimator:
-        """Return what this VM's streams ask of a service."""
+    def get_demand(self, service: ServiceName) -> DemandEstimator:
+        """Return the estimator of this VM's demand on a service."""
         return self._demands[service]
 
-    def find_read_times(self, service: ServiceName) -> PrefillTimes:
-        """Return how long the prompts of a service took of late."""
-        return self._read_times[service]
+    def get_prefill_times(self, service: ServiceName) -> PrefillTimes:
+        """Return the recent prefill times of a service."""
+        return self._prefill_times[service]
 
-    def find_lengths(self, service: ServiceName) -> OutputLengths:
-        """Return how long the answers of a service become."""
-        return self._lengths[service]
+    def get_output_lengths(self, service: ServiceName) -> OutputLengths:
+        """Return the output lengths of a service."""
+        return self._output_lengths[service]
 
-    def note_length(self, service: ServiceName, facts: RequestFacts, tokens: int) -> None:
-        """Learn how long an answer became."""
-        if Mechanism.LEARNED_ROOM not in self.without:
-            self._lengths[service].record(facts, tokens)
+    def record_output_length(self, service: ServiceName, facts: RequestFacts, tokens: int) -> None:
+        """Record the length of an output."""
+        if Mechanism.LEARNED_OUTPUT_LENGTHS not in self.disabled:
+            self._output_lengths[service].record(facts, tokens)
 
-    def report_demand(self, service: ServiceName) -> DemandReport:
-        """Return what this VM's streams ask of a service, as other VMs are told."""
+    def make_demand_report(self, service: ServiceName) -> DemandReport:
+        """Return this VM's demand on a service, as sent to other VMs."""
         now = self.clock.now()
-        demand = self.find_demand(service)
-        reading = self.paces.get_prefill(service)
-        whole = self.paces.get_decode(service)
+        demand = self.get_demand(service)
+        prefill = self.prefill_models.get_prefill(service)
+        decode = self.prefill_models.get_decode(service)
         return DemandReport(
             prompt_rate=round(demand.compute_prompt_rate(now)),
             wait_rate=round(demand.compute_wait_rate(now), 2),
             mean_prompt_tokens=round(demand.mean_prompt_tokens),
             mean_answer_tokens=round(demand.mean_answer_tokens),
             mean_residence_s=round(demand.estimate_residence(now), 2),
-            prefill_rate=round(reading.model.rate) if reading.fitted else 0.0,
-            prefill_overhead_s=round(reading.model.overhead, 3),
-            decode_prefill_rate=round(whole.model.rate) if whole.fitted else 0.0,
+            prefill_rate=round(prefill.model.rate) if prefill.fitted else 0.0,
+            prefill_overhead_s=round(prefill.model.overhead, 3),
+            decode_prefill_rate=round(decode.model.rate) if decode.fitted else 0.0,
         )
 
-    def take_paces(self, reports: Mapping[str, DemandReport]) -> None:
-        """Take over what another VM has found of the engines, where this one knows nothing yet."""
+    def apply_prefill_models(self, reports: Mapping[str, DemandReport]) -> None:
+        """Adopt another VM's prefill models for services for which this VM has none yet."""
         for service, report in reports.items():
             if report.prefill_rate:
-                self.paces.get_prefill(ServiceName(service)).adopt(
+                self.prefill_models.get_prefill(ServiceName(service)).adopt(
                     PrefillModel(report.prefill_overhead_s, report.prefill_rate)
                 )
 
-    def report_demands(self) -> dict[str, DemandReport]:
-        """Return what this VM's streams ask of each service with engines."""
-        return {name: self.report_demand(name) for name in self._demands}
+    def make_demand_reports(self) -> dict[str, DemandReport]:
+        """Return this VM's demand on each service with engines, as sent to other VMs."""
+        return {name: self.make_demand_report(name) for name in self._demands}
 
     # --- callers -----------------------------------------------------------------------------------------------------
 
     def serve(self, incoming: IncomingRequest, responder: Responder) -> RequestHandler | None:
-        """Serve one caller's request."""
+        """Start the exchange of a caller's request, or refuse it and return None."""
         facts = self.dialect.read_request(incoming.headers)
         if isinstance(facts, BadRequest):
             self._refuse(responder, _Refusal(facts.status, facts.detail), "")
             return None
-        place = self._find_place(incoming, facts)
-        if isinstance(place, _Refusal):
-            self._refuse(responder, place, facts.id)
+        destination = self._find_destination(incoming, facts)
+        if isinstance(destination, _Refusal):
+            self._refuse(responder, destination, facts.id)
             return None
-        self.find_budget(place.service.name).record_request(self.clock.now())
-        if place.service.engine is not None:
-            answer = self.find_lengths(place.service.name).compute_mean_tokens(facts)
-            self.find_demand(place.service.name).record_prompt(facts.prompt_tokens, answer, self.clock.now())
+        self.get_retry_budget(destination.service.name).record_request(self.clock.now())
+        if destination.service.engine is not None:
+            answer = self.get_output_lengths(destination.service.name).compute_mean_tokens(facts)
+            self.get_demand(destination.service.name).record_prompt(facts.prompt_tokens, answer, self.clock.now())
         exchange = RelayExchange(
             self,
             incoming,
             responder,
             facts,
-            place.route,
-            place.service,
-            place.admitted,
-            place.fingerprint,
-            place.regions,
+            destination.route,
+            destination.service,
+            destination.admitted,
+            destination.fingerprint,
+            destination.regions,
         )
         self.exchanges.add(exchange)
         exchange.start()
         return exchange
 
-    def _find_place(self, incoming: IncomingRequest, facts: RequestFacts) -> _Place | _Refusal:
-        """Return where a request is to be served, or why it is not."""
+    def _find_destination(self, incoming: IncomingRequest, facts: RequestFacts) -> _Destination | _Refusal:
+        """Return the destination of a request, or why it is refused."""
         if self.stopping:
-            return _Refusal(503, "this VM stops", STOPPING_RETRY)
+            return _Refusal(503, "this VM stops", STOPPING_RETRY_S)
         table = self.table
         if table is None or not self.ready:
-            return _Refusal(503, "no configuration is known yet", UNREADY_RETRY)
+            return _Refusal(503, "no configuration is known yet", UNREADY_RETRY_S)
         route = table.find_route(incoming.host, incoming.path)
         if route is None:
             return _Refusal(404, f"no route, by version {table.version}")
         service = table.services.get(route.choose_service(facts.identity))
         if service is None:
-            return _Refusal(503, "the route's service is not configured", UNREADY_RETRY)
+            return _Refusal(503, "the route's service is not configured", UNREADY_RETRY_S)
         decision = self.admission.decide(facts, route, table, self.clock.now())
         if not isinstance(decision, Admitted):
             return _make_refusal(decision, table.version)
-        regions = table.find_regions(route, decision.workspace)
+        regions = table.get_allowed_regions(route, decision.workspace)
         refusal = None if regions is None else self._refuse_by_regions(regions, table.version)
         fingerprint = compute_fingerprint(incoming, decision.workspace)
-        refusal = refusal or self._refuse_held(fingerprint)
+        refusal = refusal or self._refuse_quarantined(fingerprint)
         if refusal is not None:
             self.admission.refund(decision, self.clock.now())
-        return refusal or _Place(route, service, decision, regions, fingerprint)
+        return refusal or _Destination(route, service, decision, regions, fingerprint)
 
-    def _refuse_held(self, fingerprint: Fingerprint) -> _Refusal | None:
-        """Return how a request is refused that ends what runs it, None where it does not."""
+    def _refuse_quarantined(self, fingerprint: Fingerprint) -> _Refusal | None:
+        """Return the refusal of a request in quarantine, or None if it is not in quarantine."""
         hold = self.quarantine.get_entry(fingerprint, self.clock.now())
         if hold is None:
             return None
@@ -572,12 +583,12 @@
         )
 
     def _refuse_by_regions(self, regions: frozenset[RegionName], version: int) -> _Refusal | None:
-        """Return how a request is refused that no hall may serve, or None where one may.
+        """Return the refusal of a request that no hall may serve, or None if one may.
 
-        403 is told only where nothing but another configuration can mend it and this VM is sure to have the newest:
-        a 4xx to a request that another version allows is worse than a repeat.
+        Responds with 403 only if this VM certainly has the newest configuration and only a change of it would help;
+        otherwise with 503, so that a caller retries a request that a newer version allows.
         """
-        if regions and self.places.has_any(regions):
+        if regions and self.topology.has_hall_in(regions):
             return None
         if regions:
             self.tally.count("residency_refusals_total", "no_hall")
@@ -586,25 +597,25 @@
         detail = f"route and workspace allow no region in common, by version {version}"
         if self.admission.may_be_outdated():
             self.tally.count("residency_refusals_total", "maybe_never")
-            return _Refusal(503, f"{detail}, and there may be a newer one", BEHIND_RETRY)
+            return _Refusal(503, f"{detail}, and there may be a newer one", OUTDATED_RETRY_S)
         self.tally.count("residency_refusals_total", "never")
         return _Refusal(403, detail)
 
-    def end_waits(self, fingerprint: Fingerprint) -> None:
-        """Have all who wait with a request that is held now be told so."""
+    def advance_waiting(self, fingerprint: Fingerprint) -> None:
+        """Advance the exchanges of a request that has been put in quarantine, to respond to them now."""
         for exchange in list(self.exchanges):
             if exchange.fingerprint == fingerprint:
                 exchange.advance()
 
-    def is_return(self, route: Route, time_left: float | None) -> bool:
-        """Tell whether a caller seems to have asked before: others of its route began with clearly more time."""
-        if time_left is None or Mechanism.RETURNS in self.without:
+    def is_caller_retry(self, route: Route, time_left: float | None) -> bool:
+        """Return whether a request is probably a retry: its deadline is clearly shorter than others on its route."""
+        if time_left is None or Mechanism.CALLER_RETRIES in self.disabled:
             return False
-        longest = self._patience[route.name] = max(time_left, self._patience.get(route.name, 0.0))
-        return time_left < RETURN_SHARE * longest
+        longest = self._longest_time_left[route.name] = max(time_left, self._longest_time_left.get(route.name, 0.0))
+        return time_left < RETRY_TIME_LEFT_SHARE * longest
 
-    def note_refused(self, status: int, detail: str) -> None:
-        """Note a request that could not be read."""
+    def record_bad_request(self, status: int, detail: str) -> None:
+        """Count and log a malformed request."""
         self.tally.count("requests_total", f"bad_{status}")
         self.journal.write("CALLER", "bad request", status=status, detail=detail)
 
@@ -622,7 +633,11 @@
         case OverQuota():
             return _Refusal(429, f"the quota of workspace {decision.workspace} is spent", decision.retry_after)
         case Undecided():
-            return _Refusal(503, f"the API key is not in version {version}, and there may be a newer one", BEHIND_RETRY)
+            return _Refusal(
+                503,
+                f"the API key is not in version {version}, and there may be a newer one",
+                OUTDATED_RETRY_S,
+            )
         case _:
             return _Refusal(401, f"the API key is missing or unknown, by version {version}")
 
--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -1,4 +1,4 @@
-"""Put one VM's relay together, and take it through start, reload and planned stop."""
+"""Assembly of one VM's relay, with its start, reload and planned stop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
 from beamhatch.relay.choosing.sponsor_gate import SponsorGate
 from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
-from beamhatch.relay.core import Core, Terms
+from beamhatch.relay.core import Core, ReloadableSettings
 from beamhatch.relay.engines.leadership import Leadership
 from beamhatch.relay.engines.ordering import PhaseController
 from beamhatch.relay.fleet.departure_talk import DepartureGossip
@@ -23,10 +23,10 @@
 from beamhatch.relay.fleet.membership import Member, Membership
 from beamhatch.relay.fleet.store_watcher import DirectivesWatcher, ListingWatcher, StoreWatcher
 from beamhatch.relay.limits.talk import LimitGossip
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Address, CallerLimits
-from beamhatch.relay.places import Places
 from beamhatch.relay.quarantine.persistence import QuarantinePersistence
+from beamhatch.relay.topology import Topology
 from beamhatch.relay.upstreams.http_client import HttpClient
 from beamhatch.relay.upstreams.listing import DEFAULT_DRAIN_S, GONE_GRACE_SHARE, Listing
 from beamhatch.relay.workspaces.quota import DemandAllocator, EqualAllocator, QuotaTerms
@@ -42,34 +42,31 @@
     from beamhatch.relay.requests.budget import RetryBudgetLimits
     from beamhatch.relay.workspaces.quota import QuotaAllocator, QuotaLimitChange
 
-BACKLOG = 1024
-"""Connections that the kernel keeps until they are accepted: a second of the largest bursts."""
+LISTEN_BACKLOG = 1024
+"""Maximum number of connections that the kernel queues until they are accepted."""
 
-IDLE_CLOSE_DELAY = 2.6
-"""Seconds behind the begin of a planned stop after which idle connections are closed: by then no new ones come."""
+IDLE_CLOSE_DELAY_S = 2.6
+"""Time after the start of a planned stop at which idle connections are closed, when no new ones are expected."""
 
-START_PATIENCE = 0.5
-"""Seconds for which a new VM waits for its peers to tell it what they have, before it asks the store.
+STARTUP_PEER_TIMEOUT_S = 0.5
+"""Time for which a new VM waits for data from its peers before it reads the store; seeds read it at once."""
 
-VMs that are seeds of the others ask the store at once.
-"""
+STOP_CHECK_INTERVAL_S = 0.05
+"""Interval of checks during a planned stop."""
 
-STOP_INTERVAL = 0.05
-"""Seconds between two looks during a planned stop."""
+STOP_MARGIN_S = 0.6
+"""Time before the end of the grace period at which open requests are cut."""
 
-STOP_MARGIN = 0.6
-"""Seconds before the end of the time for a planned stop at which what is left is cut."""
+MAX_ACCEPT_REQUESTS_S = 2.85
+"""Time for which a stopping VM accepts requests; the platform allows to cut long ones only if sent within 3 s."""
 
-LAST_TAKEN = 2.85
-"""Seconds for which a stopping VM takes requests; the platform lets long ones be cut only if sent within 3 s."""
-
-LONGEST_LISTEN = 3.2
-"""Seconds for which a stopping VM goes on to accept connections."""
+MAX_LISTEN_S = 3.2
+"""Time for which a stopping VM accepts connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """What one VM's relay needs to know."""
+    """Settings of the relay on one VM."""
 
     vm: str
     hall: str
@@ -78,30 +75,30 @@
     ready_path: str
     store_address: Address
     grace: float
-    """Seconds that a planned stop may take."""
-    budget: RetryBudgetLimits
+    """Grace period: seconds that a planned stop may take."""
+    retry_budget: RetryBudgetLimits
     quota: QuotaTerms = field(default_factory=QuotaTerms)
     peer_address: Address | None = None
     seeds: list[str] = field(default_factory=list)
-    turn_time: float = 3.0
-    """Seconds that have to pass between the orders of two VMs."""
-    places: Places = field(default_factory=Places)
+    handover_time: float = 3.0
+    """Minimum seconds between orders of two different VMs."""
+    topology: Topology = field(default_factory=Topology)
     cold_overage: float = 1.0
-    """Times the rate that a cold upstream bears which may reach it in one second."""
+    """Factor on the rate limit of a cold upstream that gives the requests it may receive in one second."""
     cold_slack: float = 0.0
-    """Requests on top of that."""
+    """Requests per second in addition to that."""
     drain_time: float = DEFAULT_DRAIN_S
-    """Seconds behind the end of its entry in which an upstream may still be sent requests."""
-    strength: float = 0.0
-    """Mbit/s of the VM's link: of the VMs of a hall, the stronger ones watch the store for the others."""
-    without: Without = ALL_IN
-    """Mechanisms that are left out, to measure what they are worth."""
+    """Seconds after the end of its entry for which an upstream may still be sent requests."""
+    link_mbit_per_s: float = 0.0
+    """Bandwidth of the VM's link; the VMs of a hall with the highest one watch the store for the others."""
+    disabled: DisabledMechanisms = NONE_DISABLED
+    """Mechanisms that are disabled, to measure their effect."""
     metrics_address: Address | None = None
     metrics_path: str = "/metrics"
 
 
 class Daemon:
-    """One VM's relay."""
+    """Relay process of one VM."""
 
     def __init__(
         self,
@@ -118,41 +115,43 @@
         self.journal = journal
         self.tally = tally
         client = HttpClient(clock)
-        standings = UpstreamStatsRegistry()
-        paces = PrefillEstimators(enabled=Mechanism.LEARNED_PACES not in settings.without)
-        work = PeerBacklog()
+        stats = UpstreamStatsRegistry()
+        prefill_models = PrefillEstimators(enabled=Mechanism.LEARNED_PREFILL_RATES not in settings.disabled)
+        peer_backlog = PeerBacklog()
         self.core = Core(
             clock=clock,
             journal=journal,
             tally=tally,
             dialect=dialect,
             client=client,
-            chooser=LeastCostChooser(standings, settings.hall, paces, work, settings.without, settings.places),
-            standings=standings,
-            paces=paces,
-            without=settings.without,
-            work=work,
-            terms=Terms(settings.budget),
+            chooser=LeastCostChooser(
+                stats, settings.hall, prefill_models, peer_backlog, settings.disabled, settings.topology
+            ),
+            stats=stats,
+            prefill_models=prefill_models,
+            disabled=settings.disabled,
+            peer_backlog=peer_backlog,
+            settings=ReloadableSettings(settings.retry_budget),
             listing=Listing(gone_grace_s=GONE_GRACE_SHARE * settings.drain_time),
-            started=clock.now(),
-            places=settings.places,
+            started_at=clock.now(),
+            topology=settings.topology,
         )
-        self.callers = CallerServer(clock, self.core.serve, self.core.find_limits, self.core.note_refused)
+        self.callers = CallerServer(clock, self.core.serve, self.core.get_caller_limits, self.core.record_bad_request)
         self._gossip = self._make_gossip(documents)
         self._watchers = self._make_watchers(store)
         if self._gossip is not None:
-            self._gossip.is_store_unreachable = self._is_turned_away
-        keeping = QuarantinePersistence(self.core, store)
-        self.core.quarantine_talk.on_quarantined = keeping.add
-        self.core.quarantine_talk.on_clear = keeping.remove
-        self._usage = self._make_usage()
-        if self._gossip is not None and Mechanism.TOLD_DEPARTURES not in settings.without:
+            self._gossip.is_store_unreachable = self._is_store_unreachable
+        persistence = QuarantinePersistence(self.core, store)
+        self.core.quarantine_gossip.on_quarantined = persistence.add
+        self.core.quarantine_gossip.on_clear = persistence.remove
+        self._usage_gossip = self._make_usage_gossip()
+        if self._gossip is not None and Mechanism.SHARED_DEPARTURES not in settings.disabled:
             departures = DepartureGossip(clock, self.core.announcements)
             departures.list_connections = self._gossip.list_connections
             self.core.announcements.on_departure = departures.send_soon
             self._gossip.departures = departures
         limits = self.core.announcements.limits
-        limits.shared = Mechanism.SHARED_LIMITS not in settings.without
+        limits.shared = Mechanism.SHARED_LIMITS not in settings.disabled
         if self._gossip is not None:
             limits.own_address = self._gossip.membership.own.address
             limits.get_reachable_share = self._gossip.get_reachable_share
@@ -160,35 +159,37 @@
             self._gossip.limits.list_connections = self._gossip.list_connections
             self._gossip.limits.forwards_counts = self._gossip.is_aggregator
         self.core.eligibility.gate = self._make_cold_gate()
-        self.core.admission.may_be_outdated = self._may_be_behind
+        self.core.admission.may_be_outdated = self._may_be_outdated
         self.leadership: Leadership | None = None
-        self._ordering: PhaseController | None = None
+        self._phase_controller: PhaseController | None = None
         if self._gossip is not None:
             self.leadership = Leadership(self.core, store, settings.vm, self._gossip.membership.count_higher_ranked)
-            self.leadership.lease.handover_time = settings.turn_time
-            self.leadership.on_store_recovered = self._renew_watches
-            self.leadership.on_quarantines = self.core.quarantine_talk.apply_stored
-            self.leadership.on_quarantines_restored = self.core.quarantine_talk.apply_restored
-            self._ordering = PhaseController(self.core, self.leadership, settings.vm, self._gossip.estimate_demand)
+            self.leadership.lease.handover_time = settings.handover_time
+            self.leadership.on_store_recovered = self._restart_watches
+            self.leadership.on_quarantines = self.core.quarantine_gossip.apply_stored
+            self.leadership.on_quarantines_restored = self.core.quarantine_gossip.apply_restored
+            self._phase_controller = PhaseController(
+                self.core, self.leadership, settings.vm, self._gossip.estimate_demand
+            )
         self._ports: list[Any] = []
         self._caller_port: Any = None
         self._stopping_since: float | None = None
         tally.gauges["open_requests"] = lambda: float(len(self.core.exchanges))
         tally.gauges["emptied_halls"] = lambda: float(len(self.core.eligibility.evacuations.list_evacuated()))
-        tally.gauges["requests_in_emptied_halls"] = lambda: float(self.core.count_in_emptied())
+        tally.gauges["requests_in_emptied_halls"] = lambda: float(self.core.count_requests_in_evacuated())
         tally.gauges["configuration_version"] = lambda: float(self.core.version)
-        tally.gauges["known_vms"] = lambda: float(self.core.vms)
+        tally.gauges["known_vms"] = lambda: float(self.core.vm_count)
         tally.gauges["held_requests"] = lambda: float(self.core.quarantine.count(clock.now()))
         tally.gauges["leaving_by_own_word"] = lambda: float(len(self.core.announcements.list_unstored()))
         tally.gauges["resting_upstreams"] = lambda: float(self.core.announcements.backoffs.count_active(clock.now()))
         tally.gauges["limit_share"] = lambda: self.core.announcements.limits.get_reachable_share()
         tally.gauges["limited_upstreams"] = lambda: float(self.core.announcements.limits.count_limited())
-        tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_watch.cold))
+        tally.gauges["cold_upstreams"] = lambda: float(len(self.core.cold_transitions.cold))
         tally.gauges["connections_opened"] = lambda: float(client.opened_count)
         tally.gauges["log_lines_left_out"] = lambda: float(journal.left_out)
 
     def start(self) -> None:
-        """Listen, and begin to learn what there is."""
+        """Open the listening ports and start the background tasks."""
         settings = self.settings
         self._caller_port = self._listen(settings.caller_address, self.callers)
         self._ports.append(self._listen(settings.ready_address, self._make_status_server(settings.ready_path)))
@@ -197,21 +198,21 @@
         self.core.client.start()
         if self._gossip is not None:
             self.core.on_change = self._gossip.send_heartbeats_soon
-            self.core.on_fault = self._gossip.send_heartbeats_soon
-            self.core.on_work = self._gossip.send_backlog_soon
+            self.core.on_failure = self._gossip.send_heartbeats_soon
+            self.core.on_backlog_change = self._gossip.send_backlog_soon
             self._gossip.start()
         for watcher in self._watchers:
             watcher.start()
-        self._usage.start()
-        if self.leadership is not None and self._ordering is not None:
+        self._usage_gossip.start()
+        if self.leadership is not None and self._phase_controller is not None:
             self.leadership.start()
-            if Mechanism.ORDERS not in settings.without:
-                self._ordering.start()
+            if Mechanism.PHASE_CHANGES not in settings.disabled:
+                self._phase_controller.start()
         gc.collect()
-        gc.freeze()  # what was loaded stays: later collections need not look through it
+        gc.freeze()  # objects that live as long as the process are exempt from later collections
         self.journal.write("MAIN", "started", store=str(settings.store_address), seeds=settings.seeds)
 
-    def _renew_watches(self) -> None:
+    def _restart_watches(self) -> None:
         for watcher in self._watchers:
             watcher.restart_watch()
 
@@ -221,9 +222,9 @@
         return int(self._caller_port.getHost().port)
 
     def reload(self, settings: RelaySettings) -> None:
-        """Take changed settings as far as a running process can: bounds, seeds and where halls lie."""
-        self.core.terms.budget = settings.budget
-        self.core.take_places(settings.places)
+        """Apply the settings that can change at runtime: limits, quota terms, topology, seeds and grace period."""
+        self.core.settings.retry_budget = settings.retry_budget
+        self.core.apply_topology(settings.topology)
         if self.core.admission.allocator is not None:
             self.core.admission.allocator.set_terms(settings.quota)
         if isinstance(self.core.eligibility.gate, CountingGate):
@@ -236,7 +237,7 @@
     # --- planned stop ------------------------------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Begin a planned stop: no longer ready, but everything that arrives is served."""
+        """Begin a planned stop: report not ready, but serve requests for a while longer."""
         if self._stopping_since is not None:
             return
         self._stopping_since = self.clock.now()
@@ -244,33 +245,33 @@
         if self.leadership is not None:
             self.leadership.stop()
         self.journal.write("STOP", "begun", open_requests=len(self.core.exchanges))
-        self.clock.call_later(IDLE_CLOSE_DELAY, self.callers.close_idle)
-        self.clock.call_later(STOP_INTERVAL, self._go_on_stopping)
+        self.clock.call_later(IDLE_CLOSE_DELAY_S, self.callers.close_idle)
+        self.clock.call_later(STOP_CHECK_INTERVAL_S, self._continue_stop)
 
-    def _go_on_stopping(self) -> None:
+    def _continue_stop(self) -> None:
         assert self._stopping_since is not None
         elapsed = self.clock.now() - self._stopping_since
-        if elapsed > self.settings.grace - STOP_MARGIN:
+        if elapsed > self.settings.grace - STOP_MARGIN_S:
             for exchange in list(self.core.exchanges):
                 exchange.abort("this VM stops")
-            self.clock.call_later(STOP_INTERVAL, self._end, elapsed)
+            self.clock.call_later(STOP_CHECK_INTERVAL_S, self._finish_stop, elapsed)
             return
-        self.core.stopping = elapsed > LAST_TAKEN
-        if elapsed > LONGEST_LISTEN:
+        self.core.stopping = elapsed > MAX_ACCEPT_REQUESTS_S
+        if elapsed > MAX_LISTEN_S:
             if self._caller_port is not None:
                 port, self._caller_port = self._caller_port, None
                 port.stopListening()
             self.callers.close_idle()
             if not self.core.exchanges and not self.callers.connections:
-                self._end(elapsed)
+                self._finish_stop(elapsed)
                 return
-        self.clock.call_later(STOP_INTERVAL, self._go_on_stopping)
+        self.clock.call_later(STOP_CHECK_INTERVAL_S, self._continue_stop)
 
-    def _end(self, elapsed: float) -> None:
+    def _finish_stop(self, elapsed: float) -> None:
         self.journal.write("STOP", "ended", seconds=round(elapsed, 2), cut=len(self.core.exchanges))
         for watcher in self._watchers:
             watcher.stop()
-        self._usage.stop()
+        self._usage_gossip.stop()
         if self._gossip is not None:
             self._gossip.stop()
         self.journal.flush()
@@ -282,44 +283,44 @@
         settings = self.settings
         if settings.peer_address is None:
             return None
-        own = Member(str(settings.peer_address), settings.hall, settings.strength)
+        own = Member(str(settings.peer_address), settings.hall, settings.link_mbit_per_s)
         return Gossip(self.core, documents, settings.vm, Membership(own, settings.seeds))
 
-    def _make_usage(self) -> UsageGossip:
-        """Return what keeps the quotas of workspaces over all VMs."""
+    def _make_usage_gossip(self) -> UsageGossip:
+        """Return the exchange of workspaces' usage between VMs, and set the allocator of their quotas."""
         settings = self.settings
         gossip = self._gossip
-        news = UsageTracker(settings.vm, settings.hall)
-        share: QuotaAllocator
-        if Mechanism.SHARED_QUOTAS in settings.without:
-            share = EqualAllocator(news, self._count_vms, settings.quota, self.core.started)
+        tracker = UsageTracker(settings.vm, settings.hall)
+        allocator: QuotaAllocator
+        if Mechanism.SHARED_QUOTAS in settings.disabled:
+            allocator = EqualAllocator(tracker, self._count_vms, settings.quota, self.core.started_at)
         else:
-            share = DemandAllocator(
-                news, self._count_vms, settings.quota, self.core.started, on_limit_change=self._report_limit
+            allocator = DemandAllocator(
+                tracker, self._count_vms, settings.quota, self.core.started_at, on_limit_change=self._log_quota_limit
             )
-        self.core.admission.allocator = share
+        self.core.admission.allocator = allocator
         connections = gossip.list_connections if gossip is not None else list
-        adds_up = gossip.membership.is_watcher if gossip is not None else _is_always_due
-        usage = UsageGossip(self.core, share, connections, adds_up)
+        is_aggregator = gossip.membership.is_watcher if gossip is not None else _always
+        usage = UsageGossip(self.core, allocator, connections, is_aggregator)
         if gossip is not None:
             gossip.usage = usage
         return usage
 
     def _make_cold_gate(self) -> CountingGate:
-        """Return what keeps the bound of cold upstreams over all VMs."""
+        """Return the gate that enforces the limit on cold upstreams across all VMs."""
         settings = self.settings
-        kind = RoundRobinGate if Mechanism.SPONSORS in settings.without else SponsorGate
+        gate_type = RoundRobinGate if Mechanism.SPONSORS in settings.disabled else SponsorGate
         if self._gossip is None:
             vms = KnownVms(settings.vm, lambda now: [], lambda: False)
         else:
             membership = self._gossip.membership
             vms = KnownVms(membership.own.address, membership.list_recent_addresses, lambda: membership.may_have_peers)
-        return kind(vms, _make_cold_bound(settings), self.core.started, self.core.listing.get_cold_until)
+        return gate_type(vms, _make_cold_bound(settings), self.core.started_at, self.core.listing.get_cold_until)
 
     def _count_vms(self) -> int:
         return 1 if self._gossip is None else self._gossip.membership.size
 
-    def _report_limit(self, change: QuotaLimitChange) -> None:
+    def _log_quota_limit(self, change: QuotaLimitChange) -> None:
         self.tally.count("quota_limits_total", "begun" if change.granted_share < 1 else "ended")
         self.journal.write(
             "QUOTA",
@@ -331,29 +332,29 @@
             vms=change.vms,
         )
 
-    def _may_be_behind(self) -> bool:
-        """Tell whether there may be a newer configuration: peers told of one, or nobody can tell."""
-        hears_peers = False
+    def _may_be_outdated(self) -> bool:
+        """Return whether a peer announced a newer configuration, or one may exist as no peer or store is connected."""
+        has_peers = False
         if self._gossip is not None:
             if self._gossip.newest_version > self.core.version:
                 return True
-            hears_peers = self._gossip.has_peers()
-        return not hears_peers and not all(watcher.connected for watcher in self._watchers)
+            has_peers = self._gossip.has_peers()
+        return not has_peers and not all(watcher.connected for watcher in self._watchers)
 
     def _make_watchers(self, store: Store) -> list[StoreWatcher]:
-        alone = self._gossip is None or Mechanism.FEW_WATCHERS in self.settings.without
-        is_due = _is_always_due if alone or self._gossip is None else self._gossip.should_watch_store
-        hears_peers = _hears_nobody if self._gossip is None else self._gossip.has_peers
-        first = self.settings.peer_address is None or str(self.settings.peer_address) in self.settings.seeds
-        patience = 0.0 if first or not self.settings.seeds else START_PATIENCE
-        kinds = (DirectivesWatcher, ListingWatcher)
-        return [watcher(self.core, store, is_due, hears_peers, patience) for watcher in kinds]
-
-    def _is_turned_away(self) -> bool:
+        alone = self._gossip is None or Mechanism.FEW_WATCHERS in self.settings.disabled
+        should_watch = _always if alone or self._gossip is None else self._gossip.should_watch_store
+        has_peers = _has_no_peers if self._gossip is None else self._gossip.has_peers
+        is_seed = self.settings.peer_address is None or str(self.settings.peer_address) in self.settings.seeds
+        peer_timeout = 0.0 if is_seed or not self.settings.seeds else STARTUP_PEER_TIMEOUT_S
+        watcher_types = (DirectivesWatcher, ListingWatcher)
+        return [watcher(self.core, store, should_watch, has_peers, peer_timeout) for watcher in watcher_types]
+
+    def _is_store_unreachable(self) -> bool:
         return any(watcher.is_store_unreachable() for watcher in self._watchers)
 
     def _listen(self, address: Address, factory: Any) -> Any:
-        return self.clock.reactor.listenTCP(address.port, factory, backlog=BACKLOG, interface=address.host)
+        return self.clock.reactor.listenTCP(address.port, factory, backlog=LISTEN_BACKLOG, interface=address.host)
 
     def _make_status_server(self, ready_path: str) -> CallerServer:
         def serve(incoming: IncomingRequest, responder: Responder) -> None:
@@ -379,9 +380,9 @@
     return ColdLimit(settings.cold_overage, settings.cold_slack)
 
 
-def _is_always_due() -> bool:
+def _always() -> bool:
     return True
 
 
-def _hears_nobody() -> bool:
+def _has_no_peers() -> bool:
     return False
--- a/src/beamhatch/relay/engines/fleet_demand.py
+++ b/src/beamhatch/relay/engines/fleet_demand.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from beamhatch.relay.model import Engine, ServiceName
+    from beamhatch.relay.model import EngineSpec, ServiceName
 
 
 class FleetDemand(PeerValues[Mapping[str, DemandReport]]):
@@ -24,7 +24,7 @@
     __slots__ = ()
 
     def compute_service_demand(
-        self, service: ServiceName, engine: Engine, own: DemandReport, vm_count: int, now: float
+        self, service: ServiceName, engine: EngineSpec, own: DemandReport, vm_count: int, now: float
     ) -> ServiceDemand:
         """Return the demand of all VMs on a service, extrapolated to VMs without a report.
 
@@ -38,7 +38,7 @@
         return ServiceDemand(prompt_rate, wait_rate, _compute_parameters(engine, reports))
 
 
-def _compute_parameters(engine: Engine, reports: Sequence[DemandReport]) -> CapacityParameters:
+def _compute_parameters(engine: EngineSpec, reports: Sequence[DemandReport]) -> CapacityParameters:
     """Return means of the reported parameters, weighted by prompt rate, and medians of the prefill rates."""
     weights = [report.prompt_rate for report in reports]
     total = sum(weights)
--- a/src/beamhatch/relay/engines/leadership.py
+++ b/src/beamhatch/relay/engines/leadership.py
@@ -16,7 +16,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.relay.api import Claimed, LeadershipNews, StoreLost
+from beamhatch.relay.api import LeadershipClaim, LeadershipState, StoreUnavailable
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -121,7 +121,7 @@
     def __init__(self, core: Core, store: Store, vm: str, get_rank: Callable[[], int]) -> None:
         self.core = core
         self.lease = LeaseState()
-        self.claim: Claimed | None = None
+        self.claim: LeadershipClaim | None = None
         self._store = store
         self._vm = vm
         self._get_rank = get_rank
@@ -172,41 +172,41 @@
         while True:
             state = await self._store.read_leadership()
             self._track_store(state)
-            if isinstance(state, StoreLost):
+            if isinstance(state, StoreUnavailable):
                 await sleep(self.core.clock, RETRY_DELAY_S * random.uniform(0.7, 1.3))
                 continue
             self._last_order.record(state.last_order, self.core.clock.now(), may_be_lost=state.order_may_be_lost)
             if state.restored:
-                self.on_quarantines_restored(state.held, self._get_rank() == 0)
+                self.on_quarantines_restored(state.quarantined, self._get_rank() == 0)
             else:
-                self.on_quarantines(state.held)
+                self.on_quarantines(state.quarantined)
             if not last_order_reported:
                 last_order_reported = True
                 self.on_last_order(state.order)
-            if not state.taken and await self._claim_and_renew(state):
+            if not state.has_leader and await self._claim_and_renew(state):
                 await sleep(self.core.clock, RETRY_DELAY_S * random.uniform(0.7, 1.3))
                 continue  # read, not watch: the store may be unavailable, and a watch may block for long
             await self._await_change(state)
 
-    async def _await_change(self, state: LeadershipNews) -> None:
+    async def _await_change(self, state: LeadershipState) -> None:
         """Wait until the leadership state must be read again."""
         rank = self._get_rank()
         if rank >= CANDIDATE_COUNT:
             await self._sleep_by_rank()
             return
-        answer = await self._store.watch_leadership(state.at, WATCH_TIMEOUT_S)
-        delay = RETRY_DELAY_S if isinstance(answer, StoreLost) else CANDIDATE_STAGGER_S * rank
+        answer = await self._store.watch_leadership(state.revision, WATCH_TIMEOUT_S)
+        delay = RETRY_DELAY_S if isinstance(answer, StoreUnavailable) else CANDIDATE_STAGGER_S * rank
         await sleep(self.core.clock, delay * random.uniform(0.7, 1.3))
 
     async def _sleep_by_rank(self) -> None:
         """Wait for a time proportional to this VM's rank."""
         await sleep(self.core.clock, POLL_INTERVAL_S * self._get_rank() * random.uniform(0.7, 1.3))
 
-    async def _claim_and_renew(self, state: LeadershipNews) -> bool:
+    async def _claim_and_renew(self, state: LeadershipState) -> bool:
         """Claim the lease and renew it until it is lost; return whether the claim succeeded."""
         sent_at = self.core.clock.now()
         claim = await self._store.claim_leadership(self._vm, LEASE_TTL_S, state)
-        if not isinstance(claim, Claimed):
+        if not isinstance(claim, LeadershipClaim):
             return False
         self.claim = claim
         self.lease.begin(claim.revision, sent_at, self._last_order)
@@ -214,11 +214,11 @@
         while self.lease.holds(self.core.clock.now()):
             await sleep(self.core.clock, RENEW_INTERVAL_S)
             sent_at = self.core.clock.now()
-            renewed = await self._store.keep_leadership(claim, RENEW_TIMEOUT_S)
+            renewed = await self._store.renew_leadership(claim, RENEW_TIMEOUT_S)
             self._track_store(renewed)
             if renewed is True:
                 self.lease.renew(sent_at)
-            elif not isinstance(renewed, StoreLost):
+            elif not isinstance(renewed, StoreUnavailable):
                 break
         self.lease.end()
         self.claim = None
@@ -227,7 +227,7 @@
 
     def _track_store(self, answer: object) -> None:
         """Call ``on_store_recovered`` at the first answer after a failed call."""
-        lost = isinstance(answer, StoreLost)
+        lost = isinstance(answer, StoreUnavailable)
         if self._store_lost and not lost:
             self.on_store_recovered()
         self._store_lost = lost
--- a/src/beamhatch/relay/engines/ordering.py
+++ b/src/beamhatch/relay/engines/ordering.py
@@ -91,7 +91,9 @@
         if order and not resumed:
             self.core.journal.write("LEADER", "last order unreadable", order=order[:200])
         for upstream, phase in resumed:
-            self.core.take_change(upstream, PhaseChangeUpdate(phase, RESUMED_ORDER_TTL_S, confirmed=False), "store")
+            self.core.apply_phase_change(
+                upstream, PhaseChangeUpdate(phase, RESUMED_ORDER_TTL_S, confirmed=False), "store"
+            )
 
     def _evaluate_periodically(self) -> None:
         self.core.clock.call_later(EVALUATION_INTERVAL_S, self._evaluate_periodically)
@@ -107,10 +109,10 @@
                 self._evaluate(service, now)
 
     def _evaluate(self, service: Service, now: float) -> None:
-        listed = self.core.listing.list_expected(service.name, now, self.core.standings.list_unresponsive(now))
+        listed = self.core.listing.list_expected(service.name, now, self.core.stats.list_unresponsive(now))
         available = self.core.eligibility.evacuations.exclude_evacuated(listed)
         engines = [
-            one for one in self.core.changes.with_expected_phases(available, now) if one.phase is not Phase.PLAIN
+            one for one in self.core.phase_changes.with_expected_phases(available, now) if one.phase is not Phase.PLAIN
         ]
         leaving = self.core.listing.count_departed(service.name)
         if leaving > self._leaving_counts.get(service.name, 0):
@@ -118,8 +120,8 @@
         self._leaving_counts[service.name] = leaving
         demand = self._compute_demand(service)
         assert service.engine is not None
-        changing = {one.id for one in engines if self.core.changes.is_pending(one.id, now)}
-        evaluation = evaluate_changes(engines, demand, service.engine.switch_time, changing)
+        changing = {one.id for one in engines if self.core.phase_changes.is_pending(one.id, now)}
+        evaluation = evaluate_changes(engines, demand, service.engine.phase_change_time, changing)
         self._log_evaluation(service, demand, evaluation, now)
         if self._is_early_reversal(service, evaluation.phase, now):
             return
@@ -161,8 +163,8 @@
         return {
             one.id
             for one in self.core.list_usable(service.name)
-            if now >= self.core.standings.get(one.id).unresponsive_until
-            and not self.core.changes.is_pending(one.id, now)
+            if now >= self.core.stats.get(one.id).unresponsive_until
+            and not self.core.phase_changes.is_pending(one.id, now)
         }
 
     async def _order_all(self, changes: list[PhaseChange], demand: ServiceDemand) -> None:
@@ -180,15 +182,15 @@
             "LEADER", "orders", upstream=upstream.id, phase=phase, token=token, **describe_demand(demand)
         )
         self.core.tally.count("orders_total", change.phase.value)
-        call = self.core.dialect.make_order(upstream, change.phase, self._vm, token)
+        call = self.core.dialect.make_phase_change_call(upstream, change.phase, self._vm, token)
         ordered_at = self.core.clock.now()
-        self.core.eligibility.limits.record_request(upstream.life, ordered_at)
+        self.core.eligibility.limits.record_request(upstream.incarnation, ordered_at)
         answer = await fetch(self.core.client, self.core.clock, upstream.address, call, ORDER_TIMEOUT_S)
         answered = not isinstance(answer, str)
         if not isinstance(answer, str):
             self.core.announcements.handle_head(upstream, answer.head, ordered_at)
         if isinstance(answer, str) or answer.head.status == STATUS_ACCEPTED:
-            self.core.take_change(
+            self.core.apply_phase_change(
                 upstream.id, PhaseChangeUpdate(change.phase, MAX_CHANGE_S, confirmed=answered), "order"
             )
         outcome = answer if isinstance(answer, str) else f"status {answer.head.status}"
--- a/src/beamhatch/relay/fleet/evacuations.py
+++ b/src/beamhatch/relay/fleet/evacuations.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from beamhatch.relay.places import Places
+from beamhatch.relay.topology import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -40,7 +40,7 @@
 class Evacuations:
     """The evacuations that this VM knows of."""
 
-    places: Places = field(default_factory=Places)
+    places: Topology = field(default_factory=Topology)
     complete: bool = False
     """True once a full snapshot of the store's evacuations was applied, read by this VM or by a peer."""
     as_of: int = 0
--- a/src/beamhatch/relay/fleet/far_words.py
+++ b/src/beamhatch/relay/fleet/far_words.py
@@ -19,7 +19,7 @@
     from beamhatch.relay.engines.changing import PhaseChangeUpdate
     from beamhatch.relay.fleet.evacuations import Evacuation
     from beamhatch.relay.fleet.membership import Member
-    from beamhatch.relay.model import Life
+    from beamhatch.relay.model import Incarnation
 
 MIN_DEMAND_CHANGE = 0.25
 """Minimum relative change of a figure in a demand report for the report to be sent again."""
@@ -81,7 +81,7 @@
     _phase_changes: dict[str, tuple[PhaseChangeUpdate, float]] = field(default_factory=dict)
     _evacuations: dict[str, int] | None = None
     """Revision by hall, as last sent; None if the next heartbeat is to include all evacuations."""
-    departures: set[Life] = field(default_factory=set)
+    departures: set[Incarnation] = field(default_factory=set)
     """Incarnations of departing upstreams that were sent to the peer or received from it."""
     known_addresses: set[str] = field(default_factory=set)
     """Addresses of the members that both ends know."""
--- a/src/beamhatch/relay/fleet/gossip.py
+++ b/src/beamhatch/relay/fleet/gossip.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from beamhatch.relay.api import Document, ListingNews
+from beamhatch.relay.api import Document, ListingUpdate
 from beamhatch.relay.engines.fleet_demand import FleetDemand
 from beamhatch.relay.fleet.far_words import EMPTY_HEARTBEAT
 from beamhatch.relay.fleet.gossip_message import (
@@ -109,12 +109,12 @@
         self.clock = core.clock
         self.journal = core.journal
         self.membership = membership
-        core.quarantine_talk.list_connections = self.list_connections
-        core.quarantine_talk.hall = membership.own.hall
-        core.quarantine_talk.forwards_updates = self.is_aggregator
+        core.quarantine_gossip.list_connections = self.list_connections
+        core.quarantine_gossip.hall = membership.own.hall
+        core.quarantine_gossip.forwards_updates = self.is_aggregator
         self._documents = documents
         self._vm = vm
-        self._traffic = PeerTraffic(core.tally, membership.own.hall, core.places)
+        self._traffic = PeerTraffic(core.tally, membership.own.hall, core.topology)
         self._connections: set[PeerConnection] = set()
         self._dialled_addresses: dict[str, PeerConnection | None] = {}
         """Addresses that this VM dialled, with the connection once it is established."""
@@ -166,7 +166,7 @@
 
     def should_watch_store(self) -> bool:
         """Return whether this VM should watch the store: on behalf of its hall, or because it has no peers."""
-        if self.membership.may_have_peers and self.clock.now() < self.core.started + STARTUP_DELAY_S:
+        if self.membership.may_have_peers and self.clock.now() < self.core.started_at + STARTUP_DELAY_S:
             return False
         return self.membership.is_watcher() or not self.has_peers()
 
@@ -223,9 +223,9 @@
         self._close_unresponsive(now)
         self.membership.drop_expired(now)
         self._fleet_demand.drop_expired(now)
-        self.core.work.drop_expired(now)
-        self.core.vms = self.membership.size
-        self.core.vms_lately = self.membership.count_recent(now)
+        self.core.peer_backlog.drop_expired(now)
+        self.core.vm_count = self.membership.size
+        self.core.recent_vm_count = self.membership.count_recent(now)
         self._dial(now)
         self._is_aggregator = self.membership.is_watcher()
         halls = {connection.hall for connection in self.list_connections()}
@@ -299,7 +299,7 @@
         self._backlog_throttle.request()
 
     def _send_backlog(self) -> None:
-        backlog = self.core.standings.get_pending_prefill_tokens()
+        backlog = self.core.stats.get_pending_prefill_tokens()
         if backlog == self._sent_backlog or self._stopped:
             return
         self._sent_backlog = backlog
@@ -321,7 +321,7 @@
 
         :param regular: whether peers in other halls are sent an empty heartbeat if nothing changed
         """
-        heartbeat = self._make_heartbeat(self.core.paces.pop_unsent())
+        heartbeat = self._make_heartbeat(self.core.prefill_models.pop_unsent())
         for connection in list(self._connections):
             self._send_heartbeat(connection, heartbeat, regular=regular)
 
@@ -351,7 +351,7 @@
     def estimate_demand(self, service: Service) -> ServiceDemand:
         """Estimate the demand of all VMs for a service, extrapolated from recent reports."""
         assert service.engine is not None
-        own = self.core.report_demand(service.name)
+        own = self.core.make_demand_report(service.name)
         now = self.clock.now()
         return self._fleet_demand.compute_service_demand(service.name, service.engine, own, self.membership.size, now)
 
@@ -384,7 +384,7 @@
         """Handle messages about upstreams and about requests that crash them; delegate all others."""
         match message:
             case QuarantineUpdate():
-                self.core.quarantine_talk.handle_message(connection, message)
+                self.core.quarantine_gossip.handle_message(connection, message)
             case DepartureUpdate():
                 if self.departures is not None:
                     self.departures.handle_update(connection, message)
@@ -403,14 +403,14 @@
                 raw = unpack_configuration(message)
                 table = self._documents.read_configuration(raw)
                 if table is not None:
-                    self.core.take_document(Document(raw, table), f"peer {connection.vm}")
+                    self.core.apply_document(Document(raw, table), f"peer {connection.vm}")
             case ListingRequest():
                 if self.core.listing.complete:
                     entries = self.core.listing.list_since(message.after, self.clock.now())
                     connection.send(ListingPart(message.after, self.core.listing.newest_revision, entries))
             case ListingPart():
-                update = ListingNews(message.entries, message.revision)
-                self.core.take_listing(update, f"peer {connection.vm}", whole=message.after == 0)
+                update = ListingUpdate(message.entries, message.revision)
+                self.core.apply_listing(update, f"peer {connection.vm}", is_snapshot=message.after == 0)
 
     def _send_configuration(self, connection: PeerConnection) -> None:
         document = self.core.document
@@ -433,9 +433,9 @@
         self.membership.record_reachable(message.member.address)
         for mention in message.known[:MAX_MENTIONS]:
             self.membership.record_alive(mention.member, mention.age, now)
-        self.core.vms = self.membership.size
+        self.core.vm_count = self.membership.size
         if is_new:
-            self.core.quarantine_talk.send_all(connection)
+            self.core.quarantine_gossip.send_all(connection)
             if self.departures is not None:
                 self.departures.send_pending(connection)
             if self.limits is not None:
@@ -449,21 +449,21 @@
         received.apply(message)
         if connection.vm:
             self._fleet_demand.record(connection.vm, received.demands, now)
-            self.core.take_paces(received.demands)
+            self.core.apply_prefill_models(received.demands)
             for reading in message.readings:
-                self.core.paces.record(reading)
+                self.core.prefill_models.record(reading)
         if connection.hall == self.membership.own.hall:
             self.membership.record_store_access(connection.address, store_unreachable=message.turned_away)
         self._apply_backlog(connection)
-        faulty = {} if Mechanism.PEER_FAULTS in self.core.without else message.faulty
+        faulty = {} if Mechanism.PEER_FAILURES in self.core.disabled else message.faulty
         for upstream, rate in faulty.items():
-            self.core.standings.get(UpstreamId(upstream)).apply_peer_failure_rate(rate, now)
+            self.core.stats.get(UpstreamId(upstream)).apply_peer_failure_rate(rate, now)
         self._apply_phase_changes(connection, message)
         if message.evacuations is not None:
             if message.evacuations_as_of < self.core.eligibility.evacuations.as_of:
                 connection.sent.reset_evacuations()  # an outdated peer may not know that an evacuation has ended
             source = f"peer {connection.vm}"
-            self.core.take_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, whole=True)
+            self.core.apply_evacuations(message.evacuations, source, as_of=message.evacuations_as_of, is_snapshot=True)
         self.newest_version = max(self.newest_version, received.version)
         if self._should_request("configuration", self.core.version, received.version):
             connection.send(ConfigurationRequest())
@@ -471,12 +471,12 @@
             connection.send(ListingRequest(self.core.revision))
 
     def _apply_backlog(self, connection: PeerConnection) -> None:
-        if connection.vm and Mechanism.PEER_WORK not in self.core.without:
-            self.core.work.record(connection.vm, connection.received.prefill_backlog, self.clock.now())
+        if connection.vm and Mechanism.PEER_BACKLOG not in self.core.disabled:
+            self.core.peer_backlog.record(connection.vm, connection.received.prefill_backlog, self.clock.now())
 
     def _apply_phase_changes(self, connection: PeerConnection, message: Heartbeat) -> None:
         for upstream, change in message.changing.items():
-            self.core.take_change(UpstreamId(upstream), change, f"peer {connection.vm}")
+            self.core.apply_phase_change(UpstreamId(upstream), change, f"peer {connection.vm}")
 
     def _should_request(self, what: str, own: int, theirs: int) -> bool:
         """Return whether to request a newer version from a peer now; a watcher first waits for the store to send it."""
@@ -499,10 +499,10 @@
         return Heartbeat(
             core.version,
             core.revision,
-            core.report_demands(),
-            core.standings.get_own_failure_rates(MIN_FAILURE_RATE, now),
-            core.changes.list_updates(now),
-            core.standings.get_pending_prefill_tokens(),
+            core.make_demand_reports(),
+            core.stats.get_own_failure_rates(MIN_FAILURE_RATE, now),
+            core.phase_changes.list_updates(now),
+            core.stats.get_pending_prefill_tokens(),
             list(readings),
             evacuations.list_updates() if evacuations.complete and not evacuations.has_overflowed else None,
             evacuations.as_of,
--- a/src/beamhatch/relay/fleet/gossip_message.py
+++ b/src/beamhatch/relay/fleet/gossip_message.py
@@ -11,7 +11,7 @@
 from beamhatch.relay.fleet.evacuations import Evacuation
 from beamhatch.relay.fleet.membership import Member, Mention
 from beamhatch.relay.limits.words import LimitState, RequestCount
-from beamhatch.relay.model import Life
+from beamhatch.relay.model import Incarnation
 from beamhatch.relay.quarantine.ends import CrashUpdate
 from beamhatch.relay.quarantine.quarantine import ClearUpdate, StoredQuarantineUpdate
 from beamhatch.relay.upstreams.listing import Entry
@@ -126,7 +126,7 @@
 class DepartureUpdate(msgspec.Struct, tag="departures", frozen=True):
     """Upstreams that announced their departure in a response and that the store does not list as departing yet."""
 
-    lives: list[Life]
+    lives: list[Incarnation]
 
 
 class LimitUpdate(msgspec.Struct, tag="limits", frozen=True, omit_defaults=True):
--- a/src/beamhatch/relay/fleet/peer_traffic.py
+++ b/src/beamhatch/relay/fleet/peer_traffic.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from beamhatch.observe.tally import Tally
     from beamhatch.relay.fleet.gossip_message import Message
-    from beamhatch.relay.places import Places
+    from beamhatch.relay.topology import Topology
 
 LENGTH_PREFIX_BYTES = 4
 """Size of the length prefix of each message."""
@@ -19,7 +19,7 @@
 class PeerTraffic:
     """The counters ``peer_bytes_total`` and ``peer_messages_total``, each labelled ``KIND DISTANCE``."""
 
-    def __init__(self, tally: Tally, hall: str, places: Places) -> None:
+    def __init__(self, tally: Tally, hall: str, places: Topology) -> None:
         """Create the counters.
 
         :param hall: the hall of this VM
@@ -34,7 +34,7 @@
         :param size: bytes of the encoded message, without its length prefix
         :param hall: the receiver's hall, empty if unknown
         """
-        distance = self._places.measure(self._hall, hall).name.lower() if hall else UNKNOWN_DISTANCE
+        distance = self._places.get_distance(self._hall, hall).name.lower() if hall else UNKNOWN_DISTANCE
         label = f"{type(message).__struct_config__.tag} {distance}"
         self._tally.add("peer_bytes_total", label, size + LENGTH_PREFIX_BYTES)
         self._tally.count("peer_messages_total", label)
--- a/src/beamhatch/relay/fleet/store_watcher.py
+++ b/src/beamhatch/relay/fleet/store_watcher.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.relay.api import DirectiveNews, HistoryGone, ListingNews, StoreLost
+from beamhatch.relay.api import DirectiveUpdate, ListingUpdate, RevisionExpired, StoreUnavailable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -64,7 +64,7 @@
         self._has_peers = has_peers
         self._peer_timeout = peer_timeout
         self._running: defer.Deferred[None] | None = None
-        self._waiting: defer.Deferred[int | StoreLost | HistoryGone] | None = None
+        self._waiting: defer.Deferred[int | StoreUnavailable | RevisionExpired] | None = None
         self._renewing = False
         self.connected = True
         """Whether the store answered the last call; True before the first one."""
@@ -97,11 +97,11 @@
         """Return whether this VM has the data, from the store or from a peer."""
 
     @abstractmethod
-    async def read(self) -> int | StoreLost:
+    async def read(self) -> int | StoreUnavailable:
         """Read and apply all data; return the revision at which it was read."""
 
     @abstractmethod
-    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+    async def watch(self, after: int) -> int | StoreUnavailable | RevisionExpired:
         """Wait for changes after a revision and apply them; return the revision up to which they were read."""
 
     async def _run(self) -> None:
@@ -112,7 +112,7 @@
                 await sleep(self.core.clock, IDLE_INTERVAL_S * random.uniform(0.7, 1.3))
                 continue
             at = await self.read()
-            if isinstance(at, StoreLost):
+            if isinstance(at, StoreUnavailable):
                 await self._wait_before_retry(at)
                 continue
             has_read = True
@@ -135,10 +135,10 @@
             result = await self._watch_once(at)
             if result is None:
                 continue
-            if isinstance(result, HistoryGone):
+            if isinstance(result, RevisionExpired):
                 self.core.journal.write("STORE", "history gone", watch=self.name, after=at)
                 return
-            if isinstance(result, StoreLost):
+            if isinstance(result, StoreUnavailable):
                 await self._wait_before_retry(result)
                 return
             self._record_connected(result)
@@ -146,7 +146,7 @@
                 await sleep(self.core.clock, self.batch_delay_s)
             at = result
 
-    async def _watch_once(self, at: int) -> int | StoreLost | HistoryGone | None:
+    async def _watch_once(self, at: int) -> int | StoreUnavailable | RevisionExpired | None:
         """Watch for changes after a revision; return None if the watch was cancelled to be restarted."""
         self._waiting = defer.ensureDeferred(self.watch(at))
         try:
@@ -157,7 +157,7 @@
             self._renewing = False
             return None
 
-    async def _wait_before_retry(self, lost: StoreLost) -> None:
+    async def _wait_before_retry(self, lost: StoreUnavailable) -> None:
         if self.connected:
             self.connected = False
             self._lost_at = self.core.clock.now()
@@ -187,28 +187,28 @@
         """Return whether the configuration and all evacuations are known."""
         return self.core.table is not None and self.core.eligibility.evacuations.complete
 
-    async def read(self) -> int | StoreLost:
+    async def read(self) -> int | StoreUnavailable:
         """Read and apply all directives."""
         directives = await self.store.read_directives(self.core.eligibility.evacuations.as_of)
-        if isinstance(directives, StoreLost):
+        if isinstance(directives, StoreUnavailable):
             return directives
-        self._apply(directives, whole=directives.settled or not self.core.eligibility.evacuations.complete)
-        return directives.at
+        self._apply(directives, whole=directives.authoritative or not self.core.eligibility.evacuations.complete)
+        return directives.revision
 
-    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+    async def watch(self, after: int) -> int | StoreUnavailable | RevisionExpired:
         """Wait for changed directives and apply them."""
         directives = await self.store.watch_directives(after, WATCH_TIMEOUT_S)
-        if not isinstance(directives, DirectiveNews):
+        if not isinstance(directives, DirectiveUpdate):
             return directives
         self._apply(directives, whole=False)
-        return directives.at
+        return directives.revision
 
-    def _apply(self, directives: DirectiveNews, *, whole: bool) -> None:
+    def _apply(self, directives: DirectiveUpdate, *, whole: bool) -> None:
         if directives.document is not None:
-            self.core.take_document(directives.document, "store")
+            self.core.apply_document(directives.document, "store")
         # a store that was just restored may lack evacuations that peers know: do not end those
-        as_of = directives.at if directives.settled else 0
-        self.core.take_evacuations(directives.evacuations, "store", as_of=as_of, whole=whole)
+        as_of = directives.revision if directives.authoritative else 0
+        self.core.apply_evacuations(directives.evacuations, "store", as_of=as_of, is_snapshot=whole)
 
 
 class ListingWatcher(StoreWatcher):
@@ -221,20 +221,20 @@
         """Return whether the listing is complete."""
         return self.core.listing.complete
 
-    async def read(self) -> int | StoreLost:
+    async def read(self) -> int | StoreUnavailable:
         """Read and apply the listing."""
         listing = await self.store.read_listing(self.core.listing.get_oldest_revision())
-        if isinstance(listing, StoreLost):
+        if isinstance(listing, StoreUnavailable):
             return listing
         # a store that was just restored may lack upstreams that peers know: do not remove those
-        applied = listing if listing.settled else replace(listing, at=0)
-        self.core.take_listing(applied, "store", whole=listing.settled or not self.core.listing.complete)
-        return listing.at
+        applied = listing if listing.authoritative else replace(listing, revision=0)
+        self.core.apply_listing(applied, "store", is_snapshot=listing.authoritative or not self.core.listing.complete)
+        return listing.revision
 
-    async def watch(self, after: int) -> int | StoreLost | HistoryGone:
+    async def watch(self, after: int) -> int | StoreUnavailable | RevisionExpired:
         """Wait for changes of the listing and apply them."""
         listing = await self.store.watch_listing(after, WATCH_TIMEOUT_S)
-        if isinstance(listing, ListingNews):
-            self.core.take_listing(listing, "store", whole=False)
-            return listing.at
+        if isinstance(listing, ListingUpdate):
+            self.core.apply_listing(listing, "store", is_snapshot=False)
+            return listing.revision
         return listing
--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -15,7 +15,7 @@
 
 from beamhatch.relay.limits.account import SharedBucket
 from beamhatch.relay.limits.words import LimitState, Origin, RequestCount, make_incarnation_key
-from beamhatch.relay.model import Life, UpstreamId, hash_fraction
+from beamhatch.relay.model import Incarnation, UpstreamId, hash_to_fraction
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable
@@ -50,7 +50,7 @@
 MAX_CACHED_POSITIONS = 65_536
 """Size of the position cache, about 8 MB."""
 
-NO_INCARNATION = Life(UpstreamId(""), 0)
+NO_INCARNATION = Incarnation(UpstreamId(""), 0)
 
 
 def _count_one_vm() -> int:
@@ -70,7 +70,7 @@
     """Permission to send one request to a rate-limited upstream."""
 
     limits: Limits
-    incarnation: Life
+    incarnation: Incarnation
     _held: bool = True
 
     def use(self, now: float) -> None:
@@ -99,16 +99,16 @@
     """Returns the share of all VMs that are in contact with this one, itself included."""
     on_update: Callable[[], None] = _do_nothing
     """Called when there are updates to send to other VMs."""
-    _buckets: dict[Life, SharedBucket] = field(default_factory=dict)
+    _buckets: dict[Incarnation, SharedBucket] = field(default_factory=dict)
     _upstream_ids: set[UpstreamId] = field(default_factory=set)
     """Upstreams that have a bucket, for a fast check: most have none."""
-    _incarnations_by_key: dict[IncarnationKey, Life] = field(default_factory=dict)
+    _incarnations_by_key: dict[IncarnationKey, Incarnation] = field(default_factory=dict)
     _pending_counts: dict[IncarnationKey, RequestCount] = field(default_factory=dict)
-    _pending_states: dict[Life, LimitState] = field(default_factory=dict)
+    _pending_states: dict[Incarnation, LimitState] = field(default_factory=dict)
 
     # --- state -------------------------------------------------------------------------------------------------------
 
-    def get_rate(self, incarnation: Life) -> float | None:
+    def get_rate(self, incarnation: Incarnation) -> float | None:
         """Return the limit of an incarnation in requests per second, or None."""
         bucket = self._buckets.get(incarnation)
         return None if bucket is None else bucket.rate
@@ -117,7 +117,7 @@
         """Return the number of incarnations with a limit."""
         return sum(bucket.rate is not None for bucket in self._buckets.values())
 
-    def apply_response(self, incarnation: Life, rate: float | None, sent_at: float, now: float) -> bool:
+    def apply_response(self, incarnation: Incarnation, rate: float | None, sent_at: float, now: float) -> bool:
         """Apply the limit in an upstream's response, None for none; return whether it changed.
 
         :param sent_at: when the request was sent, in monotonic seconds
@@ -153,7 +153,7 @@
             bucket.apply_rate(state.rate, state.version, now)
         return True
 
-    def _add_bucket(self, incarnation: Life, state: LimitState, now: float) -> SharedBucket:
+    def _add_bucket(self, incarnation: Incarnation, state: LimitState, now: float) -> SharedBucket:
         bucket = SharedBucket(state.rate, state.version, now, now, level=min(0.0, state.level))
         key = make_incarnation_key(incarnation)
         bucket.position = _compute_position(key, self.own_address)
@@ -164,7 +164,7 @@
             self._remove_bucket(next(iter(self._buckets)))
         return bucket
 
-    def _remove_bucket(self, incarnation: Life) -> None:
+    def _remove_bucket(self, incarnation: Incarnation) -> None:
         del self._buckets[incarnation]
         self._rebuild_indexes()
 
@@ -188,9 +188,9 @@
 
     def may_send_to(self, upstream: Upstream, now: float, *, is_retry: bool = False) -> bool:
         """Return whether this VM may send one more request to an upstream."""
-        return upstream.id not in self._upstream_ids or self.may_send(upstream.life, now, is_retry=is_retry)
+        return upstream.id not in self._upstream_ids or self.may_send(upstream.incarnation, now, is_retry=is_retry)
 
-    def may_send(self, incarnation: Life, now: float, *, is_retry: bool = False) -> bool:
+    def may_send(self, incarnation: Incarnation, now: float, *, is_retry: bool = False) -> bool:
         """Return whether this VM may send one more request to an incarnation, without acquiring it.
 
         :param is_retry: whether the caller was refused before
@@ -219,7 +219,7 @@
         share = self.get_reachable_share()
         return share if self.shared else share / max(1, self.count_vms())
 
-    def record_request(self, incarnation: Life, now: float) -> bool:
+    def record_request(self, incarnation: Incarnation, now: float) -> bool:
         """Count a request; return whether its upstream has a limit."""
         bucket = self._buckets.get(incarnation)
         if bucket is None or bucket.rate is None:
@@ -234,20 +234,20 @@
             self.on_update()
         return True
 
-    def acquire_permit(self, incarnation: Life, now: float) -> LimitPermit | None:
+    def acquire_permit(self, incarnation: Incarnation, now: float) -> LimitPermit | None:
         """Acquire a permit for a request; return None if its upstream has no limit.
 
         The request is announced now rather than when it is sent, so that other VMs do not use the same capacity.
         """
         return LimitPermit(self, incarnation) if self.record_request(incarnation, now) else None
 
-    def release_permit(self, incarnation: Life, now: float) -> None:
+    def release_permit(self, incarnation: Incarnation, now: float) -> None:
         """Keep an unused permit for the next request of this VM."""
         bucket = self._buckets.get(incarnation)
         if bucket is not None:
             bucket.release(now)
 
-    def describe(self, incarnation: Life) -> dict[str, object]:
+    def describe(self, incarnation: Incarnation) -> dict[str, object]:
         """Return the log fields that explain this VM's part of a limit."""
         bucket = self._buckets.get(incarnation)
         if bucket is None:
@@ -259,7 +259,7 @@
             "sends": self._is_sender(bucket),
         }
 
-    def compute_wait(self, incarnation: Life, now: float) -> float:
+    def compute_wait(self, incarnation: Incarnation, now: float) -> float:
         """Return the estimated seconds until an incarnation has capacity for a request of this VM."""
         bucket = self._buckets.get(incarnation)
         if bucket is None or bucket.rate is None:
@@ -268,13 +268,13 @@
         bucket.refill(share, now)
         return bucket.compute_wait(share)
 
-    def compute_total_rate(self, incarnations: Iterable[Life]) -> float:
+    def compute_total_rate(self, incarnations: Iterable[Incarnation]) -> float:
         """Return the total rate allowed by the limits of some incarnations, ignoring those without one."""
         share = self.get_reachable_share()
         buckets = (self._buckets.get(life) for life in incarnations)
         return sum(one.compute_allowed_rate(share) for one in buckets if one is not None and one.rate is not None)
 
-    def record_refusal(self, incarnations: Iterable[Life], until: float) -> None:
+    def record_refusal(self, incarnations: Iterable[Incarnation], until: float) -> None:
         """Record that a caller was refused because of these limits, and may retry until the given time."""
         for incarnation in incarnations:
             bucket = self._buckets.get(incarnation)
@@ -305,7 +305,7 @@
         self._pending_states, self._pending_counts = {}, {}
         return states, counts
 
-    def _queue_state(self, incarnation: Life, bucket: SharedBucket) -> None:
+    def _queue_state(self, incarnation: Incarnation, bucket: SharedBucket) -> None:
         self._pending_states[incarnation] = _make_state(incarnation, bucket)
         self.on_update()
 
@@ -318,10 +318,10 @@
 @lru_cache(maxsize=MAX_CACHED_POSITIONS)
 def _compute_position(key: IncarnationKey, vm: str) -> float:
     """Return the position of a VM for an upstream, which is the same on all VMs."""
-    return hash_fraction(f"{key}/{vm}")
+    return hash_to_fraction(f"{key}/{vm}")
 
 
-def _make_state(incarnation: Life, bucket: SharedBucket) -> LimitState:
+def _make_state(incarnation: Incarnation, bucket: SharedBucket) -> LimitState:
     return LimitState(incarnation, bucket.version, bucket.rate, round(bucket.level, 2))
 
 
--- a/src/beamhatch/relay/limits/words.py
+++ b/src/beamhatch/relay/limits/words.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from beamhatch.relay.model import Life
+from beamhatch.relay.model import Incarnation
 
 Origin = NewType("Origin", int)
 """Random id of one start of a VM; a restarted VM counts from zero under a new one."""
@@ -19,7 +19,7 @@
 class LimitState(msgspec.Struct, array_like=True, frozen=True):
     """The limit of an incarnation as the sender knows it."""
 
-    incarnation: Life
+    incarnation: Incarnation
     version: int
     """Incremented by a VM that learns of a change from the upstream itself."""
     rate: float | None
@@ -39,6 +39,6 @@
     """Requests that were new to the sender; used by a receiver that does not know the origin."""
 
 
-def make_incarnation_key(incarnation: Life) -> IncarnationKey:
+def make_incarnation_key(incarnation: Incarnation) -> IncarnationKey:
     """Return the key of an incarnation, the same on all VMs."""
     return IncarnationKey(zlib.crc32(f"{incarnation.id}/{incarnation.born}".encode()))
--- a/src/beamhatch/relay/quarantine/persistence.py
+++ b/src/beamhatch/relay/quarantine/persistence.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 
 from beamhatch.clock import sleep
-from beamhatch.relay.api import StoreLost
+from beamhatch.relay.api import StoreUnavailable
 from beamhatch.relay.quarantine.quarantine import BASE_QUARANTINE_S
 
 if TYPE_CHECKING:
@@ -69,10 +69,10 @@
             entry = quarantine.get_entry(fingerprint, now)
             if entry is None:
                 return  # cleared, or the crashes are now attributed to another request
-            failure = await self._store.keep_quarantine(fingerprint, min(BASE_QUARANTINE_S, entry.until - now))
+            failure = await self._store.store_quarantine(fingerprint, min(BASE_QUARANTINE_S, entry.until - now))
             if failure is None:
                 self.core.journal.write("QUARANTINE", "kept", fingerprint=fingerprint.hex())
-                self.core.quarantine_talk.record_stored(fingerprint)
+                self.core.quarantine_gossip.record_stored(fingerprint)
                 return
             delay = await self._wait_before_retry(fingerprint, failure, delay)
 
@@ -84,12 +84,12 @@
         until = self.core.clock.now() + BASE_QUARANTINE_S
         delay = MIN_RETRY_DELAY_S
         while self.core.quarantine.get_entry(fingerprint, now := self.core.clock.now()) is None and now < until:
-            failure = await self._store.end_quarantine(fingerprint)
+            failure = await self._store.delete_quarantine(fingerprint)
             if failure is None:
                 return
             delay = await self._wait_before_retry(fingerprint, failure, delay)
 
-    async def _wait_before_retry(self, fingerprint: Fingerprint, failure: StoreLost, delay: float) -> float:
+    async def _wait_before_retry(self, fingerprint: Fingerprint, failure: StoreUnavailable, delay: float) -> float:
         """Report a failed call and wait before the next attempt; return the delay to use after that one."""
         self.core.tally.count("store_failures_total", "quarantine")
         self.core.journal.write("QUARANTINE", "store lost", fingerprint=fingerprint.hex(), detail=failure.detail)
--- a/src/beamhatch/relay/requests/exchange.py
+++ b/src/beamhatch/relay/requests/exchange.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from beamhatch.relay.api import SendTerms
+from beamhatch.relay.api import SendOptions
 from beamhatch.relay.callers.error_response import send_error
 from beamhatch.relay.callers.headers import strip_hop_by_hop
 from beamhatch.relay.callers.http_server import RequestHandler
@@ -16,11 +16,11 @@
 from beamhatch.relay.choosing.spill import SpillReason, get_spill_reason
 from beamhatch.relay.mechanism import Mechanism
 from beamhatch.relay.model import Phase, Reservation, RouteKind, Stage
-from beamhatch.relay.places import Distance
 from beamhatch.relay.requests.line import Claim
 from beamhatch.relay.requests.memory_lines import QueuedRequest, QueueKey, QueueOptions
 from beamhatch.relay.requests.request import Fail, Refuse, RelayRequest, Reserve, Send, Step, Wait
 from beamhatch.relay.requests.response import NOT_RUN_STATUSES, BufferedResponse
+from beamhatch.relay.topology import Distance
 from beamhatch.relay.upstreams.announcements import AnnouncementSink
 from beamhatch.relay.upstreams.attempt import Attempt
 from beamhatch.relay.upstreams.http_client import Call
@@ -33,7 +33,16 @@
     from beamhatch.relay.callers.http_server import IncomingRequest, Responder
     from beamhatch.relay.choosing.eligibility import SendPermit
     from beamhatch.relay.core import Core
-    from beamhatch.relay.model import Fingerprint, Life, Regions, RequestFacts, Route, Service, Table, Upstream
+    from beamhatch.relay.model import (
+        Fingerprint,
+        Incarnation,
+        Regions,
+        RequestFacts,
+        Route,
+        RoutingTable,
+        Service,
+        Upstream,
+    )
     from beamhatch.relay.requests.line import MemoryQueue
     from beamhatch.relay.upstreams.http_client import ResponseHead
     from beamhatch.relay.workspaces.admission import Admitted
@@ -102,7 +111,7 @@
         self.core = core
         self._admitted = admitted
         on_time_until = incoming.arrived_at + FIRST_EVENT_SHARE * route.target_latency
-        if Mechanism.WHOLE_RUNS in core.without:
+        if Mechanism.DECODE_PREFILL in core.disabled:
             on_time_until = float("inf")
         self.request = RelayRequest(
             facts,
@@ -110,8 +119,8 @@
             service,
             reserved_output_tokens=0
             if service.engine is None
-            else core.find_lengths(service.name).compute_reserve_tokens(facts),
-            reserves_memory=Mechanism.RESERVATIONS not in core.without,
+            else core.get_output_lengths(service.name).compute_reserve_tokens(facts),
+            reserves_memory=Mechanism.RESERVATIONS not in core.disabled,
             on_time_until=on_time_until,
             regions=regions,
             body_bytes=len(incoming.body),
@@ -132,7 +141,7 @@
         self._cold_timer: Any = None
         self._memory_acquired_at: float | None = None
         """Monotonic time in seconds at which the request got decode memory."""
-        self._is_caller_retry = core.is_return(route, facts.time_left)
+        self._is_caller_retry = core.is_caller_retry(route, facts.time_left)
         self._deadline_timer: Any = None
         self._upstream_failure: BufferedResponse | None = None
         self._first_event_s = 0.0
@@ -176,20 +185,20 @@
         usable = self._list_usable()
         can_respond = any(one.phase is not Phase.PREFILL for one in usable)
         can_proceed = can_respond or request.reservation is not None
-        shortage = None if can_proceed else self.core.find_lack(service, request.regions)
+        shortage = None if can_proceed else self.core.detect_shortage(service, request.regions)
         if shortage is not None:
             self.core.tally.count("shut_total", shortage.obstacle.name.lower())
-            self.core.find_demand(service).discard_last_prompt(request.facts.prompt_tokens)
+            self.core.get_demand(service).discard_last_prompt(request.facts.prompt_tokens)
             if shortage.obstacle is Obstacle.LIMITED:
-                retry_after_s = self.core.promise_turn(service, shortage)
+                retry_after_s = self.core.reserve_retry_slot(service, shortage)
             else:
                 retry_after_s = compute_retry_delay(shortage.wait, random.random(), is_retry=self._is_caller_retry)
             step = request.refuse_unavailable(
                 f"nothing may be sent to any upstream: {shortage.obstacle.value}", retry_after_s
             )
         else:
-            vm_count = max(self.core.vms, self.core.vms_lately)
-            step = request.plan(usable, self.core.chooser, self.core.find_budget(service), vm_count, now)
+            vm_count = max(self.core.vm_count, self.core.recent_vm_count)
+            step = request.plan(usable, self.core.chooser, self.core.get_retry_budget(service), vm_count, now)
         if isinstance(step, Refuse) and not step.memory_full and request.regions is not None:
             return self._refuse_in_regions(step, request.regions)
         return step
@@ -197,11 +206,11 @@
     @property
     def _queue(self) -> MemoryQueue[QueuedRequest]:
         """Return the queue for decode memory that this request uses."""
-        return self.core.lines.get(self.request.service.name, self.request.regions)
+        return self.core.memory_queues.get(self.request.service.name, self.request.regions)
 
     def _list_usable(self) -> list[Upstream]:
         is_retry = self._is_caller_retry or self.request.may_have_run
-        return self.core.list_usable(self.request.service.name, self.request.regions, owed=is_retry)
+        return self.core.list_usable(self.request.service.name, self.request.regions, is_retry=is_retry)
 
     def _refuse_in_regions(self, step: Refuse, regions: Regions) -> Refuse:
         """Return the refusal, with another reason and retry-after time if the allowed regions exclude upstreams."""
@@ -225,20 +234,20 @@
         """
         request = self.request
         handle, reservation = request.handle, request.reservation
-        if handle is not None and self.core.is_over(handle.upstream):
+        if handle is not None and self.core.has_restarted(handle.upstream):
             request.drop_handle()
         elif handle is not None and not self.core.eligibility.is_in_regions(handle.upstream, request.regions):
-            self._send_release(handle.upstream, self.core.dialect.make_release(handle))
+            self._send_release(handle.upstream, self.core.dialect.make_release_call(handle))
             request.drop_handle()
         if reservation is None:
             self._drop_permit()
             return
-        if self.core.is_over(reservation.upstream):
+        if self.core.has_restarted(reservation.upstream):
             self._drop_permit()
             request.abandon_reservation()
             self.write_log("memory given up", to=reservation.upstream.id, obstacle="started again")
             return
-        obstacle = self.core.find_obstacle(reservation.upstream, request.service.name, request.regions)
+        obstacle = self.core.get_obstacle(reservation.upstream, request.service.name, request.regions)
         has_room = self._permit is not None and obstacle in (Obstacle.COLD, Obstacle.LIMITED)
         if obstacle is None or has_room:
             return
@@ -247,10 +256,10 @@
         self.write_log("memory given up", to=reservation.upstream.id, obstacle=obstacle.name.lower())
         self._release_reservation(reservation)
 
-    def withdraw_from(self, incarnation: Life) -> None:
+    def withdraw_from(self, incarnation: Incarnation) -> None:
         """Cancel an attempt at an upstream that accepts no more requests, if it is not sent yet, and plan again."""
         attempt = self._attempt
-        if attempt is None or attempt.sent or attempt.upstream.life != incarnation:
+        if attempt is None or attempt.sent or attempt.upstream.incarnation != incarnation:
             return
         self.write_log("taken back", to=incarnation.id)
         self._stop_attempt()
@@ -298,7 +307,7 @@
             self._handle_timeout()
             return
         request = self.request
-        standing = self.core.standings.get(send.upstream.id)
+        standing = self.core.stats.get(send.upstream.id)
         self.write_log(
             "sent",
             fingerprint=self.fingerprint.hex(),
@@ -309,7 +318,7 @@
             running=standing.running,
             others=round(standing.estimate_other_requests(now), 1),
             faults=round(standing.get_failure_rate(now), 2),
-            **self.core.announcements.describe_limit(send.upstream.life),
+            **self.core.announcements.describe_limit(send.upstream.incarnation),
         )
         if request.split and send.stage is not Stage.PREFILL:
             self.record_memory_acquired()
@@ -328,11 +337,11 @@
         now = self.core.clock.now()
         max_wait_s = self.request.route.target_latency * ON_TIME_SHARE
         queue = self._queue
-        if Mechanism.LINE in self.core.without and not self.request.response_begun:
+        if Mechanism.MEMORY_QUEUE in self.core.disabled and not self.request.response_begun:
             self._execute(self.request.refuse_memory_full())
             return
         if not self._in_queue:
-            self.core.find_demand(self.request.service.name).record_wait(now)
+            self.core.get_demand(self.request.service.name).record_wait(now)
         was_delayed = self.request.reservation_lost or self.request.may_have_run or self._cold_wait_began_at is not None
         late_with_precedence = self._is_caller_retry or self.request.response_begun or was_delayed
         if not self._in_queue and not late_with_precedence and not queue.has_room(max_wait_s, now):
@@ -361,7 +370,7 @@
             )
         on_time_until = self._incoming.arrived_at + max_wait_s
         options = QueueOptions(on_time_until, now + self.request.max_memory_wait_s, late_with_precedence, self._claim)
-        self.core.lines.enqueue(self, QueueKey(self.request.service.name, self.request.regions), options)
+        self.core.memory_queues.enqueue(self, QueueKey(self.request.service.name, self.request.regions), options)
 
     @property
     def has_attempt(self) -> bool:
@@ -378,12 +387,12 @@
         self._drop_permit()
         now = self.core.clock.now()
         self._permit = self.core.eligibility.acquire_permit(step.upstream, self.request.service.cold, now)
-        if self.core.eligibility.limits.get_rate(step.upstream.life) is not None:
+        if self.core.eligibility.limits.get_rate(step.upstream.incarnation) is not None:
             self._reserve_by_permit(step)
             return
         attempt = ReserveAttempt(self, step)
         self._attempt = attempt
-        attempt.start(self.core.dialect.make_reserve(step.upstream, step.tokens, step.lifetime_s))
+        attempt.start(self.core.dialect.make_reserve_call(step.upstream, step.tokens, step.lifetime_s))
 
     def _reserve_by_permit(self, step: Reserve) -> None:
         """Skip the reservation at an engine that announces a request limit, since a call counts against that limit.
@@ -404,14 +413,14 @@
 
     def _make_call(self, send: Send, now: float) -> Call:
         last_event = self.request.last_event if self.request.route.resumable else self.request.facts.last_event
-        terms = SendTerms(
+        terms = SendOptions(
             stage=send.stage,
-            expect=send.upstream.id,
+            expected_upstream=send.upstream.id,
             time_left=self.deadline - now,
             handle=send.handle,
             reservation=send.reservation,
             last_event=last_event,
-            keyed=self._admitted.keyed,
+            strips_credentials=self._admitted.keyed,
             workspace=self._admitted.workspace,
         )
         headers = self.core.dialect.write_request(self._forwarded_headers, terms)
@@ -495,7 +504,7 @@
             self._fail(step)
             return
         max_retry_after_s = MAX_RETRY_AFTER_SHARE * max(0.0, self.deadline - now)
-        usual_retry_s = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vms > 1 else wait
+        usual_retry_s = RETRY_AFTER_SHARE * self.request.route.target_latency if self.core.vm_count > 1 else wait
         # The retry may reach another VM, which may have room earlier.
         retry_after_s = min(wait, max_retry_after_s, usual_retry_s)
         self._end_with_error(
@@ -508,7 +517,7 @@
         """Return the seconds until a cold upstream has room, or None if none could serve the request."""
         if not step.no_upstream or (isinstance(step, Refuse) and step.retry_after_s is not None):
             return None
-        return self.core.find_cold_wait(self.request.service.name, self.request.regions, self.request.tried)
+        return self.core.compute_cold_wait(self.request.service.name, self.request.regions, self.request.tried)
 
     def _give_up(self, step: Refuse | Fail) -> None:
         if isinstance(step, Fail):
@@ -546,7 +555,7 @@
         This is the mean time for which streams hold memory, with jitter, limited by the time left to the deadline.
         """
         now = self.core.clock.now()
-        residence_s = self.core.find_demand(self.request.service.name).estimate_residence(now)
+        residence_s = self.core.get_demand(self.request.service.name).estimate_residence(now)
         time_left = self.deadline - now
         return min(residence_s * random.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER), MAX_RETRY_AFTER_SHARE * time_left)
 
@@ -597,7 +606,7 @@
         self._drop_permit()
         self.leave_queue()
         if self._memory_acquired_at is not None:
-            self.core.find_demand(self.request.service.name).end_stream(self._memory_acquired_at, self.core.clock.now())
+            self.core.get_demand(self.request.service.name).end_stream(self._memory_acquired_at, self.core.clock.now())
         self._release_held()
         if not self.request.may_have_run:
             self.core.admission.refund(self._admitted, self.core.clock.now())
@@ -616,7 +625,7 @@
         """Release the KV cache and the reservation of a request that has ended."""
         request = self.request
         if request.handle is not None:
-            self._send_release(request.handle.upstream, self.core.dialect.make_release(request.handle))
+            self._send_release(request.handle.upstream, self.core.dialect.make_release_call(request.handle))
             request.drop_handle()
         if request.reservation is not None:
             self._release_reservation(request.reservation)
@@ -624,7 +633,7 @@
 
     def _release_reservation(self, reservation: Reservation) -> None:
         if reservation.id is not None:
-            self._send_release(reservation.upstream, self.core.dialect.make_unreserve(reservation))
+            self._send_release(reservation.upstream, self.core.dialect.make_unreserve_call(reservation))
 
     def _send_release(self, upstream: Upstream, call: Call) -> None:
         """Send a release to an upstream if it may receive calls now; otherwise let the held memory expire there.
@@ -634,12 +643,12 @@
         """
         eligibility = self.core.eligibility
         now = self.core.clock.now()
-        backs_off = eligibility.backoffs.is_active(upstream.life, now)
+        backs_off = eligibility.backoffs.is_active(upstream.incarnation, now)
         if backs_off or eligibility.evacuations.is_evacuated(upstream.hall):
             return
         if not eligibility.limits.may_send_to(upstream, now):
             return
-        eligibility.limits.record_request(upstream.life, now)
+        eligibility.limits.record_request(upstream.incarnation, now)
         self.write_log("given back", target=call.target, to=upstream.id)
         self.core.client.open(upstream.address, call, AnnouncementSink(self.core.announcements, upstream))
 
@@ -665,14 +674,14 @@
         """Record that the request holds decode memory from now on, until its end."""
         if self._memory_acquired_at is None:
             self._memory_acquired_at = self.core.clock.now()
-            self.core.find_demand(self.request.service.name).begin_stream(self._memory_acquired_at)
-            self.core.lines.get(self.request.service.name).record_served(self._claim, self._memory_acquired_at)
+            self.core.get_demand(self.request.service.name).begin_stream(self._memory_acquired_at)
+            self.core.memory_queues.get(self.request.service.name).record_served(self._claim, self._memory_acquired_at)
 
     def record_first_event(self) -> None:
         """Record how long decode memory was held before the first event, when that event arrives."""
         if self._memory_acquired_at is not None and not self.request.response_begun:
             seconds = self.core.clock.now() - self._memory_acquired_at
-            self.core.find_demand(self.request.service.name).record_first_event(seconds)
+            self.core.get_demand(self.request.service.name).record_first_event(seconds)
 
     @property
     def hall(self) -> str | None:
@@ -703,12 +712,14 @@
         if self._attempt is not None:
             self._attempt.resume()
 
-    def apply_table(self, table: Table) -> None:
+    def apply_table(self, table: RoutingTable) -> None:
         """Apply the timeouts and regions of a new configuration to this request."""
         route = table.find_route(self._incoming.host, self._incoming.path)
         if route is None or self._ended:
             return
-        self._apply_regions(table.find_regions(route, self._admitted.workspace, self.request.regions), table.version)
+        self._apply_regions(
+            table.get_allowed_regions(route, self._admitted.workspace, self.request.regions), table.version
+        )
         if self._ended or route.timeout == self.request.route.timeout:
             return
         self.write_log("timeout changed", timeout=route.timeout, version=table.version)
--- a/src/beamhatch/relay/requests/lengths.py
+++ b/src/beamhatch/relay/requests/lengths.py
@@ -65,7 +65,7 @@
 
     def record(self, facts: RequestFacts, tokens: int) -> None:
         """Record the length of a completed output."""
-        self._outputs.append(_CompletedOutput(facts.output_guess, max(1, tokens)))
+        self._outputs.append(_CompletedOutput(facts.output_estimate, max(1, tokens)))
         if len(self._outputs) < MIN_SAMPLES:
             return
         self._typical_tokens = math.exp(fmean(math.log(one.tokens) for one in self._outputs))
@@ -84,7 +84,7 @@
         return min(mean, facts.output_tokens) if facts.output_tokens else mean
 
     def _compute_expected_tokens(self, facts: RequestFacts) -> float:
-        return _weigh_estimate(facts.output_guess, self._typical_tokens or _get_prior_tokens(facts))
+        return _weigh_estimate(facts.output_estimate, self._typical_tokens or _get_prior_tokens(facts))
 
 
 def _weigh_estimate(estimate: int, typical_tokens: float) -> float:
--- a/src/beamhatch/relay/requests/memory_lines.py
+++ b/src/beamhatch/relay/requests/memory_lines.py
@@ -136,7 +136,9 @@
         now = self._clock.now()
         self.get(service)
         for key, queue in self._queues.items():
-            if key.service == service and (key.regions is None or self._eligibility.places.lies_in(hall, key.regions)):
+            if key.service == service and (
+                key.regions is None or self._eligibility.places.is_in_regions(hall, key.regions)
+            ):
                 queue.record_freed(now)
                 self._schedule_poll_within(FREED_DELAY_S if queue.has_on_time(now) else LATE_FREED_DELAY_S, key)
 
--- a/src/beamhatch/relay/requests/request.py
+++ b/src/beamhatch/relay/requests/request.py
@@ -155,7 +155,9 @@
             tokens,
             cache=compute_cache_transfer(engine, facts.prompt_tokens),
             body_bytes=self.body_bytes,
-            response_bytes=EVENT_BYTES * (self.reserved_output_tokens or facts.output_tokens) // engine.event_tokens,
+            response_bytes=EVENT_BYTES
+            * (self.reserved_output_tokens or facts.output_tokens)
+            // engine.tokens_per_event,
             decode_hall="" if self.reservation is None else self.reservation.upstream.hall,
         )
 
@@ -167,7 +169,7 @@
     @property
     def max_memory_wait_s(self) -> float:
         """Return the maximum time to wait for decode memory, a share of that after which the caller disconnects."""
-        return MAX_WAIT_SHARE * self.route.caller_patience
+        return MAX_WAIT_SHARE * self.route.caller_event_timeout
 
     @property
     def handoffs_exhausted(self) -> bool:
@@ -210,15 +212,15 @@
     def _choose_reservation(self, usable: list[Upstream], chooser: Chooser, now: float) -> Step | None:
         """Return the step that gets decode memory, or None if it is reserved already or reservations are not in use."""
         engine = self.service.engine
-        if engine is None or not engine.hold_lifetime or not self.reserves_memory:
+        if engine is None or not engine.reservation_ttl or not self.reserves_memory:
             return None
-        if self.reservation is not None and now < self.reservation.until - RESERVATION_MARGIN_S:
+        if self.reservation is not None and now < self.reservation.expires_at - RESERVATION_MARGIN_S:
             return None
         self.reservation = None
         if len(self._full_upstreams) < MAX_RESERVE_ATTEMPTS:
             decode = self._choose_decode(usable, chooser, now, self.handle, self._full_upstreams)
             if decode is not None and not chooser.should_skip(decode, now):
-                return Reserve(decode, self.facts.prompt_tokens + self.reserved_output_tokens, engine.hold_lifetime)
+                return Reserve(decode, self.facts.prompt_tokens + self.reserved_output_tokens, engine.reservation_ttl)
         if not self._full_upstreams:
             return self._give_up("no decode engine can be asked", no_upstream=True)
         return self._wait_for_memory(now)
@@ -248,7 +250,7 @@
         engine = self.service.engine
         if self.handle is None or engine is None or self._handoffs >= MAX_HANDOFFS:
             return None
-        if now - self.handle.made_at > engine.handle_lifetime * HANDLE_LIFETIME_SHARE:
+        if now - self.handle.created_at > engine.handle_ttl * HANDLE_LIFETIME_SHARE:
             return None
         if self.reservation is not None:
             return Send(Stage.DECODE, self.reservation.upstream, self.handle, self.reservation)
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -19,9 +19,9 @@
     from beamhatch.clock import Clock
     from beamhatch.observe.journal import Journal
     from beamhatch.observe.tally import Tally
-    from beamhatch.relay.api import AnswerFacts, Dialect, NamedLimit
+    from beamhatch.relay.api import AnnouncedLimit, Dialect, ResponseFacts
     from beamhatch.relay.limits.words import LimitState
-    from beamhatch.relay.model import Life, Upstream, UpstreamId
+    from beamhatch.relay.model import Incarnation, Upstream, UpstreamId
     from beamhatch.relay.upstreams.http_client import CallFailure, ResponseHead
     from beamhatch.relay.upstreams.listing import Listing
 
@@ -43,38 +43,40 @@
     listing: Listing
     backoffs: Backoffs = field(default_factory=Backoffs)
     limits: Limits = field(default_factory=Limits)
-    on_restriction: Callable[[Life], None] = lambda incarnation: None
+    on_restriction: Callable[[Incarnation], None] = lambda incarnation: None
     """Called when an upstream newly announces a departure, a back-off or a limit."""
     on_departure: Callable[[], None] = lambda: None
     """Called when a response announces a departure that was not known before."""
-    _limit_logged_at: dict[Life, float] = field(default_factory=dict)
+    _limit_logged_at: dict[Incarnation, float] = field(default_factory=dict)
     """Monotonic seconds of the last log line on the limit of each incarnation."""
 
     def handle_head(
         self, upstream: Upstream, head: ResponseHead, sent_at: float, *, is_request: bool = False
-    ) -> AnswerFacts:
+    ) -> ResponseFacts:
         """Parse the head of an upstream's response, and apply its announcements.
 
         :param sent_at: monotonic seconds when the call was sent
         :param is_request: whether the call was a caller's request, not one about reservations or phases
         """
-        facts = self.dialect.read_answer(head.status, head.headers)
+        facts = self.dialect.read_response(head.status, head.headers)
         if head.status != MISDIRECTED:  # otherwise the response is from another upstream
-            self._apply(upstream.life, facts)
-            ran = is_request and facts.signed and not facts.not_run
-            self._apply_limit(upstream.life, facts.limit, sent_at, clears=ran)
+            self._apply(upstream.incarnation, facts)
+            ran = is_request and facts.from_upstream and not facts.not_run
+            self._apply_limit(upstream.incarnation, facts.limit, sent_at, clears=ran)
         return facts
 
-    def _apply(self, incarnation: Life, facts: AnswerFacts) -> None:
+    def _apply(self, incarnation: Incarnation, facts: ResponseFacts) -> None:
         if facts.leaving and self.apply_departure(incarnation, "its answer"):
             self.on_departure()
-        if facts.rest is not None:
+        if facts.backoff is not None:
             self.tally.count("announcements_total", "rest")
-            if self.backoffs.record(incarnation, facts.rest, self.clock.now()):
-                self.journal.write("LISTING", "asks for rest", upstream=incarnation.id, seconds=facts.rest)
+            if self.backoffs.record(incarnation, facts.backoff, self.clock.now()):
+                self.journal.write("LISTING", "asks for rest", upstream=incarnation.id, seconds=facts.backoff)
                 self.on_restriction(incarnation)
 
-    def _apply_limit(self, incarnation: Life, limit: NamedLimit | None, sent_at: float, *, clears: bool) -> None:
+    def _apply_limit(
+        self, incarnation: Incarnation, limit: AnnouncedLimit | None, sent_at: float, *, clears: bool
+    ) -> None:
         """Apply the limit that an upstream announces; a limit that can't be parsed changes nothing.
 
         :param clears: whether a response without a limit clears the known one, as that of a request that ran does
@@ -95,7 +97,7 @@
         self._record_limit_change(state.incarnation, before, source)
         return True
 
-    def _record_limit_change(self, incarnation: Life, before: float | None, source: str) -> None:
+    def _record_limit_change(self, incarnation: Incarnation, before: float | None, source: str) -> None:
         """Log a changed limit, rate-limited per incarnation, and report a new one to ``on_restriction``."""
         rate = self.limits.get_rate(incarnation)
         now = self.clock.now()
@@ -110,7 +112,7 @@
         if before is None and rate is not None:
             self.on_restriction(incarnation)
 
-    def apply_departure(self, incarnation: Life, source: str) -> bool:
+    def apply_departure(self, incarnation: Incarnation, source: str) -> bool:
         """Record that an upstream announced its departure; return whether that is new."""
         if not self.listing.record_departure(incarnation, self.clock.now()):
             return False
@@ -121,7 +123,7 @@
         self.on_restriction(incarnation)
         return True
 
-    def list_unstored(self) -> list[Life]:
+    def list_unstored(self) -> list[Incarnation]:
         """Return the departing incarnations that the store does not list as departing yet, oldest first."""
         return self.listing.departures.list_unstored()
 
@@ -131,16 +133,16 @@
         if self.listing.is_leaving(upstream):
             fields["leaving"] = True
             self.tally.count("sent_in_spite_total", "leaving")
-        if self.limits.get_rate(upstream.life) is not None:
+        if self.limits.get_rate(upstream.incarnation) is not None:
             self.tally.count("limited_sends_total")
         now = self.clock.now()
-        end = self.backoffs.get_end(upstream.life, now)
+        end = self.backoffs.get_end(upstream.incarnation, now)
         if end is not None:
             fields["rest_left"] = round(end - now, 3)
             self.tally.count("sent_in_spite_total", "rest")
         return fields
 
-    def describe_limit(self, incarnation: Life) -> dict[str, float]:
+    def describe_limit(self, incarnation: Incarnation) -> dict[str, float]:
         """Return the upstream's limit as log fields; empty if it has none."""
         rate = self.limits.get_rate(incarnation)
         return {} if rate is None else {"limit": rate}
--- a/src/beamhatch/relay/upstreams/attempt.py
+++ b/src/beamhatch/relay/upstreams/attempt.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.upstreams.http_client import CallFailure, ResponseSink
 
 if TYPE_CHECKING:
-    from beamhatch.relay.api import AnswerFacts
+    from beamhatch.relay.api import ResponseFacts
     from beamhatch.relay.choosing.eligibility import SendPermit
     from beamhatch.relay.choosing.pace import PrefillEstimator
     from beamhatch.relay.choosing.rests import BackoffProbe
@@ -28,9 +28,9 @@
         self.send = send
         self.core = exchange.core
         self.request = exchange.request
-        self.stats = self.core.standings.get(send.upstream.id)
+        self.stats = self.core.stats.get(send.upstream.id)
         self.head: ResponseHead | None = None
-        self.facts: AnswerFacts | None = None
+        self.facts: ResponseFacts | None = None
         self.body = bytearray()
         self.permit: SendPermit | None = None
         """Permit to send to an upstream that is cold or has a limit, held until the request is sent."""
@@ -57,7 +57,7 @@
         """Send the request on a connection idle for at most ``max_idle_s``."""
         now = self.core.clock.now()
         self.stats.record_start(self._tokens, now)
-        self._probe = self.core.eligibility.backoffs.begin_request(self.send.upstream.life, now)
+        self._probe = self.core.eligibility.backoffs.begin_request(self.send.upstream.incarnation, now)
         if self._needs_prefill:
             self._start_prefill()
         self._restart_timer(self.get_timeout())
@@ -77,18 +77,18 @@
 
     def _start_prefill(self) -> None:
         upstream = self.send.upstream.id
-        self._tokens_ahead = self.stats.pending_prefill_tokens + self.core.work.count_tokens(
+        self._tokens_ahead = self.stats.pending_prefill_tokens + self.core.peer_backlog.count_tokens(
             upstream, self.core.clock.now()
         )
         self._pending_prefill_tokens = self.request.need.prompt_tokens
         self.stats.pending_prefill_tokens += self._pending_prefill_tokens
-        self.core.on_work()
+        self.core.on_backlog_change()
 
     def _end_prefill(self) -> None:
         if self._pending_prefill_tokens:
             self.stats.pending_prefill_tokens -= self._pending_prefill_tokens
             self._pending_prefill_tokens = 0
-            self.core.on_work()
+            self.core.on_backlog_change()
 
     def _record_prefill(self, estimator: PrefillEstimator) -> None:
         """Add a sample to the estimator, unless other prompts were pending before this one."""
@@ -125,7 +125,7 @@
         if fields:
             planned = round(now - self._started_at, 3)
             self.exchange.write_log("sent in spite of its word", to=self.send.upstream.id, planned=planned, **fields)
-        self.request.record_sent(self.send, self.core.find_budget(self.request.service.name), now)
+        self.request.record_sent(self.send, self.core.get_retry_budget(self.request.service.name), now)
         if self.permit is not None:
             self.permit.use(now)
         else:
@@ -133,11 +133,11 @@
 
     def matches(self, head: ResponseHead) -> bool:
         """Return whether a response is to this request."""
-        facts = self.core.dialect.read_answer(head.status, head.headers)
-        own = facts.request is None or facts.request == self.request.facts.id
+        facts = self.core.dialect.read_response(head.status, head.headers)
+        own = facts.request_id is None or facts.request_id == self.request.facts.id
         if not own:
             self.core.tally.count("foreign_answers_total")
-            self.exchange.write_log("foreign answer dropped", to=self.send.upstream.id, of=facts.request)
+            self.exchange.write_log("foreign answer dropped", to=self.send.upstream.id, of=facts.request_id)
         return own
 
     def handle_head(self, head: ResponseHead) -> None:
@@ -161,7 +161,7 @@
             self.stats.record_no_response(now)
         else:
             self.stats.record_failure(now)
-        self.core.on_fault()
+        self.core.on_failure()
         self.exchange.write_log(
             "send failed",
             to=self.send.upstream.id,
@@ -186,7 +186,9 @@
         """Report a run that may have ended with a crash of the upstream."""
         begun = self.head is not None
         self.core.tally.count("broken_runs_total", "begun" if begun else "unanswered")
-        self.core.quarantine_talk.record_broken_run(self.send.upstream, self.exchange.fingerprint, ran, answering=begun)
+        self.core.quarantine_gossip.record_broken_run(
+            self.send.upstream, self.exchange.fingerprint, ran, answering=begun
+        )
 
     def handle_not_run(self) -> None:
         """Record that the upstream rejected the request, and let the exchange try another."""
@@ -207,7 +209,7 @@
         )
         self.core.tally.count("turned_away_total", str(self.head.status))
         if self.head.status != MISDIRECTED:
-            self.core.note_turned_away(self.send.upstream.id)
+            self.core.record_rejection(self.send.upstream.id)
         self.request.record_not_run(self.send)
         self.handle_rejection(now)
         self.exchange.replan_after(self)
@@ -227,7 +229,7 @@
         now = self.core.clock.now()
         self.stats.record_success(now - self._started_at, now)
         if self.send.stage is not Stage.PREFILL:
-            self.core.quarantine_talk.record_success(self.exchange.fingerprint)
+            self.core.quarantine_gossip.record_success(self.exchange.fingerprint)
         self.core.tally.note_latency("send", self.send.stage.value, now - self._started_at)
 
     def fail(self, detail: str) -> None:
@@ -253,7 +255,7 @@
             self.stats.record_failure(now)
         else:
             self.stats.record_no_response(now)
-            self.core.on_fault()
+            self.core.on_failure()
         abandoned = self.may_abandon()
         self.exchange.write_log(
             "silent",
@@ -295,4 +297,4 @@
             self._end_prefill()
             self.stats.record_end(self._tokens)
             if self._sent and self.send.stage is not Stage.PREFILL and self.request.split:
-                self.core.lines.record_freed(self.request.service.name, self.send.upstream.hall)
+                self.core.memory_queues.record_freed(self.request.service.name, self.send.upstream.hall)
--- a/src/beamhatch/relay/upstreams/departures.py
+++ b/src/beamhatch/relay/upstreams/departures.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from beamhatch.relay.model import Life, UpstreamId
+    from beamhatch.relay.model import Incarnation, UpstreamId
 
 MAX_DEPARTURES = 4096
 """Incarnations kept; the oldest is dropped when there are more."""
@@ -29,12 +29,12 @@
 class Departures:
     """Departing incarnations."""
 
-    _known: dict[Life, _Departure] = field(default_factory=dict)
+    _known: dict[Incarnation, _Departure] = field(default_factory=dict)
     """In the order of their first announcement."""
     _ids: set[UpstreamId] = field(default_factory=set)
     """Ids of the upstreams in ``_known``, for a fast check of the many that have no departure."""
 
-    def record(self, incarnation: Life, now: float, *, by_store: bool = False) -> bool:
+    def record(self, incarnation: Incarnation, now: float, *, by_store: bool = False) -> bool:
         """Record a departure; return whether it was unknown."""
         known = self._known.get(incarnation)
         if known is not None:
@@ -51,7 +51,7 @@
         """Return whether any incarnation of the upstream is departing."""
         return upstream in self._ids
 
-    def has(self, incarnation: Life) -> bool:
+    def has(self, incarnation: Incarnation) -> bool:
         """Return whether the incarnation is departing."""
         return incarnation in self._known
 
@@ -59,7 +59,7 @@
         """Return the number of departing incarnations."""
         return len(self._known)
 
-    def list_unstored(self) -> list[Life]:
+    def list_unstored(self) -> list[Incarnation]:
         """Return the departing incarnations that the store does not list as departing yet, oldest first."""
         return [incarnation for incarnation, departure in self._known.items() if not departure.by_store]
 
--- a/src/beamhatch/relay/upstreams/listing.py
+++ b/src/beamhatch/relay/upstreams/listing.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from beamhatch.relay.model import Life
+    from beamhatch.relay.model import Incarnation
 
 GONE_GRACE_SHARE = 0.85
 """Share of the drain time for which an upstream whose entry was removed is still used."""
@@ -112,17 +112,17 @@
             known.cold_until = now + entry.upstream.cold_left
             self.latest_cold_until = max(self.latest_cold_until, known.cold_until)
             if entry.upstream.draining:
-                self.departures.record(entry.upstream.life, now, by_store=True)
+                self.departures.record(entry.upstream.incarnation, now, by_store=True)
         return True
 
-    def record_departure(self, life: Life, now: float) -> bool:
+    def record_departure(self, life: Incarnation, now: float) -> bool:
         """Record a departure that the upstream's entry does not show; return whether it was unknown."""
         self._listed.clear()
         return self.departures.record(life, now)
 
     def is_leaving(self, upstream: Upstream) -> bool:
         """Return whether the upstream is departing."""
-        return self.departures.has_upstream(upstream.id) and self.departures.has(upstream.life)
+        return self.departures.has_upstream(upstream.id) and self.departures.has(upstream.incarnation)
 
     def _is_usable(self, known: _Record) -> bool:
         """Return whether the upstream may be used, or be expected back if its entry was removed."""
@@ -148,7 +148,7 @@
         known = self._records.get(entry.id)
         if known is None or known.last_upstream is None or known.entry.upstream is not None or entry.upstream is None:
             return False
-        return known.last_upstream.is_same_life(entry.upstream)
+        return known.last_upstream.is_same_incarnation(entry.upstream)
 
     def list_since(self, revision: int, now: float) -> list[Entry]:
         """Return the entries changed after a revision, oldest first, with current cold times."""
--- a/src/beamhatch/relay/upstreams/plain_attempt.py
+++ b/src/beamhatch/relay/upstreams/plain_attempt.py
@@ -34,7 +34,7 @@
             self.handle_not_run()
             return
         answer = BufferedResponse(self.head, bytes(self.body))
-        if 200 <= status < 300 and (not self.facts.signed or self.facts.encoded):
+        if 200 <= status < 300 and (not self.facts.from_upstream or self.facts.encoded):
             self.handle_failure(CallFailure.MALFORMED, "response is unsigned or encoded")
         elif status >= 500 or status in NOT_RUN_STATUSES:
             self.exchange.keep_upstream_failure(answer)
