--- a/src/beamhatch/relay/upstreams/prefill_attempt.py
+++ b/src/beamhatch/relay/upstreams/prefill_attempt.py
@@ -47,17 +47,17 @@
             return
         self.succeed()
         now = self.core.clock.now()
-        self.core.find_read_times(self.request.service.name).record(now - self._started_at, now)
-        self._record_prefill(self.core.paces.get_prefill(self.request.service.name))
+        self.core.get_prefill_times(self.request.service.name).record(now - self._started_at, now)
+        self._record_prefill(self.core.prefill_models.get_prefill(self.request.service.name))
         self.request.record_prefilled(Handle(handle, self.send.upstream, now))
         self.exchange.replan_after(self)
 
     def get_timeout(self) -> float:
         """Return the timeout, from the engine's mean latency and the slowest recent prefill at any engine."""
         by_engine = TIMEOUT_FACTOR * self.stats.latency
-        if Mechanism.READ_TIMES in self.core.without:
+        if Mechanism.PREFILL_TIMES in self.core.disabled:
             return max(MIN_TIMEOUT_S, by_engine)
-        slowest = self.core.find_read_times(self.request.service.name).get_longest(self.core.clock.now())
+        slowest = self.core.get_prefill_times(self.request.service.name).get_longest(self.core.clock.now())
         return max(MIN_TIMEOUT_S, by_engine, SLOWEST_PREFILL_FACTOR * slowest)
 
     def may_abandon(self) -> bool:
--- a/src/beamhatch/relay/upstreams/reserve_attempt.py
+++ b/src/beamhatch/relay/upstreams/reserve_attempt.py
@@ -51,8 +51,8 @@
     def start(self, call: Call) -> None:
         """Send the call."""
         now = self.core.clock.now()
-        self.core.standings.get(self._step.upstream.id).sent_at = now
-        self._probe = self.core.eligibility.backoffs.begin_request(self._step.upstream.life, now)
+        self.core.stats.get(self._step.upstream.id).sent_at = now
+        self._probe = self.core.eligibility.backoffs.begin_request(self._step.upstream.incarnation, now)
         http = self.core.client.open(self._step.upstream.address, call, self)
         if not self._ended:
             self._http = http
@@ -94,7 +94,7 @@
         self._end()
         now = self.core.clock.now()
         upstream = self._step.upstream
-        stats = self.core.standings.get(upstream.id)
+        stats = self.core.stats.get(upstream.id)
         stats.record_response(now)
         found = self.core.dialect.read_reservation(bytes(self._body)) if self._head.status == GRANTED else None
         self.core.tally.count("reservations_total", str(self._head.status))
@@ -116,7 +116,7 @@
             return
         self._end()
         upstream = self._step.upstream
-        self.core.standings.get(upstream.id).record_no_response(self.core.clock.now())
+        self.core.stats.get(upstream.id).record_no_response(self.core.clock.now())
         self._exchange.request.record_reserve_failed(upstream.id)
         self._exchange.write_log("not reserved", to=upstream.id, fault=failure.value, detail=detail)
         self._exchange.replan_after(self)
--- a/src/beamhatch/relay/upstreams/stream_attempt.py
+++ b/src/beamhatch/relay/upstreams/stream_attempt.py
@@ -76,20 +76,20 @@
         """Record the length of the output."""
         service = self.request.service
         if service.engine is not None and self.request.last_event:
-            tokens = self.request.last_event * service.engine.event_tokens
-            self.core.note_length(service.name, self.request.facts, tokens)
+            tokens = self.request.last_event * service.engine.tokens_per_event
+            self.core.record_output_length(service.name, self.request.facts, tokens)
 
     def handle_rejection(self, now: float) -> None:
         """Avoid the prefill engine for a while if the handoff of its KV cache failed."""
         if self.send.handle is not None and self.request.handoffs_exhausted:
-            holder = self.core.standings.get(self.send.handle.upstream.id)
+            holder = self.core.stats.get(self.send.handle.upstream.id)
             holder.drops_caches_until = now + LAPSED_HANDLE_PAUSE_S
 
     def get_timeout(self) -> float:
         """Return the timeout until the first event or between events."""
         route = self.request.route
         if self.request.response_begun:
-            return max(MIN_TIMEOUT_S, EVENT_GAP_TIMEOUT_FACTOR * route.target_gap)
+            return max(MIN_TIMEOUT_S, EVENT_GAP_TIMEOUT_FACTOR * route.target_event_interval)
         times = DECODE_PREFILL_TIMEOUT_FACTOR if self.send.stage is Stage.WHOLE else FIRST_EVENT_TIMEOUT_FACTOR
         return max(MIN_TIMEOUT_S, times * route.target_latency)
 
@@ -101,12 +101,12 @@
     def _is_stream(self) -> bool:
         assert self.head is not None
         assert self.facts is not None
-        return self.head.status == 200 and self.facts.signed and not self.facts.encoded
+        return self.head.status == 200 and self.facts.from_upstream and not self.facts.encoded
 
     def _forward_events(self, data: bytes, last: int | None) -> None:
         assert self.head is not None
         if self._pending_prefill_tokens:
-            self._record_prefill(self.core.paces.get_decode(self.request.service.name))
+            self._record_prefill(self.core.prefill_models.get_decode(self.request.service.name))
             self._end_prefill()
         if not self.request.response_begun:
             self.exchange.begin_stream(self.head)
@@ -122,12 +122,12 @@
         service = self.request.service
         if service.engine is None or last is None:
             return
-        demand = self.core.find_demand(service.name)
+        demand = self.core.get_demand(service.name)
         if before is None:
             self.exchange.record_first_event()
         else:
             events = last - (self.request.last_event or 0)
-            demand.record_tokens(events * service.engine.event_tokens, now - before, now)
+            demand.record_tokens(events * service.engine.tokens_per_event, now - before, now)
 
     def _handle_error_response(self) -> None:
         assert self.head is not None
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -10,14 +10,7 @@
 from beamhatch.relay.model import ServiceName, UpstreamId
 from beamhatch.relay.upstreams.listing import Entry
 from tests.support.network import Network, PausedClock
-from tests.support.platform import (
-    MODEL,
-    PLAIN,
-    MemoryJournal,
-    make_configuration,
-    make_platform,
-    make_route,
-)
+from tests.support.platform import MODEL, PLAIN, MemoryJournal, make_configuration, make_platform, make_route
 
 
 def test_the_priority_of_a_route_is_read() -> None:
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -334,11 +334,11 @@
     caller = platform.call("/stream/x", "q1")
     platform.network.run(0.1)
     core = platform.vms["vm1"].core
-    assert len(core.lines.get(ServiceName(MODEL))) == 1
+    assert len(core.memory_queues.get(ServiceName(MODEL))) == 1
     engine.used_tokens = 0
     engine.reservation_delay_s = 0.02
     for _ in range(40):
-        core.lines.record_freed(ServiceName(MODEL))
+        core.memory_queues.record_freed(ServiceName(MODEL))
         platform.network.run(0.002)
     platform.finish(caller)
     assert caller.events == list(range(1, 11))
--- a/tests/platform/test_store_copy.py
+++ b/tests/platform/test_store_copy.py
@@ -14,7 +14,7 @@
 from beamhatch.platform.epochs import get_revision
 from beamhatch.platform.standin.store import StoreFault
 from beamhatch.platform.store import PlatformStore
-from beamhatch.relay.api import Claimed, LeadershipNews, ListingNews, StoreLost
+from beamhatch.relay.api import LeadershipClaim, LeadershipState, ListingUpdate, StoreUnavailable
 from beamhatch.relay.model import ServiceName
 from beamhatch.relay.upstreams.http_client import HttpClient
 from tests.support.platform import OTHER_DOOR, PLAIN, STORE, MemoryJournal, Platform
@@ -239,15 +239,17 @@
     backup = platform.store.make_backup()
     platform.store.put("status/x", b"")
     seen = run(store.read_leadership())
-    assert isinstance(seen, LeadershipNews)
+    assert isinstance(seen, LeadershipState)
     claim = run(store.claim_leadership("one", 3.0, seen))
-    assert isinstance(claim, Claimed)
+    assert isinstance(claim, LeadershipClaim)
     platform.store.restore(backup)
     while platform.store.revision < get_revision(claim.revision) - 1:
         platform.store.put("status/x", b"")
     platform.store.put("beamhatch/leader", b"another")
     assert platform.store.get_newest_revision("beamhatch/leader") == get_revision(claim.revision)
-    assert isinstance(run(store.record_order(claim, "an order")), StoreLost)  # the restore aborted the connection
+    assert isinstance(
+        run(store.record_order(claim, "an order")), StoreUnavailable
+    )  # the restore aborted the connection
     assert run(store.record_order(claim, "an order")) is False
 
 
@@ -260,8 +262,8 @@
     defer.ensureDeferred(store.read_listing(0)).addBoth(found.append)
     platform.network.run(0.1)
     (news,) = found
-    assert isinstance(news, ListingNews)
+    assert isinstance(news, ListingUpdate)
     platform.door.shut = True
-    defer.ensureDeferred(store.watch_listing(news.at, 1.0)).addBoth(found.append)
+    defer.ensureDeferred(store.watch_listing(news.revision, 1.0)).addBoth(found.append)
     platform.network.run(0.1)
-    assert found[-1] == StoreLost("status 503")
+    assert found[-1] == StoreUnavailable("status 503")
--- a/tests/relay/choosing/spill_simulation.py
+++ b/tests/relay/choosing/spill_simulation.py
@@ -16,16 +16,16 @@
 from beamhatch.relay.choosing.chooser import LeastCostChooser, RequestRequirements
 from beamhatch.relay.choosing.spill import EstimateLoad, SpillPolicy
 from beamhatch.relay.choosing.standing import Load, UpstreamStatsRegistry
-from beamhatch.relay.mechanism import ALL_IN, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance, Places, RegionName
 from beamhatch.relay.requests.request import MAX_RESERVE_ATTEMPTS
+from beamhatch.relay.topology import Distance, RegionName, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
 REGIONS = {f"{region}{hall}": RegionName(region) for region in "xyz" for hall in "12"}
-PLACES = Places(REGIONS)
+PLACES = Topology(REGIONS)
 SLOTS, ENGINES, VMS = 16, 8, 12
 """Slots per engine, decode engines per hall, VMs per hall."""
 
@@ -102,7 +102,11 @@
     """Discrete event simulation."""
 
     def __init__(
-        self, make_spill: Callable[[], SpillPolicy], seed: int, without: Without = ALL_IN, places: Places = PLACES
+        self,
+        make_spill: Callable[[], SpillPolicy],
+        seed: int,
+        without: DisabledMechanisms = NONE_DISABLED,
+        places: Topology = PLACES,
     ) -> None:
         self._random = random.Random(seed)
         random.seed(seed)
@@ -166,7 +170,7 @@
             self._wait(request, now)
             return
         self.outcome.attempts += 1
-        distance = PLACES.measure(self.halls[request.vm], found.hall)
+        distance = PLACES.get_distance(self.halls[request.vm], found.hall)
         self._schedule(now + ROUND_TRIP_S[distance], lambda at: self._answer(request, found, at))
 
     def _answer(self, request: _Request, engine: Upstream, now: float) -> None:
@@ -186,7 +190,7 @@
             self._schedule(now + POLL_S * self._random.uniform(0.6, 1.4), self._make_round(request))
 
     def _run_stream(self, request: _Request, engine: Upstream, now: float) -> None:
-        distance = PLACES.measure(self.halls[request.vm], engine.hall)
+        distance = PLACES.get_distance(self.halls[request.vm], engine.hall)
         self.outcome.placements[distance] += 1
         if distance is Distance.OTHER_REGION:
             self.outcome.far_by_second[int(request.arrived_at)] += 1
--- a/tests/relay/choosing/test_prefill_times.py
+++ b/tests/relay/choosing/test_prefill_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beamhatch.relay.choosing.prefill_times import PrefillTimes
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from tests.support.platform import Platform, make_platform
 
 FAST_RATE, SLOW_RATE = 10_000.0, 6_500.0
@@ -27,8 +27,8 @@
         platform.upstreams[name].read_rate = rate  # type: ignore[attr-defined]
 
 
-@pytest.mark.parametrize(("without", "max_prompts"), [(ALL_IN, 8), (frozenset({Mechanism.READ_TIMES}), 16)])
-def test_prompts_at_engines_that_slow_down_are_prefilled_once(without: Without, max_prompts: int) -> None:
+@pytest.mark.parametrize(("without", "max_prompts"), [(NONE_DISABLED, 8), (frozenset({Mechanism.PREFILL_TIMES}), 16)])
+def test_prompts_at_engines_that_slow_down_are_prefilled_once(without: DisabledMechanisms, max_prompts: int) -> None:
     """Without recent prefill times, prompts at engines that slow down are prefilled twice."""
     platform = make_platform(without=without)
     set_prefill_rate(platform, FAST_RATE)
--- a/tests/relay/choosing/test_rests.py
+++ b/tests/relay/choosing/test_rests.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.choosing.rests import MAX_JITTER, PROBE_TIMEOUT_S, RECOVERY_RESPONSES, Backoffs
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 
-ONE = Life(UpstreamId("one"), 1)
+ONE = Incarnation(UpstreamId("one"), 1)
 NOW = 100.0
 MAX_BACKOFF_S = 3.0 * (1 + MAX_JITTER)
 
@@ -45,7 +45,7 @@
 def test_a_backoff_does_not_apply_to_other_incarnations() -> None:
     backoffs = Backoffs()
     backoffs.record(ONE, 3.0, NOW)
-    assert backoffs.may_send_to_incarnation(Life(ONE.id, 2), NOW)
+    assert backoffs.may_send_to_incarnation(Incarnation(ONE.id, 2), NOW)
     assert not backoffs.may_send_to_incarnation(ONE, NOW)
 
 
--- a/tests/relay/choosing/test_shortage.py
+++ b/tests/relay/choosing/test_shortage.py
@@ -35,7 +35,7 @@
 def test_there_is_no_shortage_while_one_upstream_may_be_sent_requests() -> None:
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.record_departure(upstreams[0].life, NOW)
+    eligibility.listing.record_departure(upstreams[0].incarnation, NOW)
     assert detect_shortage(eligibility, upstreams, None, None, NOW) is None
     assert detect_shortage(eligibility, [], None, None, NOW) is None
 
@@ -44,7 +44,7 @@
     upstreams = make_upstreams("ab")
     eligibility = make_eligibility(upstreams)
     for one in upstreams:
-        eligibility.listing.record_departure(one.life, NOW)
+        eligibility.listing.record_departure(one.incarnation, NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW)
     assert shortage is not None
     assert (shortage.obstacle, shortage.wait) == (Obstacle.LEAVING, LEAVING_RETRY_S)
@@ -58,9 +58,9 @@
 def test_the_wait_lasts_until_the_first_backoff_ends() -> None:
     upstreams = make_upstreams("abc")
     eligibility = make_eligibility(upstreams)
-    eligibility.listing.record_departure(upstreams[0].life, NOW)
-    eligibility.backoffs.record(upstreams[1].life, 5.0, NOW)
-    eligibility.backoffs.record(upstreams[2].life, 3.0, NOW)
+    eligibility.listing.record_departure(upstreams[0].incarnation, NOW)
+    eligibility.backoffs.record(upstreams[1].incarnation, 5.0, NOW)
+    eligibility.backoffs.record(upstreams[2].incarnation, 3.0, NOW)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 1.0)
     assert shortage is not None
     assert shortage.obstacle is Obstacle.RESTING
@@ -70,8 +70,8 @@
 def test_the_wait_is_short_while_a_probe_is_in_flight() -> None:
     upstreams = make_upstreams("a")
     eligibility = make_eligibility(upstreams)
-    eligibility.backoffs.record(upstreams[0].life, 1.0, NOW)
-    eligibility.backoffs.begin_request(upstreams[0].life, NOW + 2.0)
+    eligibility.backoffs.record(upstreams[0].incarnation, 1.0, NOW)
+    eligibility.backoffs.begin_request(upstreams[0].incarnation, NOW + 2.0)
     shortage = detect_shortage(eligibility, upstreams, None, None, NOW + 2.0)
     assert shortage is not None
     assert (shortage.obstacle, shortage.wait) == (Obstacle.RESTING, PROBE_RETRY_S)
--- a/tests/relay/choosing/test_spill.py
+++ b/tests/relay/choosing/test_spill.py
@@ -9,9 +9,9 @@
 from beamhatch.relay.choosing.chooser import MAX_CANDIDATES, LeastCostChooser
 from beamhatch.relay.choosing.spill import CostSpillPolicy
 from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
-from beamhatch.relay.mechanism import ALL_IN, Mechanism, Without
+from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Address, Phase, ServiceName, Upstream, UpstreamId
-from beamhatch.relay.places import Distance
+from beamhatch.relay.topology import Distance
 from tests.relay.choosing.spill_simulation import PLACES, REGIONS, RingSpillPolicy, Simulation
 
 LENGTH, BEGIN, END = 12.0, 3.0, 9.0
@@ -37,7 +37,7 @@
 
 
 def test_requests_leave_their_region_without_distance_costs() -> None:
-    outcome = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.HALL_COST, Mechanism.NEAR_DRAW})).run(
+    outcome = Simulation(CostSpillPolicy, 1, frozenset({Mechanism.DISTANCE_COST, Mechanism.NEAR_CANDIDATES})).run(
         LENGTH, get_normal_rate
     )
     assert outcome.far_share > 0.3
@@ -50,10 +50,10 @@
 
 
 @pytest.mark.parametrize(
-    ("make_spill", "without"), [(CostSpillPolicy, frozenset({Mechanism.SPILL})), (RingSpillPolicy, ALL_IN)]
+    ("make_spill", "without"), [(CostSpillPolicy, frozenset({Mechanism.SPILL})), (RingSpillPolicy, NONE_DISABLED)]
 )
 def test_requests_are_late_if_refusals_have_no_cost(
-    make_spill: type[CostSpillPolicy | RingSpillPolicy], without: Without
+    make_spill: type[CostSpillPolicy | RingSpillPolicy], without: DisabledMechanisms
 ) -> None:
     """Without a cost for refusals, many requests of a surge are late, since a VM knows the loads of few engines."""
     assert Simulation(make_spill, 1, without).run(LENGTH, get_surge_rate).late_or_lost_share > 0.02
@@ -67,7 +67,7 @@
     assert sum(by_second[int(END) :]) <= 6
 
 
-def sample_distances(without: Without, runs: int = 200) -> Counter[Distance]:
+def sample_distances(without: DisabledMechanisms, runs: int = 200) -> Counter[Distance]:
     engines = [
         Upstream(UpstreamId(f"{hall}{n}"), ServiceName("s"), Address("h", n), hall, False, Phase.DECODE, 16)
         for hall in REGIONS
@@ -76,13 +76,13 @@
     chooser = LeastCostChooser(UpstreamStatsRegistry(), "x1", without=without, places=PLACES)
     sampled = [one for _ in range(runs) for one in chooser._sample(engines, Phase.DECODE, set(), 1.0, "x1")]
     assert len(sampled) == MAX_CANDIDATES * runs
-    return Counter(PLACES.measure("x1", one.hall) for one in sampled)
+    return Counter(PLACES.get_distance("x1", one.hall) for one in sampled)
 
 
 def test_most_candidates_are_near_and_some_are_far() -> None:
-    sampled = sample_distances(ALL_IN)
+    sampled = sample_distances(NONE_DISABLED)
     total = sum(sampled.values())
     assert sampled[Distance.SAME_HALL] + sampled[Distance.SAME_REGION] > 0.6 * total
     assert sampled[Distance.OTHER_REGION] > 0.15 * total
-    anywhere = sample_distances(frozenset({Mechanism.NEAR_DRAW}))
+    anywhere = sample_distances(frozenset({Mechanism.NEAR_CANDIDATES}))
     assert anywhere[Distance.SAME_HALL] < 0.25 * total
--- a/tests/relay/fleet/test_evacuations.py
+++ b/tests/relay/fleet/test_evacuations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.fleet.evacuations import MAX_UNCONFIGURED_HALLS, Evacuation, Evacuations
-from beamhatch.relay.places import Places, RegionName
+from beamhatch.relay.topology import RegionName, Topology
 
 UPDATES = [Evacuation("a", revision, revision % 2 == 1) for revision in range(1, 6)]
 
@@ -56,7 +56,7 @@
 
 
 def test_unconfigured_halls_are_bounded_and_configured_halls_always_kept() -> None:
-    evacuations = Evacuations(Places({"configured": RegionName("west")}))
+    evacuations = Evacuations(Topology({"configured": RegionName("west")}))
     for number in range(3 * MAX_UNCONFIGURED_HALLS):
         evacuations.apply(Evacuation(f"unconfigured-{number}", number + 1, True), 1.0)
     assert evacuations.apply(Evacuation("configured", 1000, True), 1.0)
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -9,11 +9,11 @@
 from beamhatch.relay.limits.account import MAX_DEBT_S, MAX_ORIGINS, MIN_RATE_PER_S, RELEASED_PERMIT_TTL_S
 from beamhatch.relay.limits.limits import ENDED_LIMIT_RETENTION_S, MAX_BUCKETS, UNLIMITED_RATE_PER_S, Limits
 from beamhatch.relay.limits.words import LimitState, Origin, RequestCount, make_incarnation_key
-from beamhatch.relay.model import Life, UpstreamId
+from beamhatch.relay.model import Incarnation, UpstreamId
 from tests.support.limit_fleet import WINDOW_S, LimitFleet
 
-INCARNATION = Life(UpstreamId("u"), 1)
-OTHER_INCARNATION = Life(UpstreamId("u"), 2)
+INCARNATION = Incarnation(UpstreamId("u"), 1)
+OTHER_INCARNATION = Incarnation(UpstreamId("u"), 2)
 KEY = make_incarnation_key(INCARNATION)
 NOW = 100.0
 SETTLE = 2.0
@@ -39,8 +39,8 @@
 
 def test_an_upstream_without_a_limit_is_not_limited() -> None:
     limits = make_limits()
-    assert limits.may_send(Life(UpstreamId("v"), 1), NOW)
-    assert limits.acquire_permit(Life(UpstreamId("v"), 1), NOW) is None
+    assert limits.may_send(Incarnation(UpstreamId("v"), 1), NOW)
+    assert limits.acquire_permit(Incarnation(UpstreamId("v"), 1), NOW) is None
 
 
 def test_capacity_accrues_only_after_the_limit_is_announced() -> None:
@@ -136,11 +136,11 @@
 def test_buckets_are_bounded_and_expire() -> None:
     limits = Limits()
     for number in range(MAX_BUCKETS + 5):
-        limits.apply_response(Life(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
+        limits.apply_response(Incarnation(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
     assert limits.count_limited() == MAX_BUCKETS
     limits.keep_only({UpstreamId("u100"), UpstreamId("u101")})
     assert limits.count_limited() == 2
-    limits.apply_response(Life(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
+    limits.apply_response(Incarnation(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
     limits.remove_expired(NOW + 2 + ENDED_LIMIT_RETENTION_S)
     assert [word.incarnation.id for word in limits.list_states(NOW)] == ["u101"]
 
--- a/tests/relay/workspaces/test_usage_gossip.py
+++ b/tests/relay/workspaces/test_usage_gossip.py
@@ -9,7 +9,7 @@
 from twisted.internet import task
 
 from beamhatch.relay.fleet.gossip_message import Usage
-from beamhatch.relay.model import CallerLimits, make_table
+from beamhatch.relay.model import CallerLimits, make_routing_table
 from beamhatch.relay.workspaces.quota import DemandAllocator, QuotaTerms
 from beamhatch.relay.workspaces.usage import HallUsage, Rates, UsageTracker
 from beamhatch.relay.workspaces.usage_talk import DIRECT_TTL_S, UsageGossip
@@ -46,7 +46,7 @@
         self.clock.advance(100.0)
         news = UsageTracker("me", "a")
         share = DemandAllocator(news, lambda: 12, QuotaTerms(), 0.0)
-        table = make_table(1, [], [], CallerLimits(), (make_workspace(1000, 1000),))
+        table = make_routing_table(1, [], [], CallerLimits(), (make_workspace(1000, 1000),))
         core: Any = SimpleNamespace(
             clock=SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater), table=table
         )
