--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -26,7 +26,7 @@
 UNLIMITED_RATE_PER_S = 1000.0
 """Limits at or above this rate are treated as no limit."""
 
-ENDED_LIMIT_RETENTION_S = 30.0
+WITHDRAWN_LIMIT_RETENTION_S = 30.0
 """Seconds for which a withdrawn limit is kept, so that older states that arrive late are ignored."""
 
 MAX_BUCKETS = 1024
@@ -173,12 +173,12 @@
         self._incarnations_by_key = {make_incarnation_key(life): life for life in self._buckets}
 
     def remove_expired(self, now: float) -> None:
-        """Remove limits that were withdrawn longer than ``ENDED_LIMIT_RETENTION_S`` ago."""
+        """Remove limits that were withdrawn longer than ``WITHDRAWN_LIMIT_RETENTION_S`` ago."""
         for incarnation, bucket in list(self._buckets.items()):
-            if bucket.rate is None and now - bucket.rate_received_at > ENDED_LIMIT_RETENTION_S:
+            if bucket.rate is None and now - bucket.rate_received_at > WITHDRAWN_LIMIT_RETENTION_S:
                 self._remove_bucket(incarnation)
 
-    def keep_only(self, listed: Collection[UpstreamId]) -> None:
+    def remove_unlisted(self, listed: Collection[UpstreamId]) -> None:
         """Remove the limits of upstreams that are not listed."""
         if any(known not in listed for known in self._upstream_ids):
             self._buckets = {life: bucket for life, bucket in self._buckets.items() if life.id in listed}
@@ -247,7 +247,7 @@
         if bucket is not None:
             bucket.release(now)
 
-    def describe(self, incarnation: Life) -> dict[str, object]:
+    def get_log_fields(self, incarnation: Life) -> dict[str, object]:
         """Return the log fields that explain this VM's part of a limit."""
         bucket = self._buckets.get(incarnation)
         if bucket is None:
--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -102,7 +102,7 @@
         if is_turn or now - self._limits_written.get(life, -math.inf) >= LIMIT_LINE_GAP:
             self._limits_written[life] = now
             event = "names a limit" if rate is not None else "names no limit any more"
-            part = self.limits.describe(life)
+            part = self.limits.get_log_fields(life)
             self.journal.write("LIMIT", event, upstream=life.id, rate=rate, before=before, source=source, **part)
         if before is None and rate is not None:
             self.on_news(life)
@@ -143,7 +143,7 @@
     def forget_old(self, listed: Collection[UpstreamId]) -> None:
         """Drop what was said by upstreams that are known no longer."""
         self.rests.keep_only(listed)
-        self.limits.keep_only(listed)
+        self.limits.remove_unlisted(listed)
         self.limits.remove_expired(self.clock.now())
         self._limits_written = {life: at for life, at in self._limits_written.items() if life.id in listed}
 
--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -27,7 +27,7 @@
 HALL_USAGE_TTL_S = 0.9
 """Seconds for which a sum is used; covers two idle intervals and the route over four VMs."""
 
-MIN_RATE_PER_S = 1.0
+MIN_REPORTED_RATE_PER_S = 1.0
 """Rates below this many units per second are not reported."""
 
 
@@ -106,7 +106,7 @@
         rates = {}
         for workspace, meter in list(self._requested.items()):
             requested = meter.compute_rate(now)
-            if requested < MIN_RATE_PER_S:
+            if requested < MIN_REPORTED_RATE_PER_S:
                 del self._requested[workspace]
                 self._granted.pop(workspace, None)
                 continue
@@ -154,7 +154,7 @@
     vm: str
     hall: str
     local: LocalUsage = field(default_factory=LocalUsage)
-    members: PeerValues[RatesByWorkspace] = field(default_factory=PeerValues)
+    member_rates: PeerValues[RatesByWorkspace] = field(default_factory=PeerValues)
     """Rates reported by the other VMs of the hall."""
     _halls: dict[tuple[str, str], KnownHallUsage] = field(default_factory=dict)
     """Newest sum by hall and aggregator."""
@@ -169,7 +169,7 @@
 
     def compute_hall_rates(self, now: float) -> RatesByWorkspace:
         """Return the rates of this VM's hall, summed from its members' reports."""
-        return add_rates([self.local.compute_rates(now), *self.members.list_values(now)])
+        return add_rates([self.local.compute_rates(now), *self.member_rates.list_values(now)])
 
     def record_own_hall(self, rates: RatesByWorkspace, vms: int, now: float) -> None:
         """Record the sum for this VM's hall; ``vms`` is the number of VMs it covers, silent ones included."""
@@ -208,5 +208,5 @@
 
     def remove_expired(self, now: float) -> None:
         """Remove expired reports and sums."""
-        self.members.drop_expired(now)
+        self.member_rates.drop_expired(now)
         self._halls = {key: usage for key, usage in self._halls.items() if now - usage.computed_at < HALL_USAGE_TTL_S}
--- a/src/beamhatch/relay/workspaces/usage_talk.py
+++ b/src/beamhatch/relay/workspaces/usage_talk.py
@@ -42,7 +42,7 @@
 """
 
 
-DIRECT_TTL_S = 0.7
+DIRECT_HALL_TTL_S = 0.7
 """Seconds after which a hall no longer counts as received directly; covers two idle intervals and a transit."""
 
 
@@ -69,7 +69,7 @@
         core: Core,
         allocator: QuotaAllocator,
         list_connections: Callable[[], Iterable[PeerConnection]],
-        adds_up: Callable[[], bool],
+        is_aggregator: Callable[[], bool],
     ) -> None:
         """Initialize the gossip.
 
@@ -80,7 +80,7 @@
         self.tracker = allocator.usage
         self._allocator = allocator
         self._list_connections = list_connections
-        self._adds_up = adds_up
+        self._is_aggregator = is_aggregator
         self._peers: dict[str, _Peer] = {}
         self._sent_local = False
         """Whether the last message had rates of this VM's callers."""
@@ -113,7 +113,7 @@
             return
         now = self.core.clock.now()
         if message.own is not None and connection.hall == self.tracker.hall:
-            self.tracker.members.record(connection.vm, message.own, now)
+            self.tracker.member_rates.record(connection.vm, message.own, now)
         peer = self._get_peer(connection)
         has_surged = False
         if message.direct is not None:
@@ -187,7 +187,7 @@
         table = self.core.table
         assert table is not None
         self.tracker.remove_expired(now)
-        adds_up = self._adds_up()
+        adds_up = self._is_aggregator()
         vms = 1
         if adds_up:
             members = {connection.vm for connection in self._list_connections() if connection.hall == self.tracker.hall}
@@ -228,7 +228,7 @@
         return frozenset(
             peer.hall
             for peer in self._peers.values()
-            if peer.hall != self.tracker.hall and now - peer.received_at < DIRECT_TTL_S
+            if peer.hall != self.tracker.hall and now - peer.received_at < DIRECT_HALL_TTL_S
         )
 
     def _get_covered_halls(self, direct: frozenset[str], now: float) -> frozenset[str]:
@@ -236,7 +236,7 @@
         others = [
             peer.direct_halls
             for peer in self._peers.values()
-            if peer.hall == self.tracker.hall and now - peer.received_at < DIRECT_TTL_S
+            if peer.hall == self.tracker.hall and now - peer.received_at < DIRECT_HALL_TTL_S
         ]
         return direct.union(*others)
 
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from beamhatch.relay.limits.account import MAX_DEBT_S, MAX_ORIGINS, MIN_RATE_PER_S, RELEASED_PERMIT_TTL_S
-from beamhatch.relay.limits.limits import ENDED_LIMIT_RETENTION_S, MAX_BUCKETS, UNLIMITED_RATE_PER_S, Limits
+from beamhatch.relay.limits.limits import MAX_BUCKETS, UNLIMITED_RATE_PER_S, WITHDRAWN_LIMIT_RETENTION_S, Limits
 from beamhatch.relay.limits.words import LimitState, Origin, RequestCount, make_incarnation_key
 from beamhatch.relay.model import Life, UpstreamId
 from tests.support.limit_fleet import WINDOW_S, LimitFleet
@@ -138,10 +138,10 @@
     for number in range(MAX_BUCKETS + 5):
         limits.apply_response(Life(UpstreamId(f"u{number}"), 1), 1.0, NOW, NOW)
     assert limits.count_limited() == MAX_BUCKETS
-    limits.keep_only({UpstreamId("u100"), UpstreamId("u101")})
+    limits.remove_unlisted({UpstreamId("u100"), UpstreamId("u101")})
     assert limits.count_limited() == 2
     limits.apply_response(Life(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
-    limits.remove_expired(NOW + 2 + ENDED_LIMIT_RETENTION_S)
+    limits.remove_expired(NOW + 2 + WITHDRAWN_LIMIT_RETENTION_S)
     assert [word.incarnation.id for word in limits.list_states(NOW)] == ["u101"]
 
 
--- a/tests/relay/workspaces/test_usage_gossip.py
+++ b/tests/relay/workspaces/test_usage_gossip.py
@@ -12,7 +12,7 @@
 from beamhatch.relay.model import CallerLimits, make_table
 from beamhatch.relay.workspaces.quota import DemandAllocator, QuotaTerms
 from beamhatch.relay.workspaces.usage import HallUsage, Rates, UsageTracker
-from beamhatch.relay.workspaces.usage_talk import DIRECT_TTL_S, UsageGossip
+from beamhatch.relay.workspaces.usage_talk import DIRECT_HALL_TTL_S, UsageGossip
 from beamhatch.relay.workspaces.workspace import WorkspaceName
 from tests.support.quota_fleet import make_workspace
 
@@ -110,7 +110,7 @@
     vm.receive(one, "b")
     vm.wait()
     assert two.told[-1].direct is None
-    vm.wait(DIRECT_TTL_S)
+    vm.wait(DIRECT_HALL_TTL_S)
     vm.wait()
     assert [message.direct for message in two.told if message.direct is not None][-1] == []
 
