--- a/tests/relay/workspaces/test_quota.py
+++ b/tests/relay/workspaces/test_quota.py
@@ -89,7 +89,7 @@
         for vm in fleet.vms:
             if fleet.random.random() < 0.8:
                 asked[vm.hall] += 1
-                taken[vm.hall] += fleet.ask(vm, 3000)
+                taken[vm.hall] += fleet.send_request(vm, 3000)
         fleet.run(0.25)
     shares = [taken[hall] / asked[hall] for hall in ("hall-0", "hall-1", "hall-2")]
     assert max(shares) < 0.5
@@ -125,7 +125,7 @@
     share = fleet.vms[0].allocator
     assert share is not None
     share.set_terms(QuotaTerms(8.0, 0.1, 100_000_000))
-    assert all(fleet.ask(fleet.vms[0], 100_000) for _ in range(10))
+    assert all(fleet.send_request(fleet.vms[0], 100_000) for _ in range(10))
 
 
 @pytest.mark.parametrize("share", [0.35, 1.0])
@@ -189,7 +189,7 @@
     for _ in range(100):
         for vm in fleet.vms:
             assert vm.allocator is not None
-            if fleet.ask(vm, 3000):
+            if fleet.send_request(vm, 3000):
                 vm.allocator.refund(fleet.workspace.name, 3000, fleet.clock.seconds())
             else:
                 refused += 1
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -71,7 +71,7 @@
         self.max_delay = max_delay
         self.shared = shared
         self.halls = halls
-        self.asked = 0
+        self.requested = 0
         self.refused = 0
         self.received: list[float] = []
         self._due: list[_Due] = []
@@ -154,7 +154,7 @@
     def _ask(self, vm: LimitVm) -> None:
         if not vm.ready:
             return
-        self.asked += 1
+        self.requested += 1
         if not vm.limits.may_send(LIFE, self.now):
             self.refused += 1
             return
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -62,14 +62,14 @@
 
     @property
     def is_aggregator(self) -> bool:
-        return self.there.adds_up
+        return self.there.is_aggregator
 
     @property
     def is_wanted(self) -> bool:
         """Whether a real VM would keep this connection."""
         if self.joins_halls:
-            return self.here.adds_up and self.there.adds_up and self.here.position == self.there.position
-        return self.hall != self.here.hall or self.here.adds_up or self.there.adds_up
+            return self.here.is_aggregator and self.there.is_aggregator and self.here.position == self.there.position
+        return self.hall != self.here.hall or self.here.is_aggregator or self.there.is_aggregator
 
     def send(self, message: Usage) -> None:
         assert self.other is not None
@@ -95,8 +95,8 @@
     links: list[_Link] = field(default_factory=list)
     gossip: UsageGossip | None = None
     allocator: QuotaAllocator | None = None
-    links_up: list[_Link] = field(default_factory=list)
-    adds_up: bool = False
+    active_links: list[_Link] = field(default_factory=list)
+    is_aggregator: bool = False
     position: int = 0
     """Position among the connected VMs of its hall."""
     side: int = 0
@@ -166,9 +166,9 @@
         for vm in self.vms:
             members = [one for one in self.vms if one.hall == vm.hall and vm.sees(one)]
             vm.position = members.index(vm)
-            vm.adds_up = vm.position < AGGREGATORS
+            vm.is_aggregator = vm.position < AGGREGATORS
         for vm in self.vms:
-            vm.links_up = [link for link in vm.links if vm.sees(link.there) and link.is_wanted]
+            vm.active_links = [link for link in vm.links if vm.sees(link.there) and link.is_wanted]
 
     def _start(self, vm: Vm) -> None:
         news = UsageTracker(vm.name, vm.hall)
@@ -178,9 +178,9 @@
         core: Any = SimpleNamespace(clock=clock, table=table)
 
         def list_links() -> Any:
-            return vm.links_up
+            return vm.active_links
 
-        vm.gossip = UsageGossip(core, vm.allocator, list_links, lambda: vm.adds_up)
+        vm.gossip = UsageGossip(core, vm.allocator, list_links, lambda: vm.is_aggregator)
         vm.gossip.start()
 
     def cut(self, vms: list[Vm], *, apart: bool = False) -> None:
@@ -216,7 +216,7 @@
             core: Any = vm.gossip.core
             core.table = table
 
-    def ask(self, vm: Vm, units: int) -> bool:
+    def send_request(self, vm: Vm, units: int) -> bool:
         """Have a caller of a VM ask; return whether the request was taken."""
         assert vm.allocator is not None
         now = self.clock.seconds()
@@ -240,7 +240,7 @@
             while owed > 0:
                 units = 200 if self.random.random() < 0.3 else int(self.random.lognormvariate(7.9, 0.5))
                 owed -= units
-                self.ask(self.random.choice(asked), units)
+                self.send_request(self.random.choice(asked), units)
             self.clock.advance(STEP_S)
 
     def compute_worst_window(self) -> float:
