--- a/src/beamhatch/relay/limits/account.py
+++ b/src/beamhatch/relay/limits/account.py
@@ -1,10 +1,10 @@
 """A token bucket for one rate-limited upstream, replicated on every VM.
 
-Each VM refills its copy at the announced rate and deducts the requests of all VMs: its own at once, those of others as
-their counts arrive. Requests that were sent before their counts arrived make the level negative and delay later ones.
+Each VM refills its copy at the announced rate and deducts the requests of all VMs: its own immediately, those of others
+when their counts arrive. Requests that other VMs sent before their counts arrived can make the level negative.
 
-To keep VMs that see free capacity from all sending at once, each VM sends only above a random threshold, which it draws
-again after each change of the level.
+To keep VMs that see free capacity from all sending at once, each VM sends only while the level is at or above a random
+threshold. It draws a new threshold after each deduction, after each change of the rate, and when the old one expires.
 """
 
 from __future__ import annotations
@@ -21,11 +21,14 @@
 MIN_RATE_PER_S = 0.1
 """Lowest rate at which requests are sent, even if the limit is lower or 0.
 
-Upstreams announce limits only in responses, so without requests the end of a limit would go unnoticed.
+Upstreams announce limits only in responses, so without requests a raised or withdrawn limit would go unnoticed.
 """
 
 THRESHOLD_SPREAD_S = 0.1
-"""Range of the thresholds, in seconds of the rate; exceeds the delay of updates between VMs."""
+"""Range of the thresholds, as the seconds in which it accrues at the announced rate.
+
+Exceeds the delay of updates between VMs.
+"""
 
 MIN_THRESHOLD_SPREAD = 1.0
 """Minimum range of the thresholds, in requests."""
@@ -37,13 +40,13 @@
 """Capacity beyond the highest threshold, in requests, so that every threshold can be reached."""
 
 THRESHOLD_TTL_S = 0.25
-"""Seconds after which a threshold is drawn again if nothing was sent."""
+"""Seconds after which a threshold is drawn again if the level was not changed by requests."""
 
 MAX_DEBT_S = 8.0
-"""Largest debt, in seconds of the rate, whatever counts other VMs send."""
+"""Maximum debt, as the seconds in which it is repaid at the announced rate; counts beyond it are ignored."""
 
 MIN_DEBT_LIMIT = 8.0
-"""Debt that is always allowed, in requests."""
+"""Lower bound of the maximum debt, in requests."""
 
 RELEASED_PERMIT_TTL_S = 1.0
 """Seconds for which a released permit can be reused by this VM; other VMs have already deducted it."""
@@ -66,7 +69,7 @@
     position: float = 0.0
     """This VM's position in [0, 1); in large fleets only the VMs with the lowest positions send."""
     level: float = 0.0
-    """Requests that may be sent; negative after too many. Starts at 0 or below when a limit is announced."""
+    """Requests that may be sent; negative if more were sent. Starts at 0 or below when a limit is announced."""
     retries_expected_until: float = -math.inf
     """Until when refused callers may retry, in monotonic seconds."""
     _threshold: float = math.inf
--- a/src/beamhatch/relay/limits/limits.py
+++ b/src/beamhatch/relay/limits/limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that upstreams announce, and this VM's part in enforcing them.
+"""Enforces the rate limits that upstreams announce, jointly with the other VMs.
 
 The newest state of an incarnation wins: a VM that learns of a change from the upstream itself increments the version,
 and of two states with the same version the stricter wins. Responses can overtake each other, so one that withdraws or
@@ -34,14 +34,14 @@
 
 MIN_SENDERS = 16.0
 SENDERS_PER_RATE = 8.0
-"""VMs that may send to a limited upstream: a base number, plus so many per request per second of the limit.
+"""Number of VMs that may send to a limited upstream: a base number, plus a number per request per second of the limit.
 
 Senders exchange their counts, and may overshoot the limit while counts are in transit; both grow with their number.
 With too few, a limit is left unused if callers reach only few VMs.
 """
 
 RECIPIENT_FACTOR = 1.5
-"""Counts go to this multiple of the senders: a VM that knows of fewer VMs may take itself for a sender."""
+"""Counts go to this multiple of the senders: a VM that knows of fewer VMs may consider itself a sender."""
 
 ORIGIN_BITS = 32
 """Size of a random origin; if two VMs drew the same one, their requests would be undercounted."""
--- a/src/beamhatch/relay/limits/talk.py
+++ b/src/beamhatch/relay/limits/talk.py
@@ -1,7 +1,8 @@
 """Exchanges rate limits and request counts with peers.
 
 Each VM sends its own changes to all peers at once. All VMs forward limits, which seldom change; only the VMs that
-aggregate the usage of their hall forward counts, so traffic grows with the number of VMs and not of connections.
+aggregate the usage of their hall forward counts, so traffic grows with the number of VMs rather than with the number of
+connections.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
     from beamhatch.relay.upstreams.announcements import Announcements
 
 MIN_BATCH_DELAY_S = 0.005
-"""Seconds for which updates are collected into one message, at least."""
+"""Minimum seconds for which updates are collected into one message."""
 
 MAX_BATCH_DELAY_S = 0.25
-"""Seconds for which updates are collected, at most."""
+"""Maximum seconds for which updates are collected into one message."""
 
 BATCH_DELAY_PER_ITEM_S = 0.003
 """Seconds of delay per item of the previous message, which bounds the bandwidth of a connection."""
@@ -37,7 +38,7 @@
 
 
 class LimitGossip:
-    """The limit gossip of one VM."""
+    """Sender and receiver of limit updates on one VM."""
 
     def __init__(self, clock: Clock, announcements: Announcements) -> None:
         self._clock = clock
--- a/src/beamhatch/relay/limits/words.py
+++ b/src/beamhatch/relay/limits/words.py
@@ -10,7 +10,7 @@
 from beamhatch.relay.model import Life
 
 Origin = NewType("Origin", int)
-"""Random id of one start of a VM; a restarted VM counts from zero under a new one."""
+"""Random id that a VM draws at each start; its counts start from zero under the new id."""
 
 IncarnationKey = NewType("IncarnationKey", int)
 """Short hash of an incarnation."""
@@ -25,7 +25,7 @@
     rate: float | None
     """Requests per second from all VMs together; None if the limit was withdrawn."""
     level: float = 0.0
-    """Level of the sender's bucket, in requests; negative after too many."""
+    """Level of the sender's bucket, in requests; negative if more were sent."""
 
 
 class RequestCount(msgspec.Struct, array_like=True, frozen=True):
@@ -36,7 +36,7 @@
     total: int
     """Total so far, so that duplicated and lost messages do not matter."""
     new: int
-    """Requests that were new to the sender; used by a receiver that does not know the origin."""
+    """Requests not yet counted by the sender; a receiver that has no total of the origin adds these instead."""
 
 
 def make_incarnation_key(incarnation: Life) -> IncarnationKey:
--- a/src/beamhatch/relay/workspaces/admission.py
+++ b/src/beamhatch/relay/workspaces/admission.py
@@ -22,9 +22,9 @@
     workspace: WorkspaceName | None = None
     """Workspace of the caller; None if the configuration has none, or on a public route without a known key."""
     cost: int = 0
-    """Units that were acquired from the workspace's quota."""
+    """Units acquired from the workspace's quota."""
     priority: int = 0
-    """Priority from the workspace or else the route; 0 if the configuration has no workspaces."""
+    """Priority of the workspace, or of the route if the workspace has none; 0 if no workspaces are configured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     """Returns whether a newer configuration than this VM's may exist."""
 
     def decide(self, facts: RequestFacts, route: Route, table: Table, now: float) -> Decision:
-        """Return whether a request is admitted; its cost is then acquired from the quota."""
+        """Decide whether to admit a request; if so, acquire its cost from the workspace's quota."""
         if not table.workspaces:
             return Admitted()
         workspace = table.find_workspace(facts.key)
@@ -78,7 +78,7 @@
         return Admitted(keyed=True, workspace=workspace.name, cost=cost, priority=_get_priority(workspace, route))
 
     def refund(self, admitted: Admitted, now: float) -> None:
-        """Return the units of a request that reached no upstream to the quota."""
+        """Refund the units of a request that reached no upstream."""
         if self.allocator is not None and admitted.workspace is not None and admitted.cost:
             self.allocator.refund(admitted.workspace, admitted.cost, now)
 
--- a/src/beamhatch/relay/workspaces/quota.py
+++ b/src/beamhatch/relay/workspaces/quota.py
@@ -1,14 +1,14 @@
 """Enforces workspace quotas over all VMs without a coordinator.
 
 The platform counts the units of a workspace's requests, on all VMs together, in a sliding window. It tolerates the rate
-over the window plus the burst, an overage and a slack. Callers are owed that bound, so the steady rate at which units
-are granted follows from the bound and not from the quota's rate alone.
+over the window plus the burst, an overage and a slack. The VMs use this tolerance: the steady rate at
+which they grant units is derived from the tolerated total, not from the quota's rate alone.
 
-All VMs use the same one of two allocators:
+There are two allocators; all VMs must use the same one:
 
-- :class:`DemandAllocator` grants every VM the same share of its callers' demand: all of it below the quota, and less
-  beyond, so that callers are treated alike in every hall. VMs that are not in contact each keep an equal part for
-  themselves, so an isolated VM or hall continues on its own part.
+- :class:`DemandAllocator` grants every VM the same share of its callers' demand: all of it below the quota, and a
+  part of it above, so that callers are treated alike in every hall. A VM or hall that is cut off grants only the part
+  of the quota that corresponds to its share of the VMs.
 - :class:`EqualAllocator` grants every VM an equal part, whatever its demand.
 """
 
@@ -30,10 +30,10 @@
 """Share of the window bound that is granted at a steady rate while all VMs are in contact."""
 
 CAUTIOUS_RATE_SHARE = 0.72
-"""The same for a VM that has run for less than a window, or misses many VMs, whose grants are unknown."""
+"""The same for a VM that has run for less than a window or lacks contact with many VMs, whose grants are unknown."""
 
 MISSING_VMS_PENALTY = 2.0
-"""Decrease of the share per share of the VMs that are missing, down to the cautious one."""
+"""Decrease of ``STEADY_RATE_SHARE`` per share of VMs not in contact, down to ``CAUTIOUS_RATE_SHARE``."""
 
 BURST_SHARE = 0.03
 """Share of the window bound that may be granted at once on top of the steady rate. The rest is a reserve for grants of
@@ -46,7 +46,7 @@
 """
 
 MAX_DEBT_S = 4.0
-"""Largest excess that is compensated, in seconds of the steady rate."""
+"""Largest excess that is compensated, as the seconds in which it accrues at the steady rate."""
 
 SETTLE_TIME_S = 1.0
 """Seconds after the start of a VM during which it grants no more than its equal part, as it has not yet received the
@@ -127,7 +127,7 @@
         return wait
 
     def refund(self, workspace: WorkspaceName, units: int, now: float) -> None:
-        """Return the units of a request that reached no upstream."""
+        """Refund the units of a request that reached no upstream."""
         self.usage.local.record_granted(workspace, -units, now)
         self.restore(workspace, units)
 
@@ -158,7 +158,7 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """A token bucket; negative after too many units were granted."""
+    """A token bucket; ``units`` is negative if more were granted than had accrued."""
 
     units: float
     refilled_at: float
@@ -216,8 +216,8 @@
         """
         bucket = self._buckets.get(workspace)
         if bucket is None:
-            earned = rate * (now - self.started_at)
-            bucket = self._buckets[workspace] = _Bucket(min(capacity, earned), now)
+            accrued = rate * (now - self.started_at)
+            bucket = self._buckets[workspace] = _Bucket(min(capacity, accrued), now)
         bucket.refill(rate, capacity, now)
         return bucket
 
@@ -227,7 +227,7 @@
     """The allocation of one workspace as this VM knows it."""
 
     units: float
-    """Units that the VMs in contact may grant on top of the steady rate; negative after too many."""
+    """Units that the VMs in contact may grant on top of the steady rate; negative if more were granted."""
     updated_at: float
     granted_share: float = 1.0
     """Share of the requested units to grant."""
--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -25,7 +25,7 @@
 """Seconds by which the apparent age of a sum may differ by route; less than the interval between two sums."""
 
 HALL_USAGE_TTL_S = 0.9
-"""Seconds for which a sum is used; covers two idle intervals and the route over four VMs."""
+"""Seconds for which a sum is used; covers two idle sending intervals and the delay over four VMs."""
 
 MIN_REPORTED_RATE_PER_S = 1.0
 """Rates below this many units per second are not reported."""
@@ -52,7 +52,7 @@
     aggregator: str
     """VM that computed the sum."""
     age: float
-    """Seconds since the sum was computed, so that a forwarded sum does not look new."""
+    """Seconds since the sum was computed, so that a receiver can tell how old a forwarded sum is."""
     vms: int
     """Number of VMs it covers."""
     rates: RatesByWorkspace
@@ -160,7 +160,7 @@
     """Newest sum by hall and aggregator."""
 
     def apply_hall_usage(self, message: HallUsage, now: float) -> KnownHallUsage:
-        """Apply a sum from a peer; return it."""
+        """Record a peer's sum if it is newer than the known one and not from this VM; return it in any case."""
         usage = KnownHallUsage(message.hall, message.aggregator, message.vms, message.rates, now - message.age)
         key = usage.hall, usage.aggregator
         if usage.aggregator != self.vm and usage.is_newer(self._halls.get(key)):
@@ -172,7 +172,7 @@
         return add_rates([self.local.compute_rates(now), *self.member_rates.list_values(now)])
 
     def record_own_hall(self, rates: RatesByWorkspace, vms: int, now: float) -> None:
-        """Record the sum for this VM's hall; ``vms`` is the number of VMs it covers, silent ones included."""
+        """Record the sum for this VM's hall; ``vms`` is the number of VMs it covers, including those without usage."""
         self._halls[self.hall, self.vm] = KnownHallUsage(self.hall, self.vm, vms, rates, now)
 
     def list_hall_usages(self, now: float) -> list[KnownHallUsage]:
--- a/src/beamhatch/relay/workspaces/usage_talk.py
+++ b/src/beamhatch/relay/workspaces/usage_talk.py
@@ -28,7 +28,7 @@
 """Interval between checks for a surge."""
 
 SURGE_FACTOR = 1.5
-"""Growth of a workspace's demand since the last message from which peers are informed at once.
+"""Growth of a workspace's demand since the last message that triggers a message at once.
 
 Only demand above the covered VMs' part of the quota counts.
 """
@@ -43,7 +43,7 @@
 
 
 DIRECT_HALL_TTL_S = 0.7
-"""Seconds after which a hall no longer counts as received directly; covers two idle intervals and a transit."""
+"""Seconds after which a hall no longer counts as received directly; covers two idle intervals and a message delay."""
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
 
 
 class UsageGossip:
-    """The usage gossip of one VM."""
+    """Sender and receiver of usage messages on one VM."""
 
     def __init__(
         self,
@@ -187,38 +187,44 @@
         table = self.core.table
         assert table is not None
         self.tracker.remove_expired(now)
-        adds_up = self._is_aggregator()
+        is_aggregator = self._is_aggregator()
         vms = 1
-        if adds_up:
+        if is_aggregator:
             members = {connection.vm for connection in self._list_connections() if connection.hall == self.tracker.hall}
             vms = 1 + len(members)
             self.tracker.record_own_hall(
                 self._select_reported_rates(self.tracker.compute_hall_rates(now), vms, now), vms, now
             )
-        self._covered_vms = vms if adds_up else 1
+        self._covered_vms = vms if is_aggregator else 1
         self._sent_rates = self._compute_covered_rates(now)
         self._allocator.update(table.workspaces, now)
         local = self.tracker.local.compute_rates(now)
         halls = self.tracker.list_hall_usages(now)
         direct = self._get_direct_halls(now)
         covered = self._get_covered_halls(direct, now)
-        for connection in self._list_recipients(adds_up=adds_up):
+        for connection in self._list_recipients(is_aggregator=is_aggregator):
             in_own_hall = connection.hall == self.tracker.hall
             self._send_to(connection, local, halls, direct if in_own_hall else covered, now)
         self._sent_local = bool(local)
         return any(usage.rates for usage in halls)
 
-    def _list_recipients(self, *, adds_up: bool) -> list[PeerConnection]:
+    def _list_recipients(self, *, is_aggregator: bool) -> list[PeerConnection]:
         """Return one connection for each peer to send to.
 
         All VMs send to the peers of their hall. Aggregators also send to the aggregators of other halls, or to all
         peers in a hall where they are not connected to an aggregator.
         """
         connections = {connection.vm: connection for connection in self._list_connections()}.values()
-        if not adds_up:
+        if not is_aggregator:
             return [connection for connection in connections if connection.hall == self.tracker.hall]
-        joined = {connection.hall for connection in connections if connection.is_aggregator} - {self.tracker.hall}
-        return [connection for connection in connections if connection.is_aggregator or connection.hall not in joined]
+        halls_with_aggregator = {connection.hall for connection in connections if connection.is_aggregator} - {
+            self.tracker.hall
+        }
+        return [
+            connection
+            for connection in connections
+            if connection.is_aggregator or connection.hall not in halls_with_aggregator
+        ]
 
     def _get_direct_halls(self, now: float) -> frozenset[str]:
         """Return the other halls whose sums this VM receives from VMs there.
@@ -265,7 +271,10 @@
         connection.send(Usage(local if sends_local else None, sums, sorted(direct) if sends_direct else None))
 
     def _select_reported_rates(self, sums: RatesByWorkspace, vms: int, now: float) -> RatesByWorkspace:
-        """Return the sums to report: of quotas that are near, partly used, or reported by another hall."""
+        """Return the sums to report.
+
+        These are of workspaces near their quota, with a partly used burst, or reported by another hall.
+        """
         table = self.core.table
         assert table is not None
         reported = {
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -30,7 +30,7 @@
 
 
 def compute_tolerated(rate: float) -> float:
-    """Return the largest number of requests in a window that users tolerate."""
+    """Return the largest tolerated number of requests in a window."""
     return 1.5 * rate * WINDOW_S + 5
 
 
--- a/tests/relay/limits/test_returns.py
+++ b/tests/relay/limits/test_returns.py
@@ -13,16 +13,16 @@
 
 
 def test_each_caller_gets_its_own_slot() -> None:
-    schedules = RetrySchedule()
-    delays = [schedules.reserve(0.2, 4.0, NOW) for _ in range(10)]
+    schedule = RetrySchedule()
+    delays = [schedule.reserve(0.2, 4.0, NOW) for _ in range(10)]
     assert all(0.2 + position / 4 <= delay <= 0.2 + (position + 1) / 4 for position, delay in enumerate(delays))
 
 
 def test_slots_beyond_the_longest_delay_are_not_reserved() -> None:
-    schedules = RetrySchedule()
-    delays = [schedules.reserve(0.2, 4.0, NOW) for _ in range(500)]
+    schedule = RetrySchedule()
+    delays = [schedule.reserve(0.2, 4.0, NOW) for _ in range(500)]
     assert max(delays) <= MAX_RETRY_DELAY_S
-    later = schedules.reserve(0.1, 4.0, NOW + 10)
+    later = schedule.reserve(0.1, 4.0, NOW + 10)
     assert later <= 0.35  # callers without a slot reserved none
 
 
--- a/tests/relay/workspaces/test_quota.py
+++ b/tests/relay/workspaces/test_quota.py
@@ -20,7 +20,7 @@
 SIZES = [1, 8, 78, 195]
 
 FOUND_SEEDS = [197, 269, 303]
-"""Seeds that found windows over the bound: a second surge within the window of the first."""
+"""Seeds that produce a second surge within the window of the first."""
 
 CUT_SEEDS = [615, 1044, 1297]
 """Seeds in which a surge coincides with a partition, before VMs detect it."""
@@ -183,7 +183,7 @@
     assert sum(units for _, units in fleet.granted) >= 0.9 * 16 * 32_000
 
 
-def test_what_is_given_back_can_be_taken_again() -> None:
+def test_refunded_units_can_be_acquired_again() -> None:
     fleet = Fleet(8)
     refused = 0
     for _ in range(100):
@@ -197,7 +197,7 @@
     assert refused == 0
 
 
-def test_a_refused_caller_is_told_a_time_within_the_window() -> None:
+def test_the_retry_delay_of_a_refused_caller_is_within_the_window() -> None:
     fleet = Fleet(8)
     fleet.run(6.0, 5 * fleet.quota.rate)
     vm = fleet.vms[0]
--- a/tests/support/limit_fleet.py
+++ b/tests/support/limit_fleet.py
@@ -19,13 +19,12 @@
 LIFE = Life(UpstreamId("u"), 1)
 
 STEP_S = 0.005
-"""Seconds."""
 
 WINDOW_S = 4.0
-"""Seconds over which the users count."""
+"""Length of the window in which requests are counted."""
 
 RESPONSE_TIME_S = 0.1
-"""Seconds from a request to its answer."""
+"""Seconds from a request to its response."""
 
 
 @dataclass(eq=False)
@@ -35,7 +34,7 @@
     name: str
     limits: Limits
     side: int = 0
-    """VMs on different sides of a cut do not receive each other's messages."""
+    """VMs on different sides of a partition do not receive each other's messages."""
     ready: bool = False
     """Whether it accepts callers, which is after it received the limits from another VM."""
     known_vms: int = 0
@@ -60,7 +59,7 @@
     def __init__(
         self, vms: int, rate: float, *, seed: int = 1, max_delay: float = 0.05, shared: bool = True, halls: int = 3
     ) -> None:
-        """Make one.
+        """Start the VMs.
 
         :param max_delay: longest delay of an update between VMs, in seconds
         """
@@ -82,23 +81,23 @@
         for vm in self.vms:
             vm.known_vms, vm.ready = vms, True
 
-    # --- what happens to it ------------------------------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------------------------------------------
 
     def add(self, name: str) -> LimitVm:
-        """Start a VM; those in touch tell it all that they know as they meet, and each other of it within a second."""
+        """Start a VM; one other VM sends it all limits, and all learn of it within a second."""
         vm = LimitVm(name, Limits(own_address=name, shared=self.shared))
         vm.limits.count_vms = lambda: max(1, vm.known_vms)
         vm.limits.get_reachable_share = lambda: vm.reachable_share
-        vm.limits.on_update = lambda: self._spread(vm)
+        vm.limits.on_update = lambda: self._broadcast(vm)
         met = [one for one in self.vms if one.side == 0]
         self.vms.append(vm)
         vm.known_vms = 1 + len(met)
         vm.ready = not met
         if met:
-            teller = self.random.choice(met)
-            self._later(self.random.uniform(0, self.max_delay), lambda: self._tell_all(teller, vm))
+            sender = self.random.choice(met)
+            self._later(self.random.uniform(0, self.max_delay), lambda: self._send_all(sender, vm))
         for one in met:
-            self._later(self.random.uniform(0, 1.0), lambda one=one: self._note_size(one))  # type: ignore[misc]
+            self._later(self.random.uniform(0, 1.0), lambda one=one: self._update_known_vms(one))  # type: ignore[misc]
         return vm
 
     def restart(self, vms: Sequence[LimitVm]) -> None:
@@ -109,49 +108,49 @@
             self.add(vm.name)
 
     def cut(self, vms: Sequence[LimitVm], *, detected_after: float = 2.0, others_detect_after: float = 25.0) -> None:
-        """Cut VMs off from the others; they know it some seconds later, and the others when they miss them for long."""
+        """Partition VMs from the others; each side detects it after a delay of its own, in seconds."""
         for vm in vms:
             vm.side = 1
-        self._later(detected_after, lambda: self._note_shares(vms))
-        self._later(others_detect_after, lambda: self._note_shares(self.vms))
+        self._later(detected_after, lambda: self._update_reachable_shares(vms))
+        self._later(others_detect_after, lambda: self._update_reachable_shares(self.vms))
 
     def heal(self) -> None:
-        """End all cuts; who is met is told all limits, and what was sent meanwhile is told with what is sent next."""
+        """End all partitions; VMs detect it after a second. Counts missed meanwhile are in the next totals."""
         for vm in self.vms:
             vm.side = 0
-        self._later(1.0, lambda: self._note_shares(self.vms))
+        self._later(1.0, lambda: self._update_reachable_shares(self.vms))
 
-    def _note_shares(self, vms: Sequence[LimitVm]) -> None:
+    def _update_reachable_shares(self, vms: Sequence[LimitVm]) -> None:
         for vm in vms:
             vm.reachable_share = sum(one.side == vm.side for one in self.vms) / len(self.vms)
 
-    def _note_size(self, vm: LimitVm) -> None:
+    def _update_known_vms(self, vm: LimitVm) -> None:
         vm.known_vms = len(self.vms)
 
     # --- time --------------------------------------------------------------------------------------------------------
 
     def run(self, seconds: float, demand: float, vms: Sequence[LimitVm] | None = None) -> None:
-        """Let time pass.
+        """Advance the clock.
 
-        :param demand: requests a second that would go to the upstream, at VMs drawn at random
-        :param vms: those that callers ask; all of them where it is None
+        :param demand: requests per second that callers send to randomly chosen VMs
+        :param vms: VMs that receive requests; None for all
         """
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             while self._due and self._due[0].at <= self.now:
                 heapq.heappop(self._due).act()
             for _ in range(self._draw_count(demand * STEP_S)):
-                self._ask(self.random.choice(vms or self.vms))
+                self._send_request(self.random.choice(vms or self.vms))
 
     def _draw_count(self, mean: float) -> int:
-        """Return how many callers come in one step."""
+        """Draw the number of requests in one step."""
         count, left = 0, self.random.expovariate(1.0)
         while left < mean:
             count += 1
             left += self.random.expovariate(1.0)
         return count
 
-    def _ask(self, vm: LimitVm) -> None:
+    def _send_request(self, vm: LimitVm) -> None:
         if not vm.ready:
             return
         self.requested += 1
@@ -161,41 +160,41 @@
         vm.limits.record_request(LIFE, self.now)
         vm.sent.append(self.now)
         self.received.append(self.now)
-        asked_at = self.now
-        self._later(RESPONSE_TIME_S, lambda: self._answer(vm, asked_at))
+        sent_at = self.now
+        self._later(RESPONSE_TIME_S, lambda: self._respond(vm, sent_at))
 
-    def _answer(self, vm: LimitVm, asked_at: float) -> None:
+    def _respond(self, vm: LimitVm, sent_at: float) -> None:
         if vm not in self.vms:
             return
         if self.rate is not None and vm.limit_received_at is None:
             vm.limit_received_at = self.now
-        vm.limits.apply_response(LIFE, self.rate, asked_at, self.now)
+        vm.limits.apply_response(LIFE, self.rate, sent_at, self.now)
 
     def _later(self, seconds: float, act: Callable[[], None]) -> None:
         self._number += 1
         heapq.heappush(self._due, _Due(self.now + seconds, self._number, act))
 
-    # --- what they tell each other -----------------------------------------------------------------------------------
+    # --- gossip ------------------------------------------------------------------------------------------------------
 
-    def _spread(self, teller: LimitVm) -> None:
-        """Tell all others what a VM itself has done; what they hand on is in the time that this takes."""
-        words, spent = teller.limits.drain_pending()
+    def _broadcast(self, sender: LimitVm) -> None:
+        """Send a VM's own updates to all others; the delay includes forwarding."""
+        states, counts = sender.limits.drain_pending()
         for vm in self.vms:
-            if vm is not teller and vm.side == teller.side:
+            if vm is not sender and vm.side == sender.side:
                 delay = self.random.uniform(0.2 * self.max_delay, self.max_delay)
-                self._later(delay, lambda vm=vm: self._hear(vm, words, spent))  # type: ignore[misc]
+                self._later(delay, lambda vm=vm: self._receive(vm, states, counts))  # type: ignore[misc]
 
-    def _tell_all(self, teller: LimitVm, vm: LimitVm) -> None:
-        self._hear(vm, teller.limits.list_states(self.now), [])
+    def _send_all(self, sender: LimitVm, vm: LimitVm) -> None:
+        self._receive(vm, sender.limits.list_states(self.now), [])
         vm.ready = True
 
-    def _hear(self, vm: LimitVm, words: list[LimitState], spent: list[RequestCount]) -> None:
-        for word in words:
-            vm.limits.apply_state(word, self.now)
-        for one in spent:
+    def _receive(self, vm: LimitVm, states: list[LimitState], counts: list[RequestCount]) -> None:
+        for state in states:
+            vm.limits.apply_state(state, self.now)
+        for one in counts:
             vm.limits.apply_count(one, self.now)
 
-    # --- what is counted ---------------------------------------------------------------------------------------------
+    # --- results -----------------------------------------------------------------------------------------------------
 
     def count_busiest_window(self, since: float) -> int:
         """Return the largest number of requests in any window after a time."""
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -47,7 +47,7 @@
     there: Vm
     other: _Link | None = None
     joins_halls: bool = False
-    """Whether it is kept by those only that add up, to those of the same rank in another hall."""
+    """Whether it is kept only between aggregators at the same position in their halls."""
 
     def __hash__(self) -> int:
         return id(self)
@@ -78,8 +78,8 @@
             MESSAGE_DELAY_S, self._arrive, self.other, self.here.incarnation, self.there.incarnation, message
         )
 
-    def _arrive(self, other: _Link, sender_life: int, receiver_life: int, message: Usage) -> None:
-        alive = self.here.incarnation == sender_life and self.there.incarnation == receiver_life
+    def _arrive(self, other: _Link, sender_incarnation: int, receiver_incarnation: int, message: Usage) -> None:
+        alive = self.here.incarnation == sender_incarnation and self.there.incarnation == receiver_incarnation
         if alive and not self.fleet.is_cut(self.here, self.there):
             assert self.there.gossip is not None
             self.there.gossip.handle_usage(other, message)  # type: ignore[arg-type]
@@ -100,7 +100,7 @@
     position: int = 0
     """Position among the connected VMs of its hall."""
     side: int = 0
-    """VMs on different sides of a cut do not receive each other's messages."""
+    """VMs on different sides of a partition do not receive each other's messages."""
     known_side: int = 0
     """The side as detected by the other VMs."""
 
@@ -134,7 +134,7 @@
         self.granted: list[tuple[float, int]] = []
         self.vms = [Vm(f"vm{number}", f"hall-{number % halls}") for number in range(vms)]
         self._connect()
-        self._find_links()
+        self._update_links()
         for vm in self.vms:
             self._start(vm)
         self.run(10.0)
@@ -161,8 +161,8 @@
                 vm.links.append(here)
                 peer.links.append(there)
 
-    def _find_links(self) -> None:
-        """Work out who adds up, and which connections are up: those to them in a hall, and a few to other halls."""
+    def _update_links(self) -> None:
+        """Choose the aggregators and the active connections."""
         for vm in self.vms:
             members = [one for one in self.vms if one.hall == vm.hall and vm.sees(one)]
             vm.position = members.index(vm)
@@ -171,8 +171,8 @@
             vm.active_links = [link for link in vm.links if vm.sees(link.there) and link.is_wanted]
 
     def _start(self, vm: Vm) -> None:
-        news = UsageTracker(vm.name, vm.hall)
-        vm.allocator = self.kind(news, lambda: len(self.vms), self.terms, self.clock.seconds())
+        tracker = UsageTracker(vm.name, vm.hall)
+        vm.allocator = self.kind(tracker, lambda: len(self.vms), self.terms, self.clock.seconds())
         table = make_table(1, [], [], CallerLimits(), (self.workspace,))
         clock = SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater)
         core: Any = SimpleNamespace(clock=clock, table=table)
@@ -184,17 +184,17 @@
         vm.gossip.start()
 
     def cut(self, vms: list[Vm], *, apart: bool = False) -> None:
-        """Cut VMs off from the others, and with ``apart`` from each other as well; heal all others."""
+        """Partition VMs from the others, and with ``apart`` also from each other; reconnect all others."""
         for vm in self.vms:
             vm.side = 0
         for number, vm in enumerate(vms):
             vm.side = 1 + number if apart else 1
-        self.clock.callLater(CUT_DETECTION_S, self._notice)
+        self.clock.callLater(CUT_DETECTION_S, self._detect_cut)
 
-    def _notice(self) -> None:
+    def _detect_cut(self) -> None:
         for vm in self.vms:
             vm.known_side = vm.side
-        self._find_links()
+        self._update_links()
 
     def is_cut(self, one: Vm, other: Vm) -> bool:
         return one.side != other.side
@@ -217,30 +217,30 @@
             core.table = table
 
     def send_request(self, vm: Vm, units: int) -> bool:
-        """Have a caller of a VM ask; return whether the request was taken."""
+        """Send a request to a VM; return whether it was granted."""
         assert vm.allocator is not None
         now = self.clock.seconds()
         self.requested.append((now, units))
-        taken = vm.allocator.acquire(self.workspace, units, now) is None
-        if taken:
+        granted = vm.allocator.acquire(self.workspace, units, now) is None
+        if granted:
             self.granted.append((now, units))
-        return taken
+        return granted
 
     def run(self, seconds: float, demand: float = 0.0, at: list[Vm] | None = None) -> None:
-        """Let time pass.
+        """Advance the clock.
 
-        :param demand: units a second that callers ask, in requests of 200 and of some thousands of units
-        :param at: the VMs whose callers ask
+        :param demand: units per second that callers request, in requests of 200 and of some thousands of units
+        :param at: VMs that receive requests; None for all
         """
-        asked = at or self.vms
+        receivers = at or self.vms
         end = self.clock.seconds() + seconds
-        owed = 0.0
+        pending_units = 0.0
         while self.clock.seconds() < end - 1e-9:
-            owed += demand * STEP_S
-            while owed > 0:
+            pending_units += demand * STEP_S
+            while pending_units > 0:
                 units = 200 if self.random.random() < 0.3 else int(self.random.lognormvariate(7.9, 0.5))
-                owed -= units
-                self.send_request(self.random.choice(asked), units)
+                pending_units -= units
+                self.send_request(self.random.choice(receivers), units)
             self.clock.advance(STEP_S)
 
     def compute_worst_window(self) -> float:
