--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -98,14 +98,14 @@
 
     def compute_requested_rate(self, workspace: WorkspaceName, now: float) -> float:
         """Return the units per second that a workspace's callers request."""
-        meter = self._requested.get(workspace)
-        return 0.0 if meter is None else meter.compute_rate(now)
+        rate = self._requested.get(workspace)
+        return 0.0 if rate is None else rate.compute_rate(now)
 
     def compute_rates(self, now: float) -> RatesByWorkspace:
         """Return the rates of the active workspaces."""
         rates = {}
-        for workspace, meter in list(self._requested.items()):
-            requested = meter.compute_rate(now)
+        for workspace, rate in list(self._requested.items()):
+            requested = rate.compute_rate(now)
             if requested < MIN_REPORTED_RATE_PER_S:
                 del self._requested[workspace]
                 self._granted.pop(workspace, None)
--- a/tests/relay/limits/test_limits.py
+++ b/tests/relay/limits/test_limits.py
@@ -74,7 +74,7 @@
     assert limits.may_send(INCARNATION, NOW)
 
 
-def test_raising_a_limit_to_a_huge_one_ends_it() -> None:
+def test_raising_a_limit_to_a_huge_one_withdraws_it() -> None:
     limits = make_limits(0.5)
     assert limits.apply_response(INCARNATION, 1e9, NOW + 1, NOW + 1)
     assert limits.may_send(INCARNATION, NOW + 1)
@@ -88,7 +88,7 @@
     assert not limits.may_send(INCARNATION, NOW + 12)
 
 
-def test_a_response_to_an_older_request_neither_ends_nor_raises_a_limit() -> None:
+def test_a_response_to_an_older_request_neither_withdraws_nor_raises_a_limit() -> None:
     limits = make_limits(2.0)
     assert not limits.apply_response(INCARNATION, None, NOW - 0.1, NOW + 0.1)
     assert not limits.apply_response(INCARNATION, 9.0, NOW - 0.1, NOW + 0.1)
@@ -142,7 +142,7 @@
     assert limits.count_limited() == 2
     limits.apply_response(Life(UpstreamId("u100"), 1), None, NOW + 1, NOW + 1)
     limits.remove_expired(NOW + 2 + WITHDRAWN_LIMIT_RETENTION_S)
-    assert [word.incarnation.id for word in limits.list_states(NOW)] == ["u101"]
+    assert [state.incarnation.id for state in limits.list_states(NOW)] == ["u101"]
 
 
 # --- gossip -----------------------------------------------------------------------------------------------------------
@@ -151,9 +151,10 @@
 def test_duplicate_counts_are_deducted_once() -> None:
     limits = make_limits(2.0)
     limits.count_vms = lambda: 2
-    told = [RequestCount(KEY, Origin(7), count, 1) for count in (1, 1, 1, 3, 2)]  # the message with the second was lost
-    news = [limits.apply_count(one, NOW + 1) for one in told]
-    assert [None if one is None else one.new for one in news] == [1, None, None, 2, None]
+    # The count with total 2 arrives after the one with total 3.
+    counts = [RequestCount(KEY, Origin(7), total, 1) for total in (1, 1, 1, 3, 2)]
+    applied = [limits.apply_count(one, NOW + 1) for one in counts]
+    assert [None if one is None else one.new for one in applied] == [1, None, None, 2, None]
 
 
 def test_only_new_requests_of_an_unknown_origin_are_deducted() -> None:
@@ -169,11 +170,11 @@
         limits.apply_count(RequestCount(KEY, Origin(number), 1, 1), NOW + 1)
     limits.drain_pending()
     limits.record_request(INCARNATION, NOW + 1)
-    _, spent = limits.drain_pending()
-    assert [(one.total, one.new) for one in spent] == [(2, 1)]
+    _, counts = limits.drain_pending()
+    assert [(one.total, one.new) for one in counts] == [(2, 1)]
 
 
-def test_the_debt_is_bounded_whatever_counts_are_received() -> None:
+def test_the_debt_is_bounded_for_any_received_count() -> None:
     limits = make_limits(2.0)
     limits.apply_count(RequestCount(KEY, Origin(7), 10**9, 10**9), NOW + 1)
     assert limits.compute_wait(INCARNATION, NOW + 1) <= MAX_DEBT_S + 1.0
--- a/tests/relay/workspaces/test_quota.py
+++ b/tests/relay/workspaces/test_quota.py
@@ -14,15 +14,15 @@
 if TYPE_CHECKING:
     from beamhatch.relay.workspaces.workspace import Workspace
 
-USUAL_LOAD = 0.55
+TYPICAL_LOAD = 0.55
 """Typical demand of a workspace as a share of its rate."""
 
 SIZES = [1, 8, 78, 195]
 
-FOUND_SEEDS = [197, 269, 303]
+REPEATED_SURGE_SEEDS = [197, 269, 303]
 """Seeds that produce a second surge within the window of the first."""
 
-CUT_SEEDS = [615, 1044, 1297]
+SURGE_AND_PARTITION_SEEDS = [615, 1044, 1297]
 """Seeds in which a surge coincides with a partition, before VMs detect it."""
 
 
@@ -36,8 +36,8 @@
         return self.fleet
 
 
-def make_usage(workspace: Workspace, vms: int, asked: float) -> FleetUsage:
-    return FleetUsage(vms, {workspace.name: Rates(round(asked), round(asked))})
+def make_usage(workspace: Workspace, vms: int, requested: float) -> FleetUsage:
+    return FleetUsage(vms, {workspace.name: Rates(round(requested), round(requested))})
 
 
 def compute_granted_share(fleet: Fleet) -> float:
@@ -48,13 +48,13 @@
 @pytest.mark.parametrize("burst", [1.0, 1.7])
 def test_nothing_is_refused_below_the_quota(vms: int, burst: float) -> None:
     fleet = Fleet(vms)
-    fleet.run(6.0, burst * USUAL_LOAD * fleet.quota.rate)
+    fleet.run(6.0, burst * TYPICAL_LOAD * fleet.quota.rate)
     assert compute_granted_share(fleet) == 1.0
 
 
 def test_nothing_is_refused_if_all_callers_are_at_few_vms() -> None:
     fleet = Fleet(78)
-    fleet.run(6.0, USUAL_LOAD * fleet.quota.rate, fleet.vms[:3])
+    fleet.run(6.0, TYPICAL_LOAD * fleet.quota.rate, fleet.vms[:3])
     assert compute_granted_share(fleet) == 1.0
 
 
@@ -62,59 +62,59 @@
 @pytest.mark.parametrize("times", [2.0, 3.3, 4.4])
 def test_a_hot_workspace_gets_its_quota_and_no_more(vms: int, times: float) -> None:
     fleet = Fleet(vms)
-    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
-    begun = len(fleet.granted)
+    fleet.run(4.0, TYPICAL_LOAD * fleet.quota.rate)
+    count_before = len(fleet.granted)
     fleet.run(12.0, times * fleet.quota.rate)
     assert fleet.compute_worst_window() <= 1.0
-    taken = sum(units for _, units in fleet.granted[begun:])
-    assert taken >= 12.0 * fleet.quota.rate
+    granted = sum(units for _, units in fleet.granted[count_before:])
+    assert granted >= 12.0 * fleet.quota.rate
 
 
 def test_a_workspace_that_is_hot_in_one_hall_gets_its_quota_there() -> None:
     fleet = Fleet(78)
     there = [vm for vm in fleet.vms if vm.hall == "hall-1"]
-    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
-    begun = len(fleet.granted)
+    fleet.run(4.0, TYPICAL_LOAD * fleet.quota.rate)
+    count_before = len(fleet.granted)
     fleet.run(12.0, 3.3 * fleet.quota.rate, there)
     assert fleet.compute_worst_window() <= 1.0
-    assert sum(units for _, units in fleet.granted[begun:]) >= 12.0 * fleet.quota.rate
+    assert sum(units for _, units in fleet.granted[count_before:]) >= 12.0 * fleet.quota.rate
 
 
 def test_callers_are_treated_alike_in_all_halls() -> None:
     fleet = Fleet(78)
     fleet.run(3.0, 3 * fleet.quota.rate)
-    asked: Counter[str] = Counter()
-    taken: Counter[str] = Counter()
+    requested: Counter[str] = Counter()
+    granted: Counter[str] = Counter()
     for _ in range(20):
         for vm in fleet.vms:
             if fleet.random.random() < 0.8:
-                asked[vm.hall] += 1
-                taken[vm.hall] += fleet.send_request(vm, 3000)
+                requested[vm.hall] += 1
+                granted[vm.hall] += fleet.send_request(vm, 3000)
         fleet.run(0.25)
-    shares = [taken[hall] / asked[hall] for hall in ("hall-0", "hall-1", "hall-2")]
+    shares = [granted[hall] / requested[hall] for hall in ("hall-0", "hall-1", "hall-2")]
     assert max(shares) < 0.5
     assert max(shares) - min(shares) < 0.1
 
 
-def test_halls_that_are_cut_off_keep_to_their_part() -> None:
+def test_a_partitioned_hall_keeps_to_its_part() -> None:
     fleet = Fleet(78)
-    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
+    fleet.run(4.0, TYPICAL_LOAD * fleet.quota.rate)
     fleet.cut([vm for vm in fleet.vms if vm.hall == "hall-1"])
     fleet.run(12.0, 3.3 * fleet.quota.rate)
     assert fleet.compute_worst_window() <= 1.0
 
 
-def test_a_hall_that_is_cut_off_is_served_as_usual() -> None:
+def test_a_partitioned_hall_grants_typical_load() -> None:
     fleet = Fleet(78)
     fleet.cut([vm for vm in fleet.vms if vm.hall == "hall-1"])
-    fleet.run(8.0, USUAL_LOAD * fleet.quota.rate)
+    fleet.run(8.0, TYPICAL_LOAD * fleet.quota.rate)
     assert compute_granted_share(fleet) > 0.995
 
 
 @pytest.mark.parametrize("vms", [3, 5])
-def test_the_only_vm_of_a_hall_follows_the_others(vms: int) -> None:
+def test_the_only_vm_of_a_hall_can_use_the_quota(vms: int) -> None:
     fleet = Fleet(vms)
-    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate, [vm for vm in fleet.vms if vm.hall == "hall-2"])
+    fleet.run(4.0, TYPICAL_LOAD * fleet.quota.rate, [vm for vm in fleet.vms if vm.hall == "hall-2"])
     assert compute_granted_share(fleet) == 1.0
 
 
@@ -122,23 +122,23 @@
     fleet = Fleet(2)
     fleet.cut(fleet.vms, apart=True)
     fleet.run(4.0)
-    share = fleet.vms[0].allocator
-    assert share is not None
-    share.set_terms(QuotaTerms(8.0, 0.1, 100_000_000))
+    allocator = fleet.vms[0].allocator
+    assert allocator is not None
+    allocator.set_terms(QuotaTerms(8.0, 0.1, 100_000_000))
     assert all(fleet.send_request(fleet.vms[0], 100_000) for _ in range(10))
 
 
 @pytest.mark.parametrize("share", [0.35, 1.0])
-def test_single_vms_that_are_cut_off_keep_to_their_part(share: float) -> None:
+def test_isolated_vms_keep_to_their_part(share: float) -> None:
     fleet = Fleet(78)
-    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
+    fleet.run(4.0, TYPICAL_LOAD * fleet.quota.rate)
     fleet.cut(fleet.vms[: int(share * 78)], apart=True)
     fleet.run(12.0, 3.3 * fleet.quota.rate)
     assert fleet.compute_worst_window() <= 1.0
 
 
 @pytest.mark.parametrize("share", [0.55, 1.0])
-def test_vms_that_restart_do_not_begin_with_a_whole_burst(share: float) -> None:
+def test_restarts_do_not_exceed_the_window_bound(share: float) -> None:
     fleet = Fleet(78)
     fleet.run(10.0, 3.3 * fleet.quota.rate)
     fleet.restart(fleet.vms[: int(share * 78)])
@@ -151,34 +151,39 @@
     fleet = Fleet(24)
     fleet.run(10.0, 3.3 * fleet.quota.rate)
     fleet.restart(fleet.vms)
-    begun = len(fleet.granted)
+    count_before = len(fleet.granted)
     fleet.run(0.2, 4.0 * fleet.quota.rate)
-    assert sum(units for _, units in fleet.granted[begun:]) <= 0.2 * 1.3 * fleet.quota.rate
+    assert sum(units for _, units in fleet.granted[count_before:]) <= 0.2 * 1.3 * fleet.quota.rate
 
 
 def test_an_excess_is_still_compensated_after_a_partition() -> None:
     workspace = make_workspace(160_000, 160_000)
     terms = QuotaTerms(8.0, 0.1, 190_000)
     assert workspace.quota is not None
-    pace = terms.compute_steady_rate(workspace.quota, STEADY_RATE_SHARE)
-    news = PresetTracker("vm0", "hall-0")
-    share = DemandAllocator(news, lambda: 24, terms)
-    for at, vms, asked in [(100.0, 24, 4 * pace), (101.0, 24, 4 * pace), (101.1, 1, 0.0), (102.1, 1, 0.0)]:
-        news.fleet = make_usage(workspace, vms, asked)
-        share.update((workspace,), at)
+    steady_rate = terms.compute_steady_rate(workspace.quota, STEADY_RATE_SHARE)
+    tracker = PresetTracker("vm0", "hall-0")
+    allocator = DemandAllocator(tracker, lambda: 24, terms)
+    for at, vms, requested in [
+        (100.0, 24, 4 * steady_rate),
+        (101.0, 24, 4 * steady_rate),
+        (101.1, 1, 0.0),
+        (102.1, 1, 0.0),
+    ]:
+        tracker.fleet = make_usage(workspace, vms, requested)
+        allocator.update((workspace,), at)
     for at in (102.2, 103.2):
-        news.fleet = make_usage(workspace, 24, 0.5 * pace)
-        share.update((workspace,), at)
-    assert share.is_partly_used(workspace.name)
+        tracker.fleet = make_usage(workspace, 24, 0.5 * steady_rate)
+        allocator.update((workspace,), at)
+    assert allocator.is_partly_used(workspace.name)
 
 
-def test_a_lowered_quota_holds_one_window_later() -> None:
+def test_a_lowered_quota_is_enforced_one_window_later() -> None:
     fleet = Fleet(78)
-    fleet.run(4.0, USUAL_LOAD * fleet.quota.rate)
+    fleet.run(4.0, TYPICAL_LOAD * fleet.quota.rate)
     fleet.change_quota(32_000, 32_000)
-    fleet.run(8.0, USUAL_LOAD * 160_000)
+    fleet.run(8.0, TYPICAL_LOAD * 160_000)
     fleet.granted.clear()
-    fleet.run(16.0, USUAL_LOAD * 160_000)
+    fleet.run(16.0, TYPICAL_LOAD * 160_000)
     assert fleet.compute_worst_window() <= 1.0
     assert sum(units for _, units in fleet.granted) >= 0.9 * 16 * 32_000
 
@@ -203,17 +208,17 @@
     vm = fleet.vms[0]
     assert vm.allocator is not None
     waits = [vm.allocator.acquire(fleet.workspace, 3000, fleet.clock.seconds()) for _ in range(20)]
-    told = [wait for wait in waits if wait is not None]
-    assert told
-    assert all(0.1 < wait < fleet.terms.window for wait in told)
+    delays = [wait for wait in waits if wait is not None]
+    assert delays
+    assert all(0.1 < wait < fleet.terms.window for wait in delays)
 
 
-@pytest.mark.parametrize("seed", [*range(50), *FOUND_SEEDS])
-def test_no_window_is_over_whatever_happens_to_the_fleet(seed: int) -> None:
+@pytest.mark.parametrize("seed", [*range(50), *REPEATED_SURGE_SEEDS])
+def test_no_window_exceeds_its_bound_after_random_events(seed: int) -> None:
     assert run_random_events(seed).compute_worst_window() <= 1.0
 
 
-@pytest.mark.parametrize("seed", CUT_SEEDS)
+@pytest.mark.parametrize("seed", SURGE_AND_PARTITION_SEEDS)
 def test_no_window_is_over_where_a_surge_comes_with_a_cut(seed: int) -> None:
     """VMs must not overspend on outdated usage before they detect a partition."""
     assert run_random_events(seed).compute_worst_window() <= 1.0
@@ -237,18 +242,18 @@
     return fleet
 
 
-def test_equal_parts_refuse_usual_load_that_allocation_by_demand_grants() -> None:
+def test_equal_parts_refuse_typical_load_that_allocation_by_demand_grants() -> None:
     """Equal parts refuse requests of a workspace below its quota; allocation by demand must not."""
     shares = {}
     for kind in (EqualAllocator, DemandAllocator):
         fleet = Fleet(78, kind=kind, terms=QuotaTerms(8.0, 0.1, 0.0))
-        fleet.run(16.0, USUAL_LOAD * fleet.quota.rate, fleet.vms[:60])
+        fleet.run(16.0, TYPICAL_LOAD * fleet.quota.rate, fleet.vms[:60])
         shares[kind] = compute_granted_share(fleet)
     assert shares[DemandAllocator] == 1.0
     assert shares[EqualAllocator] < 1.0
 
 
-def test_usage_costs_little_where_no_workspace_is_near_its_quota() -> None:
+def test_few_messages_are_sent_if_no_workspace_is_near_its_quota() -> None:
     """Idle VMs must send only their own rates, and those only to the aggregators of their hall."""
     fleet = Fleet(78)
     fleet.sent = 0
@@ -264,7 +269,7 @@
     fleet.run(1.5, 4.0 * fleet.quota.rate)
     fleet.cut(fleet.vms[:1], apart=True)
     fleet.run(2.0, 0.5 * fleet.quota.rate)
-    asked, taken = len(fleet.requested), len(fleet.granted)
+    requested, granted = len(fleet.requested), len(fleet.granted)
     fleet.cut([])
     fleet.run(5.0, 0.5 * fleet.quota.rate)
-    assert len(fleet.granted) - taken == len(fleet.requested) - asked
+    assert len(fleet.granted) - granted == len(fleet.requested) - requested
--- a/tests/relay/workspaces/test_usage_gossip.py
+++ b/tests/relay/workspaces/test_usage_gossip.py
@@ -26,31 +26,31 @@
     vm: str
     hall: str
     is_aggregator: bool = True
-    told: list[Usage] = field(default_factory=list)
+    sent: list[Usage] = field(default_factory=list)
 
     def send(self, message: Usage) -> None:
-        self.told.append(message)
+        self.sent.append(message)
 
     def pop_halls(self) -> set[str]:
         """Return the halls whose sums were sent since the last call."""
-        halls = {usage.hall for message in self.told for usage in message.halls}
-        self.told.clear()
+        halls = {usage.hall for message in self.sent for usage in message.halls}
+        self.sent.clear()
         return halls
 
 
 class GossipingVm:
-    """A VM of hall "a", which is an aggregator unless ``adds_up`` is false."""
+    """A VM of hall "a"."""
 
-    def __init__(self, *peers: Peer, adds_up: bool = True) -> None:
+    def __init__(self, *peers: Peer, is_aggregator: bool = True) -> None:
         self.clock = task.Clock()
         self.clock.advance(100.0)
-        news = UsageTracker("me", "a")
-        share = DemandAllocator(news, lambda: 12, QuotaTerms(), 0.0)
+        tracker = UsageTracker("me", "a")
+        allocator = DemandAllocator(tracker, lambda: 12, QuotaTerms(), 0.0)
         table = make_table(1, [], [], CallerLimits(), (make_workspace(1000, 1000),))
         core: Any = SimpleNamespace(
             clock=SimpleNamespace(now=self.clock.seconds, call_later=self.clock.callLater), table=table
         )
-        self.gossip = UsageGossip(core, share, lambda: list(peers), lambda: adds_up)  # type: ignore[arg-type]
+        self.gossip = UsageGossip(core, allocator, lambda: list(peers), lambda: is_aggregator)  # type: ignore[arg-type]
         self.gossip.start()
 
     def receive(self, peer: Peer, *halls: str, direct: list[str] | None = None) -> None:
@@ -68,7 +68,7 @@
     vm.wait()
     assert near.pop_halls() == {"a"}
     assert far.pop_halls() == {"a"}
-    assert not other.told
+    assert not other.sent
 
 
 def test_all_peers_in_a_hall_without_an_aggregator_receive_sums() -> None:
@@ -78,13 +78,13 @@
     assert one.pop_halls() == two.pop_halls() == {"a"}
 
 
-def test_a_vm_that_is_no_aggregator_sends_to_its_own_hall_only() -> None:
+def test_a_vm_that_is_not_an_aggregator_sends_only_to_its_own_hall() -> None:
     near, far = Peer("n", "a"), Peer("b1", "b")
-    vm = GossipingVm(near, far, adds_up=False)
+    vm = GossipingVm(near, far, is_aggregator=False)
     vm.receive(far, "b")
     vm.wait()
     assert near.pop_halls() == {"b"}
-    assert not far.told
+    assert not far.sent
 
 
 def test_sums_are_forwarded_to_halls_that_do_not_receive_them_directly() -> None:
@@ -106,29 +106,29 @@
     vm = GossipingVm(one, two)
     vm.receive(one, "b", "d")
     vm.wait()
-    assert two.told[-1].direct == ["b"]
+    assert two.sent[-1].direct == ["b"]
     vm.receive(one, "b")
     vm.wait()
-    assert two.told[-1].direct is None
+    assert two.sent[-1].direct is None
     vm.wait(DIRECT_HALL_TTL_S)
     vm.wait()
-    assert [message.direct for message in two.told if message.direct is not None][-1] == []
+    assert [message.direct for message in two.sent if message.direct is not None][-1] == []
 
 
 def test_direct_halls_of_another_vm_of_the_hall_count_as_direct() -> None:
-    beside, far = Peer("n", "a"), Peer("b1", "b")
-    vm = GossipingVm(beside, far)
-    vm.receive(beside, "a", direct=["c"])
+    near, far = Peer("n", "a"), Peer("b1", "b")
+    vm = GossipingVm(near, far)
+    vm.receive(near, "a", direct=["c"])
     vm.wait()
-    assert far.told[-1].direct == ["c"]
-    assert beside.told[-1].direct is None
+    assert far.sent[-1].direct == ["c"]
+    assert near.sent[-1].direct is None
 
 
-def test_only_one_of_two_connections_to_a_vm_is_used() -> None:
+def test_only_one_of_two_connections_to_the_same_vm_is_used() -> None:
     first, second = Peer("b1", "b"), Peer("b1", "b")
     vm = GossipingVm(first, second)
     vm.wait()
-    assert len(first.told) + len(second.told) == 2  # at the start and once since
+    assert len(first.sent) + len(second.sent) == 2  # one at the start and one after the interval
 
 
 def test_a_reconnected_peer_is_sent_everything_again() -> None:
@@ -137,7 +137,7 @@
     vm.receive(far, "b", direct=["c", "d"])
     vm.wait()
     vm.gossip.forget_peer(far)  # type: ignore[arg-type]
-    far.told.clear()
+    far.sent.clear()
     vm.receive(Peer("n", "a"), "c")
     vm.wait()
     assert far.pop_halls() == {"a", "c"}
@@ -147,17 +147,17 @@
     near, far = Peer("n", "a"), Peer("b1", "b")
     vm = GossipingVm(near, far)
     vm.wait()
-    near.told.clear()
+    near.sent.clear()
     vm.gossip.tracker.local.record_requested(DESK, 900, vm.clock.seconds())
     vm.wait(0.1)
     vm.wait(0.02)
-    (message,) = near.told
+    (message,) = near.sent
     assert message.own is not None
     assert message.own[DESK].requested > 1000
-    near.told.clear()
+    near.sent.clear()
     vm.receive(far, "b")
     vm.wait(0.02)
-    (message,) = near.told
+    (message,) = near.sent
     assert [usage.hall for usage in message.halls if usage.hall != "a"] == ["b"]
 
 
@@ -168,4 +168,4 @@
     for _ in range(5):
         vm.gossip.tracker.local.record_requested(DESK, 20, vm.clock.seconds())
         vm.wait(0.1)
-    assert len(near.told) <= 3
+    assert len(near.sent) <= 3
