--- a/src/beamhatch/relay/upstreams/announcements.py
+++ b/src/beamhatch/relay/upstreams/announcements.py
@@ -105,7 +105,7 @@
         if appears_or_ends or now - self._limit_logged_at.get(incarnation, -math.inf) >= LIMIT_LOG_INTERVAL_S:
             self._limit_logged_at[incarnation] = now
             event = "names a limit" if rate is not None else "names no limit any more"
-            state = self.limits.describe(incarnation)
+            state = self.limits.get_log_fields(incarnation)
             self.journal.write(
                 "LIMIT", event, upstream=incarnation.id, rate=rate, before=before, source=source, **state
             )
@@ -150,7 +150,7 @@
     def drop_unlisted(self, listed: Collection[UpstreamId]) -> None:
         """Drop the announcements of upstreams that are not in ``listed``."""
         self.backoffs.keep_only(listed)
-        self.limits.keep_only(listed)
+        self.limits.remove_unlisted(listed)
         self.limits.remove_expired(self.clock.now())
         self._limit_logged_at = {
             incarnation: at for incarnation, at in self._limit_logged_at.items() if incarnation.id in listed
--- a/src/beamhatch/relay/workspaces/usage.py
+++ b/src/beamhatch/relay/workspaces/usage.py
@@ -25,9 +25,9 @@
 """Seconds by which the apparent age of a sum may differ by route; less than the interval between two sums."""
 
 HALL_USAGE_TTL_S = 0.9
-"""Seconds for which a sum is used; covers two idle intervals and the route over four VMs."""
+"""Seconds for which a sum is used; covers two idle sending intervals and the delay over four VMs."""
 
-MIN_RATE_PER_S = 1.0
+MIN_REPORTED_RATE_PER_S = 1.0
 """Rates below this many units per second are not reported."""
 
 
@@ -52,7 +52,7 @@
     aggregator: str
     """VM that computed the sum."""
     age: float
-    """Seconds since the sum was computed, so that a forwarded sum does not look new."""
+    """Seconds since the sum was computed, so that a receiver can tell how old a forwarded sum is."""
     vms: int
     """Number of VMs it covers."""
     rates: RatesByWorkspace
@@ -98,15 +98,15 @@
 
     def compute_requested_rate(self, workspace: WorkspaceName, now: float) -> float:
         """Return the units per second that a workspace's callers request."""
-        meter = self._requested.get(workspace)
-        return 0.0 if meter is None else meter.compute_rate(now)
+        rate = self._requested.get(workspace)
+        return 0.0 if rate is None else rate.compute_rate(now)
 
     def compute_rates(self, now: float) -> RatesByWorkspace:
         """Return the rates of the active workspaces."""
         rates = {}
-        for workspace, meter in list(self._requested.items()):
-            requested = meter.compute_rate(now)
-            if requested < MIN_RATE_PER_S:
+        for workspace, rate in list(self._requested.items()):
+            requested = rate.compute_rate(now)
+            if requested < MIN_REPORTED_RATE_PER_S:
                 del self._requested[workspace]
                 self._granted.pop(workspace, None)
                 continue
@@ -154,13 +154,13 @@
     vm: str
     hall: str
     local: LocalUsage = field(default_factory=LocalUsage)
-    members: PeerValues[RatesByWorkspace] = field(default_factory=PeerValues)
+    member_rates: PeerValues[RatesByWorkspace] = field(default_factory=PeerValues)
     """Rates reported by the other VMs of the hall."""
     _halls: dict[tuple[str, str], KnownHallUsage] = field(default_factory=dict)
     """Newest sum by hall and aggregator."""
 
     def apply_hall_usage(self, message: HallUsage, now: float) -> KnownHallUsage:
-        """Apply a sum from a peer; return it."""
+        """Record a peer's sum if it is newer than the known one and not from this VM; return it in any case."""
         usage = KnownHallUsage(message.hall, message.aggregator, message.vms, message.rates, now - message.age)
         key = usage.hall, usage.aggregator
         if usage.aggregator != self.vm and usage.is_newer(self._halls.get(key)):
@@ -169,10 +169,10 @@
 
     def compute_hall_rates(self, now: float) -> RatesByWorkspace:
         """Return the rates of this VM's hall, summed from its members' reports."""
-        return add_rates([self.local.compute_rates(now), *self.members.list_values(now)])
+        return add_rates([self.local.compute_rates(now), *self.member_rates.list_values(now)])
 
     def record_own_hall(self, rates: RatesByWorkspace, vms: int, now: float) -> None:
-        """Record the sum for this VM's hall; ``vms`` is the number of VMs it covers, silent ones included."""
+        """Record the sum for this VM's hall; ``vms`` is the number of VMs it covers, including those without usage."""
         self._halls[self.hall, self.vm] = KnownHallUsage(self.hall, self.vm, vms, rates, now)
 
     def list_hall_usages(self, now: float) -> list[KnownHallUsage]:
@@ -208,5 +208,5 @@
 
     def remove_expired(self, now: float) -> None:
         """Remove expired reports and sums."""
-        self.members.drop_expired(now)
+        self.member_rates.drop_expired(now)
         self._halls = {key: usage for key, usage in self._halls.items() if now - usage.computed_at < HALL_USAGE_TTL_S}
