--- a/src/beamhatch/relay/daemon.py
+++ b/src/beamhatch/relay/daemon.py
@@ -12,16 +12,16 @@
 from beamhatch.relay.choosing.cold_gate import ColdLimit, CountingGate, KnownVms
 from beamhatch.relay.choosing.pace import PrefillEstimators
 from beamhatch.relay.choosing.peer_backlog import PeerBacklog
-from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
-from beamhatch.relay.choosing.sponsor_gate import SponsorGate
+from beamhatch.relay.choosing.sponsors import SponsorGate
 from beamhatch.relay.choosing.standing import UpstreamStatsRegistry
+from beamhatch.relay.choosing.turns import RoundRobinGate
 from beamhatch.relay.core import Core, ReloadableSettings
 from beamhatch.relay.engines.leadership import Leadership
 from beamhatch.relay.engines.ordering import PhaseController
 from beamhatch.relay.fleet.departure_talk import DepartureGossip
 from beamhatch.relay.fleet.gossip import Gossip
 from beamhatch.relay.fleet.membership import Member, Membership
-from beamhatch.relay.fleet.store_watcher import DirectivesWatcher, ListingWatcher, StoreWatcher
+from beamhatch.relay.fleet.watching import DirectivesWatcher, ListingWatcher, StoreWatcher
 from beamhatch.relay.limits.talk import LimitGossip
 from beamhatch.relay.mechanism import NONE_DISABLED, DisabledMechanisms, Mechanism
 from beamhatch.relay.model import Address, CallerLimits
--- a/tests/relay/choosing/test_cold_fleet.py
+++ b/tests/relay/choosing/test_cold_fleet.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
-from beamhatch.relay.choosing.sponsor_gate import SponsorGate
+from beamhatch.relay.choosing.sponsors import SponsorGate
+from beamhatch.relay.choosing.turns import RoundRobinGate
 from tests.support.cold_fleet import MAX_REQUESTS, ColdFleet, GateClass
 
 GATE_CLASSES = [SponsorGate, RoundRobinGate]
--- a/tests/relay/choosing/test_cold_gate.py
+++ b/tests/relay/choosing/test_cold_gate.py
@@ -17,8 +17,8 @@
     KnownVms,
 )
 from beamhatch.relay.choosing.cold_transitions import ColdTransitions
-from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
-from beamhatch.relay.choosing.sponsor_gate import MAX_DISJOINT_VIEWS, SPONSOR_TERM_GAP_S, SPONSOR_TERM_S, SponsorGate
+from beamhatch.relay.choosing.sponsors import MAX_DISJOINT_VIEWS, SPONSOR_TERM_GAP_S, SPONSOR_TERM_S, SponsorGate
+from beamhatch.relay.choosing.turns import RoundRobinGate
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
 
 TERMS = ColdTerms(3.0, 8.0)
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from beamhatch.relay.choosing.cold_gate import WINDOW_S, ColdGate, ColdLimit, KnownVms
-from beamhatch.relay.choosing.round_robin_gate import RoundRobinGate
-from beamhatch.relay.choosing.sponsor_gate import SponsorGate
+from beamhatch.relay.choosing.sponsors import SponsorGate
+from beamhatch.relay.choosing.turns import RoundRobinGate
 from beamhatch.relay.model import Address, ColdTerms, Phase, ServiceName, Upstream, UpstreamId
 
 if TYPE_CHECKING:
