--- a/src/beamhatch/platform/dialect.py
+++ b/src/beamhatch/platform/dialect.py
@@ -218,7 +218,7 @@
 
 
 def _parse_limit(text: str | None) -> AnnouncedLimit | None:
-    """Return the announced limit; ``UNCLEAR_LIMIT`` if it is not a finite non-negative decimal number."""
+    """Return the announced limit; ``UNREADABLE_LIMIT`` if it is not a finite non-negative decimal number."""
     if text is None:
         return None
     number = text.strip()
--- a/src/beamhatch/relay/choosing/eligibility.py
+++ b/src/beamhatch/relay/choosing/eligibility.py
@@ -75,7 +75,7 @@
 
         :param regions: the regions that the request may be served in; None allows any
         :param cold: the limits of the service's cold upstreams; None if they are not limited
-        :param owed: whether the caller was refused before and retries now
+        :param is_retry: whether the caller was refused before and retries now
         """
         if self.evacuations.is_evacuated(upstream.hall):
             return Obstacle.EMPTIED
--- a/src/beamhatch/relay/choosing/lack.py
+++ b/src/beamhatch/relay/choosing/lack.py
@@ -98,7 +98,7 @@
     refused before retry in the first half of it, others in the second.
 
     :param draw: a random number from 0 up to 1, drawn for each caller
-    :param owed: whether the caller was refused before
+    :param is_retry: whether the caller was refused before
     """
     half = max(wait, MIN_RETRY_WINDOW_S) / 2
     return wait + half * draw + (0.0 if is_retry else half)
--- a/src/beamhatch/relay/workspaces/usage_talk.py
+++ b/src/beamhatch/relay/workspaces/usage_talk.py
@@ -74,7 +74,7 @@
         """Initialize the gossip.
 
         :param list_connections: returns the established connections to peers
-        :param adds_up: returns whether this VM is an aggregator of its hall
+        :param is_aggregator: returns whether this VM is an aggregator of its hall
         """
         self.core = core
         self.tracker = allocator.usage
