--- a/tests/relay/requests/test_fingerprint.py
+++ b/tests/relay/requests/test_fingerprint.py
@@ -17,14 +17,14 @@
         "target": "/a/b?c=d",
         "headers": [("Host", "desk.example"), ("Request-Id", "q1"), ("Deadline-Ms", "14000")],
         "body": b"text",
-        "arrived": 1.0,
+        "arrived_at": 1.0,
     }
     return IncomingRequest(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 def test_a_retry_has_the_same_fingerprint() -> None:
     retry = make_incoming(
-        headers=[("host", "DESK.example"), ("Request-Id", "q2"), ("Deadline-Ms", "9000")], arrived=7.0
+        headers=[("host", "DESK.example"), ("Request-Id", "q2"), ("Deadline-Ms", "9000")], arrived_at=7.0
     )
     assert compute_fingerprint(make_incoming(), ALPHA) == compute_fingerprint(retry, ALPHA)
     assert len(compute_fingerprint(make_incoming(), ALPHA)) == FINGERPRINT_BYTES
