--- a/src/beamhatch/platform/store.py
+++ b/src/beamhatch/platform/store.py
@@ -298,8 +298,8 @@
     ) -> _EventsResponse | StoreUnavailable | RevisionExpired:
         """Wait for changes after a position.
 
-        ``RevisionExpired`` means that the list must be read again: the store no longer has the history, the position is of
-        another epoch, or the last list was read too soon after a restore.
+        ``RevisionExpired`` means that the list must be read again: the store no longer has the history, the position is
+        of another epoch, or the last list was read too soon after a restore.
         """
         now = self._clock.now()
         if prefix in self._unsettled_prefixes:
