--- a/tests/relay/choosing/test_prefill_times.py
+++ b/tests/relay/choosing/test_prefill_times.py
@@ -24,7 +24,7 @@
 
 def set_prefill_rate(platform: Platform, rate: float) -> None:
     for name in ("prefill-0", "prefill-1"):
-        platform.upstreams[name].read_rate = rate  # type: ignore[attr-defined]
+        platform.upstreams[name].prefill_rate = rate  # type: ignore[attr-defined]
 
 
 @pytest.mark.parametrize(("without", "max_prompts"), [(NONE_DISABLED, 8), (frozenset({Mechanism.PREFILL_TIMES}), 16)])
